--- a/include/dotterelshift/gateway/core.h
+++ b/include/dotterelshift/gateway/core.h
@@ -26,68 +26,72 @@
 namespace dotterelshift::gateway {
 
 struct CoreOptions {
-  // A request leaves this long before its reading time, for the way there.
+  // A request is sent this long before its prefill start, to cover the network
+  // latency to the endpoint.
   Duration lead = 2ms;
-  // Time to a stream's first event besides waiting and reading: the first step
-  // and the ways. From a calm run: 15 to 30 ms.
+  // Time to a stream's first event besides waiting and prefill: the first
+  // decoding step and the network round trip. 15 to 30 ms without load.
   Duration first_event_overhead = 30ms;
-  // How long a request may wait for tokens that control and the other entries
-  // were asked for: some ways there and back, and a commit.
+  // How long a request may wait for tokens that were requested from control and
+  // from the other entries: a few round trips and a commit.
   Duration budget_wait = 100ms;
-  // The same while control is in reach and says that plenty is left: its answer
-  // comes, but behind what a full link or a busy leader holds up, for up to
-  // 600 ms in a fleet of 86 entries.
+  // The same while control is reachable and has reported enough free tokens. A
+  // grant will come, but a saturated link or a busy leader can delay it by up
+  // to 600 ms in a fleet of 86 entries.
   Duration grant_wait = 600ms;
-  // No longer than this part of the caller's patience.
+  // `grant_wait` is capped at the caller's timeout divided by this.
   int grant_wait_part = 8;
-  // How often it asks again meanwhile, each time other entries.
+  // How often the tokens are requested again meanwhile, each time from other
+  // entries.
   Duration budget_again = 20ms;
-  // A request whose first event would come after its target is still taken when
-  // it would come within this part of the caller's patience.
+  // A request whose first event would miss its target is still accepted when
+  // the event would come within this fraction of the caller's timeout.
   double late_part = 0.35;
-  // Patience of a caller that names none.
+  // Timeout of a caller that gives none.
   Duration default_patience = 60s;
-  // An endpoint that has sent nothing of an answer for so long, while the
-  // request may run again elsewhere, is given up on.
+  // Idle timeout of a response: an attempt is abandoned when its endpoint has
+  // sent nothing for this long and the request may run again elsewhere.
   Duration silence_borne = 1500ms;
-  // What a caller is told to wait, at the least, when the way out is full here:
-  // the links of other entries are free.
+  // Minimum retry delay told to a caller when this entry's outbound link is
+  // saturated. Short, as the links of other entries are free.
   Duration link_retry_after = 50ms;
-  // What a caller is told to wait, at the least, when the fleet is full.
+  // Minimum retry delay told to a caller when the whole fleet is full.
   Duration least_retry_after = 500ms;
-  uint64_t seed = 1;  // of the split by weight and the spread of returns
+  uint64_t seed = 1;  // of the split by weight and the jitter of retry delays
 };
 
-// ---- what the core wants done
+// ---- Actions that the core requests
 
 struct StartAttempt {
   RequestId request = 0;
   AttemptId attempt = 0;
   EndpointContact endpoint;
-  Duration time_left = 0s;    // for the whole answer
+  Duration time_left = 0s;    // for the complete response
   TeamId team;                // empty: the route is open to all
-  std::string last_event_id;  // a stream goes on after this event; empty: whole
+  std::string last_event_id;  // a stream resumes after this event; empty: none
 };
 struct CancelAttempt {
   AttemptId attempt = 0;
 };
-// The endpoint leaves. If none of the attempt has been handed to a connection
-// yet, it is taken back, and OnWithdrawn() says so; else it goes on.
+// The endpoint is leaving. If no byte of the attempt has been handed to a
+// connection yet, the attempt is withdrawn and OnWithdrawn() is called; else it
+// continues.
 struct WithdrawAttempt {
   AttemptId attempt = 0;
 };
-// Answers in the system's own name. What is said to be not run has not run.
+// Sends an error response of the gateway itself. A kind that says that the
+// request did not run is used only if it did not.
 struct Refuse {
   RequestId request = 0;
   ErrorKind kind = ErrorKind::kInternal;
-  Duration retry_after = 0s;  // 0: as the kind says
+  Duration retry_after = 0s;  // 0: the default of the kind
 };
-// The answer of an attempt is whole and goes to the caller.
+// The response of an attempt is complete and is passed on to the caller.
 struct RelayWhole {
   RequestId request = 0;
   AttemptId attempt = 0;
 };
-// A stream begins with the head of this attempt.
+// Starts the caller's stream with the response head of this attempt.
 struct RelayHead {
   RequestId request = 0;
   AttemptId attempt = 0;
@@ -99,16 +103,16 @@
 struct FinishStream {
   RequestId request = 0;
 };
-// The caller must see that the stream is not whole.
+// Ends a stream early, such that the caller sees that it is incomplete.
 struct AbortStream {
   RequestId request = 0;
 };
-// A line for the log: what was decided on a request, and from what.
+// A log line: what was decided on a request, and from which inputs.
 struct Decision {
   std::string_view event;
   std::string caller_id;
   std::vector<std::pair<std::string_view, std::string>> inputs;
-  // Whose way to its endpoint is part of it; 0: none.
+  // The attempt whose connection details are logged with it; 0: none.
   AttemptId attempt = 0;
 };
 
@@ -116,26 +120,27 @@
                             Refuse, RelayWhole, RelayHead, RelayPiece,
                             FinishStream, AbortStream, Decision>;
 
-// An endpoint broke off while it ran a content, or a content that was suspected
-// before was answered whole; for control, which counts over the whole fleet.
+// Report to control, which counts over the whole fleet: an endpoint broke off
+// while it ran a content, or a content that was suspected before got a complete
+// response.
 struct Suspicion {
   uint64_t content_hash = 0;
-  EndpointId endpoint;  // empty: the content is cleared
+  EndpointId endpoint;  // empty: the content is cleared of suspicion
   uint64_t incarnation = 0;
-  bool alone = false;  // nothing else of the fleet ran there
+  bool alone = false;  // no other request of the fleet ran there
 };
 
-// Requests that wait for the way out.
+// Requests that are queued for the outbound link.
 struct LinkQueue {
   size_t requests = 0;
   uint64_t bytes = 0;
-  uint64_t refused = 0;  // since the start, as they would have waited too long
+  uint64_t refused = 0;  // since the start, since they would wait too long
 };
 
-// Decides on requests under published routes, from arrival to the last byte:
-// who may, where it goes and when, what is tried again, what is refused. A
-// core: no I/O, no clock. After each event its actions are to be carried out in
-// order.
+// Handles requests under the published routes from arrival to the last byte:
+// access, choice of the endpoint and the time of sending, retries and refusals.
+// Does no I/O and reads no clock. After each event the caller carries out the
+// actions from TakeActions() in order.
 class Core {
  public:
   virtual ~Core() = default;
@@ -144,10 +149,10 @@
                         size_t entries, Instant now) = 0;
   virtual void OnEndpointsChanged(const directory::Directory& directory,
                                   Instant now) = 0;
-  // The entry has been told to stop, and ends at the times given.
+  // The entry is shutting down at the given times.
   virtual void StartDraining(const DrainTimes& times) = 0;
-  // The process ends: what is open is ended, each caller told what is known of
-  // its request; new ones are refused.
+  // The process exits: ends all open requests, telling each caller whether its
+  // request may have run, and refuses new ones.
   virtual void CutOpen(Instant now) = 0;
 
   virtual void OnRequest(RequestId request, RequestInfo info, Instant now) = 0;
@@ -158,16 +163,16 @@
   virtual void OnPiece(AttemptId attempt, std::string_view bytes,
                        Instant now) = 0;
   virtual void OnEnd(AttemptId attempt, http::TransferEnd end, Instant now) = 0;
-  // Nothing of the attempt left this host, and nothing will.
+  // No byte of the attempt has left this host or will leave it.
   virtual void OnWithdrawn(AttemptId attempt, Instant now) = 0;
 
-  // More of a team's total may be there.
+  // A team may have more tokens available.
   virtual void OnBudgetChanged(Instant now) = 0;
   virtual void OnTimer(Instant now) = 0;
   virtual Instant NextTimer() const = 0;
 
   virtual std::vector<Action> TakeActions() = 0;
-  // Requests that have ended, for the metrics.
+  // Requests that ended since the last call, for the metrics.
   virtual std::vector<serving::RequestSummary> TakeFinished() = 0;
   virtual std::vector<Suspicion> TakeSuspicions() = 0;
   virtual size_t OpenRequests() const = 0;
@@ -179,7 +184,7 @@
   HeldGrants* budgets = nullptr;
   RetryShare* retries = nullptr;
   const quarantine::Blocklist* blocklist = nullptr;
-  SendPacer* pacer = nullptr;  // none: the link holds nothing back
+  SendPacer* pacer = nullptr;  // null: sending is not paced
 };
 
 std::unique_ptr<Core> MakeCore(const CoreOptions& options,
--- a/include/dotterelshift/gateway/dialect.h
+++ b/include/dotterelshift/gateway/dialect.h
@@ -12,27 +12,27 @@
 
 namespace dotterelshift::gateway {
 
-// How the callers and endpoints of a site write down what the gateway needs:
-// which headers, and the form of the published routes. An adapter implements
-// it; nothing else knows those names.
+// Translates between a site's protocol and the gateway: header names and the
+// format of the published routes. Implemented by an adapter, which alone knows
+// these names.
 class Dialect {
  public:
   virtual ~Dialect() = default;
 
-  // What a caller's request says of itself.
+  // Extracts what a caller's request states: its id, key, timeout and size.
   virtual RequestInfo ReadRequestInfo(const http::Request& request) const = 0;
-  // The headers that go on to an endpoint; those of one connection are left out
-  // by the gateway.
+  // The headers to pass on to an endpoint. The gateway removes hop-by-hop
+  // headers itself.
   virtual http::Headers OnwardHeaders(const http::Request& request,
                                       const StartAttempt& start) const = 0;
   virtual AnswerMarks ReadMarks(int status,
                                 const http::Headers& headers) const = 0;
 
-  // The routes in a published document; none, with the reason in `why`, when it
-  // is not valid.
+  // Parses the routes in a published document. Returns nullopt and sets `why`
+  // to the reason if the document is not valid.
   virtual std::optional<Routes> ReadRoutes(std::string_view document,
                                            std::string* why) const = 0;
-  // The path at which the site's balancer asks whether an entry is ready.
+  // The path that the site's load balancer polls for readiness.
   virtual std::string_view ReadyPath() const = 0;
 };
 
--- a/include/dotterelshift/gateway/drain.h
+++ b/include/dotterelshift/gateway/drain.h
@@ -5,18 +5,18 @@
 
 namespace dotterelshift::gateway {
 
-// When an entry that was told to stop does what. Callers that were idle then
-// still hold connections to it, and each may bring one more request until the
-// very end.
+// Schedule of an entry's shutdown. Callers that are idle when it begins still
+// hold connections to the entry, and each may send one more request until the
+// process exits.
 struct DrainTimes {
-  Instant begun{};        // the signal
-  Instant notice_end{};   // until then the balancer may not know of the stop
-  Instant last_answer{};  // what is open then is ended, with an error
-  Instant exit{};  // the process ends, though its last reports may be under way
+  Instant begun{};        // when the signal came
+  Instant notice_end{};   // until then the balancer may still send requests
+  Instant last_answer{};  // open requests are ended with an error
+  Instant exit{};  // the process exits, even if its last reports are in flight
 };
 
-// The times of a stop that begins now and must be over within `limit`; the
-// balancer learns of it within `notice`.
+// Returns the schedule of a shutdown that begins now and must end within
+// `limit`. The balancer is notified of it within `notice`.
 DrainTimes PlanDrain(Instant now, Duration notice, Duration limit);
 
 }  // namespace dotterelshift::gateway
--- a/include/dotterelshift/gateway/event_scanner.h
+++ b/include/dotterelshift/gateway/event_scanner.h
@@ -8,28 +8,28 @@
 
 namespace dotterelshift::gateway {
 
-// Cuts an event stream into whole events, so that what is passed on always ends
-// between two events and the stream can go on at another endpoint from there.
+// Splits an event stream into events. The bytes passed on always end at an
+// event boundary, from where the stream can resume at another endpoint.
 class EventScanner {
  public:
-  // Takes bytes of the answer and returns those that are to be passed on now:
-  // whole events only.
+  // Adds bytes of the response. Returns the complete events to pass on now.
   std::string Take(std::string_view bytes);
 
-  // The stream goes on from another endpoint: the event that was not whole is
-  // dropped, and what was passed on before is left out when it comes again.
+  // The stream resumes at another endpoint: drops the partial event. Events
+  // that were passed on before are skipped when they come again.
   void Reset() { m_rest.clear(); }
 
-  // The bytes of an event that is not whole yet.
+  // The bytes of the last, still incomplete event.
   const std::string& Rest() const { return m_rest; }
-  // The id of the last event passed on; none: no event had one.
+  // The id of the last event passed on; nullopt if no event had one.
   std::optional<uint64_t> LastId() const { return m_last_id; }
   uint64_t Events() const { return m_events; }
-  // An id that does not follow the one before: events are missing.
+  // Whether an id did not follow the one before, so that events are missing.
   bool HasGap() const { return m_gap; }
 
  private:
-  // True when the event is to be passed on.
+  // Records the event. Returns whether it is to be passed on, that is, whether
+  // it is not a duplicate.
   bool Note(std::string_view event);
 
   std::string m_rest;
--- a/include/dotterelshift/gateway/request.h
+++ b/include/dotterelshift/gateway/request.h
@@ -12,47 +12,48 @@
 
 namespace dotterelshift::gateway {
 
-// A part of a prompt that other requests may share; an engine that still holds
-// it, and all parts before it, does not read it again.
+// A segment of a prompt that other requests may share. An engine that still has
+// it and all segments before it cached does not prefill it again.
 struct PromptPart {
   uint64_t hash = 0;
   Tokens tokens = 0;
 };
 
-// What a request to a model engine says of its size.
+// The size of a request to a model engine.
 struct Prompt {
   Tokens prompt_tokens = 0;
   Tokens output_limit = 0;
-  std::vector<PromptPart> parts;  // in order; the last is the request's own
+  std::vector<PromptPart> parts;  // in order; the last one is not shared
 };
 
-// What the gateway reads of a caller's request; the rest is passed on as it is.
+// What the gateway reads from a caller's request; the rest is passed on
+// unchanged.
 struct RequestInfo {
   std::string
       caller_id;  // the caller's id of this request, echoed by endpoints
   std::string host;
   std::string path;
   std::string key;
-  std::optional<Duration> patience;  // how long the caller will wait
-  // Since when, as far as is known here: when its head had come in. The epoch:
-  // since it is handed over.
+  std::optional<Duration> patience;  // how long the caller waits
+  // When the request's head was received. The epoch: unknown; the time at which
+  // the request is handed to the core counts instead.
   Instant begun{};
-  bool kept_connection = false;  // it came on one that was used before
+  bool kept_connection = false;  // came on a connection that was used before
   std::string last_event_id;     // of a stream that the caller resumes
   Prompt prompt;
   uint64_t content_hash = 0;  // of path, key and body
   size_t body_bytes = 0;
-  size_t onward_bytes = 0;  // of all that is passed on, its head with it
+  size_t onward_bytes = 0;  // of all that is passed on, including the head
 };
 
-// What the head of an endpoint's answer says, besides what is passed on.
+// What the gateway reads from the head of an endpoint's response.
 struct AnswerMarks {
-  std::string echoed_id;  // of the request that it answers
-  bool genuine = false;   // bears the endpoint's proof that the body is its own
-  bool not_run = false;   // the endpoint says that it did not run the request
-  bool other_endpoint = false;  // another endpoint has the address now
+  std::string echoed_id;  // id of the request that it responds to
+  bool genuine = false;   // carries the endpoint's proof of origin of the body
+  bool not_run = false;   // the endpoint states that it did not run the request
+  bool other_endpoint = false;  // the address belongs to another endpoint now
   bool event_stream = false;
-  bool encoded = false;  // in a way that nobody asked for
+  bool encoded = false;  // has a content encoding that was not requested
 };
 
 }  // namespace dotterelshift::gateway
--- a/include/dotterelshift/gateway/routes.h
+++ b/include/dotterelshift/gateway/routes.h
@@ -13,20 +13,20 @@
 #include "dotterelshift/base/time.h"    // for Duration
 #include "dotterelshift/base/tokens.h"  // for Tokens
 
-// Published routes: requests go by host and path to a service, whose endpoints
-// announce themselves.
+// Published routes map the host and path of a request to a service, whose
+// endpoints announce themselves.
 namespace dotterelshift::gateway {
 
 using ServiceName = std::string;
 
-// What may be repeated of a route's requests.
+// Which requests of a route may be retried.
 enum class RouteKind : uint8_t {
   kIdempotent,  // may run more than once
-  kOnce,        // runs at most once for each request
-  kStream,      // answered by a stream of events; runs once unless resumable
+  kOnce,        // a request runs at most once
+  kStream,      // the response is an event stream; runs once unless resumable
 };
 
-// One of the services among which a route's requests are split by weight.
+// One of the services over which a route's requests are distributed by weight.
 struct ServiceShare {
   ServiceName service;
   uint32_t weight = 1;
@@ -35,38 +35,38 @@
 struct Route {
   std::string name;
   std::string host;
-  std::string path_prefix;  // begins and ends with a slash
+  std::string path_prefix;  // starts and ends with a slash
   RouteKind kind = RouteKind::kIdempotent;
   std::vector<ServiceShare> services;
-  Duration timeout = 0s;     // the longest time to a final answer
-  Duration target = 0s;      // to the answer, or to a stream's first event
+  Duration timeout = 0s;     // maximum time to the complete response
+  Duration target = 0s;      // to the response, or to a stream's first event
   int priority = 0;          // 0 is the most urgent
   int attempts = 1;          // endpoints that one request may run on
-  bool open_to_all = false;  // takes requests without a key
-  bool resumable = false;    // a broken stream may go on at another endpoint
+  bool open_to_all = false;  // accepts requests without a key
+  bool resumable = false;    // a broken stream may resume at another endpoint
 };
 
-// How much a model engine of a service carries.
+// Capacity of a model engine of a service.
 struct EngineSize {
   uint32_t slots = 1;
   Tokens cache_tokens = 0;
-  uint32_t tokens_per_event = 1;  // of a stream, at the most
+  uint32_t tokens_per_event = 1;  // maximum in one event of a stream
 };
 
 struct Service {
   ServiceName name;
-  uint32_t max_connections = 0;      // to one endpoint, by all callers
-  std::optional<EngineSize> engine;  // none: a plain service
+  uint32_t max_connections = 0;      // to one endpoint, for all callers
+  std::optional<EngineSize> engine;  // nullopt: a plain service
 };
 
 struct TeamAccess {
   TeamId team;
   std::vector<std::string> keys;
-  std::optional<int> priority;  // goes before the route's
-  std::optional<Tokens> total;  // what the team may consume in all
+  std::optional<int> priority;  // overrides the route's
+  std::optional<Tokens> total;  // the team's total budget
 };
 
-// What a caller may send, and how long it may take.
+// Limits on the size and duration of callers' requests.
 struct CallerLimits {
   size_t max_head_bytes = 16 << 10;
   size_t max_body_bytes = 4 << 20;
@@ -82,24 +82,24 @@
   CallerLimits limits;
 };
 
-// Published routes with their look-ups.
+// Published routes, indexed for look-up.
 class RouteTable {
  public:
   explicit RouteTable(Routes routes);
 
-  // The route of the host whose prefix is the longest that begins the path;
-  // null when there is none.
+  // The host's route with the longest prefix that matches the path; null if
+  // none matches.
   const Route* FindRoute(std::string_view host, std::string_view path) const;
-  // The team that holds a key; null when nobody does.
+  // The team that a key belongs to; null if the key is unknown.
   const TeamAccess* FindTeam(const std::string& key) const;
   const Service* FindService(const ServiceName& name) const;
-  // Whether requests need a key at all.
+  // Whether any team is published. If not, requests need no key.
   bool HasTeams() const { return !m_routes.teams.empty(); }
   const Routes& Get() const { return m_routes; }
 
  private:
   Routes m_routes;
-  // By host, the longest prefix first.
+  // By host, sorted by descending prefix length.
   std::unordered_map<std::string, std::vector<const Route*>> m_by_host;
   std::unordered_map<std::string, const TeamAccess*> m_by_key;
   std::unordered_map<ServiceName, const Service*> m_services;
--- a/include/dotterelshift/routing/outliers.h
+++ b/include/dotterelshift/routing/outliers.h
@@ -8,25 +8,26 @@
 namespace dotterelshift::routing {
 
 struct OutlierOptions {
-  double slow_factor = 3;      // times the median first token of its kin
-  double slow_margin_ms = 50;  // and slower by at least this
-  int enough_samples = 8;
-  int failures = 3;              // in a row
-  Duration first_ejection = 2s;  // doubled each time in a row
+  double slow_factor = 3;      // times the median first-token time of its peers
+  double slow_margin_ms = 50;  // and slower than it by at least this
+  int enough_samples = 8;      // before a first-token time is judged
+  int failures = 3;            // in a row
+  Duration first_ejection = 2s;  // doubled with each consecutive ejection
   Duration longest_ejection = 60s;
-  double most_ejected = 0.34;  // of the seats that serve the same target
+  double most_ejected = 0.34;  // of the endpoints that serve the same target
 };
 
-// An answer's first token came after this time.
+// Records the time to a response's first token.
 void NoteFirstToken(Seat* seat, double milliseconds);
 
-// An attempt ended. Failures in a row eject the seat.
+// Records the end of an attempt. Consecutive failures eject the endpoint.
 void NoteEnd(Seat* seat, bool failed, const OutlierOptions& options,
              Instant now);
 
-// Takes the slow ones among seats that serve the same target out for a time,
-// never so many that the others could not carry the work. An ejected seat comes
-// back without a record and has to show anew how fast it is.
+// Ejects for a time the slow ones among the endpoints that serve the same
+// target, never more of them than OutlierOptions::most_ejected, so that the
+// others can carry the load. After an ejection an endpoint starts without
+// measurements.
 void EjectSlow(const std::vector<Seat*>& kin, const OutlierOptions& options,
                Instant now);
 
--- a/include/dotterelshift/routing/policy.h
+++ b/include/dotterelshift/routing/policy.h
@@ -13,12 +13,12 @@
 
 namespace dotterelshift::routing {
 
-// A small, fast source of random numbers (xorshift64*); seeded, so that runs
-// repeat.
+// A small, fast random number generator (xorshift64*). Seeded, so that runs are
+// reproducible.
 class Random {
  public:
   explicit Random(uint64_t seed) : m_state(seed | 1) {}
-  // A number below `bound`.
+  // A random number in [0, bound).
   size_t Below(size_t bound) {
     m_state ^= m_state >> 12;
     m_state ^= m_state << 25;
@@ -31,21 +31,21 @@
   uint64_t m_state;
 };
 
-// The endpoints that one choice is made among, and what the choice is for.
+// Input of one selection: the candidate endpoints and the request to route.
 struct Slate {
   const std::vector<Seat*>* seats = nullptr;  // all that serve the target
   const RouteQuery* query = nullptr;
   const directory::Directory* directory = nullptr;
-  // The seats of `seats` that are thought to have this part of the prompt
-  // cached.
+  // The endpoints of `seats` that are believed to have `cached_part` of the
+  // prompt cached.
   std::array<Seat*, PrefixMatch::kMost> holders{};
   size_t holder_count = 0;
   double cached_part = 0;
   Duration far_penalty = 0s;
-  double first_token_ms = 0;  // the usual one, over all endpoints
+  double first_token_ms = 0;  // moving average over all endpoints
   Instant now{};
 
-  // Whether the seat may be chosen now.
+  // Whether the endpoint may be chosen now.
   bool Admits(const Seat& seat) const {
     if (!seat.usable || seat.IsEjected(now) || !seat.HasRoom()) return false;
     if (query->exclude == nullptr) return true;
@@ -53,25 +53,26 @@
     return std::find(exclude.begin(), exclude.end(), seat.id) == exclude.end();
   }
 
-  // A random seat that may be chosen; after a few misses the next one in order.
-  // Null when there is none.
+  // Returns a random endpoint that may be chosen. After a few rejected draws it
+  // takes the next admissible one in order. Null if there is none.
   Seat* Sample(Random* random) const;
 
-  // The part of the prompt that the seat is thought to have cached.
+  // The fraction of the prompt that the endpoint is believed to have cached.
   double CachedPart(const Seat& seat) const;
 
-  // The expected time to the first token at the seat, in milliseconds: waiting
-  // for a slot, working through the prompt beside the others there, the way.
+  // The expected time to the first token at the endpoint, in milliseconds: the
+  // wait for a slot, the prefill concurrent with the other requests there, and
+  // the network latency.
   double Estimate(Seat* seat) const;
 };
 
-// A policy picks one of the admitted seats; null when none is.
+// A policy picks one of the admitted endpoints; null if none is admitted.
 template <typename T>
 concept Policy = requires(T policy, const Slate& slate, Random* random) {
   { policy.Pick(slate, random) } -> std::same_as<Seat*>;
 };
 
-// Each in turn, whatever its load.
+// Picks each endpoint in turn, regardless of its load.
 class RoundRobin {
  public:
   Seat* Pick(const Slate& slate, Random* random);
@@ -80,13 +81,14 @@
   size_t m_next = 0;
 };
 
-// The one with the fewest of this entry's requests.
+// Picks the endpoint with the fewest of this entry's requests in flight.
 class LeastInFlight {
  public:
   Seat* Pick(const Slate& slate, Random* random);
 };
 
-// The best of a few random ones by the expected time to the first token.
+// Picks the endpoint with the shortest expected time to the first token among
+// kSamples random ones.
 template <int kSamples>
 class BestOf {
  public:
@@ -108,8 +110,10 @@
 using TwoChoices = BestOf<2>;
 using SixChoices = BestOf<6>;
 
-// One that has the prompt's prefix cached, as long as its load is bounded by
-// that of others; else the best of a few.
+// Picks the endpoint with the shortest expected time to the first token among
+// the fallback's choice and the endpoints that have the prompt's prefix cached.
+// Of the latter, only those whose load is within a bound derived from the load
+// of the fallback's choice.
 class PrefixAffinity {
  public:
   Seat* Pick(const Slate& slate, Random* random);
@@ -118,8 +122,8 @@
   SixChoices m_fallback;
 };
 
-// The inner policy among the endpoints of the own data centre while one of them
-// has a free slot, else among all.
+// Applies the inner policy to the endpoints of the entry's own data centre that
+// have a free slot; to all endpoints if there is none.
 template <Policy Inner>
 class LocalFirst {
  public:
--- a/include/dotterelshift/routing/prefix_index.h
+++ b/include/dotterelshift/routing/prefix_index.h
@@ -9,40 +9,42 @@
 
 namespace dotterelshift::routing {
 
-// A seat that is thought to have a prompt's leading blocks cached.
+// An endpoint that is believed to have a prompt's leading blocks cached.
 struct PrefixHolder {
-  uint32_t seat = 0;
-  uint32_t epoch = 0;  // of the seat's cache when this was learned
+  uint32_t seat = 0;   // the endpoint's number
+  uint32_t epoch = 0;  // of the endpoint's cache when this was recorded
 };
 
-// What was found for a prompt.
+// Result of a look-up of a prompt.
 struct PrefixMatch {
   static constexpr size_t kMost = 4;
-  size_t blocks = 0;  // leading blocks that are cached; 0: nothing known
+  size_t blocks = 0;  // leading blocks that are cached; 0: none known
   std::array<PrefixHolder, kMost> holders{};
   size_t count = 0;
 };
 
-// Which seats hold which prompt prefixes: from the engines' cache events, which
-// come late and with gaps, and from what this entry sent where. A hint, never a
-// fact. A gap in a seat's events raises its epoch, and everything learned
-// before is not believed any more. Bounded: two generations of entries, of
-// which the older is dropped when the younger is full.
+// Maps prompt prefixes to the endpoints that have them cached. Its sources are
+// the engines' cache events, which arrive late and with gaps, and the prompts
+// that this entry sent. The result is a hint and may be wrong. A gap in an
+// endpoint's events increments its epoch, which invalidates all that was
+// recorded before. Memory is bounded by two generations of entries: when the
+// young one is full, the old one is dropped.
 class PrefixIndex {
  public:
   explicit PrefixIndex(size_t max_entries = 1 << 17)
       : m_max_entries(max_entries) {}
 
-  // An event of a seat's engine, in the order of arrival.
+  // Handles a cache event of an endpoint's engine, in the order of arrival.
   void OnEvent(uint32_t seat, uint64_t incarnation, uint64_t sequence,
                uint64_t prefix_hash, bool stored);
-  // This entry sends a prompt to the seat, whose engine will then cache it.
+  // This entry sends a prompt to the endpoint, whose engine will then cache it.
   void OnSent(uint32_t seat, const std::vector<uint64_t>& prefix_hashes);
-  // The seat's engine has lost its cache, or what it said is not to be trusted.
+  // Invalidates all that was recorded for the endpoint: its engine has lost its
+  // cache, or its events are unreliable.
   void Distrust(uint32_t seat);
   void Forget(uint32_t seat) { m_seats.erase(seat); }
 
-  // The holders of the longest known prefix.
+  // Returns the endpoints with the longest known prefix.
   PrefixMatch Find(const std::vector<uint64_t>& prefix_hashes) const;
 
   size_t size() const { return m_young.size() + m_old.size(); }
@@ -56,7 +58,7 @@
   struct Holders {
     std::array<PrefixHolder, PrefixMatch::kMost> list{};
     uint8_t count = 0;
-    uint8_t next = 0;  // the one to be replaced when the list is full
+    uint8_t next = 0;  // index to overwrite when the list is full
   };
   using Entries = std::unordered_map<uint64_t, Holders>;
 
--- a/include/dotterelshift/routing/router.h
+++ b/include/dotterelshift/routing/router.h
@@ -16,7 +16,7 @@
 
 namespace dotterelshift::routing {
 
-// What a choice is made for.
+// The request to choose an endpoint for.
 struct RouteQuery {
   TeamId team;
   std::string target;  // model (with adapter as "model:adapter") or service
@@ -25,12 +25,12 @@
   Tokens output_tokens = 0;
   const std::vector<uint64_t>* prefix_hashes = nullptr;
   const std::vector<EndpointId>* exclude =
-      nullptr;  // tried before by this request
+      nullptr;  // endpoints that this request tried before
 };
 
 enum class RouteOutcome {
   kChosen,
-  kBusy,  // endpoints are there, all at their limit
+  kBusy,  // all usable endpoints are at their limits
   kNone,  // no usable endpoint
 };
 
@@ -40,11 +40,11 @@
   uint64_t incarnation = 0;
   std::string address;
   Duration expected_wait =
-      0s;  // for kBusy: how long until one is likely to be free
+      0s;  // for kBusy: estimated time until an endpoint is free
 };
 
-// The policies that can choose (policy.h). The default was chosen by the
-// figures of bench/routing_bench.cc; docs/decisions/routing.md says why.
+// The selection policies (policy.h). docs/decisions/routing.md explains the
+// default by the results of bench/routing_bench.cc.
 enum class PolicyKind {
   kRoundRobin,
   kLeastInFlight,
@@ -60,12 +60,13 @@
   bool eject_outliers = true;
   DataCentreId data_centre;  // of this entry
   uint64_t seed = 1;
-  Duration far_penalty = 3ms;  // what another data centre costs
+  Duration far_penalty = 3ms;  // extra latency of another data centre
 };
 
-// Chooses endpoints and keeps what this entry knows of each: its own work in
-// flight, learned limits, lagged load reports, cached prefixes, and how slow it
-// is beside its kin. Policies are classes behind a concept (policy.h).
+// Chooses endpoints and tracks the state of each: this entry's requests in
+// flight there, the adaptive concurrency limit, lagged load reports, cached
+// prefixes, and its latency compared with its peers. Policies are classes
+// behind a concept (policy.h).
 class Router {
  public:
   virtual ~Router() = default;
@@ -81,8 +82,8 @@
                        Instant now) = 0;
   virtual void OnCacheEvents(const std::vector<wire::CacheEventT>& events,
                              Instant now) = 0;
-  // Called when the directory's generation or the configuration's version has
-  // changed.
+  // To be called when the directory's generation or the configuration's version
+  // has changed. Both must stay valid until the next call.
   virtual void Refresh(const directory::Directory& directory,
                        const state::Configuration& configuration,
                        Instant now) = 0;
--- a/include/dotterelshift/routing/seat.h
+++ b/include/dotterelshift/routing/seat.h
@@ -11,14 +11,16 @@
 
 namespace dotterelshift::routing {
 
-// How long a request stays at an endpoint, from the time that requests were in
-// flight there and the number that ended.
+// Estimates how long a request stays at an endpoint: the time that requests
+// were in flight there divided by the number that ended.
 class HoldMeter {
  public:
-  // The count of requests in flight is about to change.
+  // To be called before the count of requests in flight changes from
+  // `in_flight`.
   void OnChange(int in_flight, Instant now);
   void OnEnded();
-  // Seconds one request holds its place; a guess before the first has ended.
+  // Mean time in seconds that a request occupies a slot; a default before the
+  // first request has ended.
   double Seconds() const;
 
  private:
@@ -28,37 +30,38 @@
 };
 
 // What an entry knows of one endpoint: its announcement, its lagged load
-// report, and the entry's own evidence.
+// report, and the entry's own measurements.
 struct Seat {
   EndpointId id;
-  uint32_t number = 0;  // never used again within one router
+  uint32_t number = 0;  // unique within one router, never reused
   uint64_t incarnation = 0;
   std::string address;
   bool usable = false;
   bool local = false;  // in the entry's own data centre
-  double slots = 1;    // requests it works on at a time
+  double slots = 1;    // requests that it processes concurrently
 
-  int in_flight = 0;  // this entry's own
+  int in_flight = 0;  // requests of this entry
   HoldMeter hold;
   admission::ConcurrencyLimit limit;
 
-  // The work of others, by the last report, when it was seen first.
+  // Requests of other entries, by the last report at the time of its receipt.
   double others = 0;
   Instant reported{};
 
   double first_token_ms = 0;  // moving average of the entry's own requests
   int samples = 0;
-  int failures = 0;  // in a row
+  int failures = 0;  // consecutive
   Instant ejected_until{};
-  int ejections = 0;  // in a row; each one is longer
+  int ejections = 0;  // consecutive; each one lasts longer
 
-  // Takes over a load report that is newer than the last one seen.
+  // Applies the endpoint's load report if it is newer than the last one.
   void TakeReport(const directory::Endpoint& endpoint);
-  // The work of others now: the older the report, the less it counts.
+  // Estimated requests of other entries now: the report's weight decays with
+  // its age.
   double OthersNow(Instant now) const;
-  // All requests at the endpoint, as far as is known.
+  // Estimated number of all requests at the endpoint.
   double Load(Instant now) const;
-  // May take one more of this entry's requests.
+  // Whether it may be given one more of this entry's requests.
   bool HasRoom() const { return in_flight < limit.Current(); }
   bool IsEjected(Instant now) const { return now < ejected_until; }
 };
--- a/include/dotterelshift/routing/target.h
+++ b/include/dotterelshift/routing/target.h
@@ -10,17 +10,17 @@
 namespace dotterelshift::routing {
 
 // A target is a model, a model with an adapter as "model:adapter", or a plain
-// service. Model names may hold colons themselves, so the whole name is tried
-// first.
+// service. As model names may contain colons themselves, the whole name is
+// matched first.
 
-// "model" of "model:adapter"; the whole name when it holds no colon.
+// Returns "model" of "model:adapter"; the whole name if it has no colon.
 std::string_view BaseModel(std::string_view target);
 
-// Whether the endpoint has the model (and the adapter) or the service.
+// Whether the endpoint serves the model (and the adapter) or the service.
 bool Serves(const wire::EndpointRecordT& record, const std::string& target,
             bool service);
 
-// What the configuration says of a team and a target.
+// Whether the configuration knows the target and lets the team use it.
 state::Reach ReachOf(const state::Configuration& configuration,
                      const TeamId& team, const std::string& target,
                      bool service);
