--- a/src/dotterelshift/gateway/active_request.h
+++ b/src/dotterelshift/gateway/active_request.h
@@ -10,34 +10,34 @@
 
 namespace dotterelshift::gateway {
 
-// Endpoints that a request is sent to at the most, refusals, failed connections
-// and what was withdrawn included.
+// Maximum number of times that one request is sent to an endpoint, including
+// attempts that were refused, withdrawn or failed to connect.
 inline constexpr uint32_t kMostSends = 4;
 
 enum class Stage : uint8_t {
   kWaitsForBudget,
-  kWaitsForPlace,  // all endpoints are full just now
-  kWaitsForLink,   // there is an endpoint, but no room on the way out
-  kBooked,         // has its endpoint, and is sent when its reading time comes
-                   // and the way out has room
-  kRunning,        // sent; no head of an answer yet
+  kWaitsForPlace,  // all endpoints are full
+  kWaitsForLink,   // an endpoint is free, but the outbound link is saturated
+  kBooked,         // has a slot reserved; is sent at its prefill start, once
+                   // the outbound link has capacity
+  kRunning,        // sent; the response has not begun to be relayed
   kAnswering,
 };
 
-// One try at one endpoint.
+// One attempt to run a request at one endpoint.
 struct Attempt {
   AttemptId id = 0;
   Placement placement;
   EndpointContact endpoint;
   Instant sent{};
-  Instant heard{};  // when anything came last
+  Instant heard{};  // when bytes were last received
   bool head_seen = false;
   int status = 0;
   AnswerMarks marks;
   uint64_t events = 0;  // passed on to the caller
 };
 
-// The place of a request among those that wait for the way out.
+// Sort key of the requests that are queued for the outbound link.
 struct LinkRank {
   int priority = 0;
   Instant target{};
@@ -45,28 +45,29 @@
   auto operator<=>(const LinkRank&) const = default;
 };
 
-// One request from its arrival to its end.
+// State of one request from its arrival to its end.
 struct ActiveRequest {
   RequestId id = 0;
   RequestInfo info;
-  std::shared_ptr<const RouteTable> routes;  // under which it came in
+  std::shared_ptr<const RouteTable> routes;  // in force at its arrival
   const Route* route = nullptr;
   ServiceName service;
   TeamId team;
   int priority = 0;
   Instant arrived{};
-  Instant deadline{};    // the caller's or the route's, the earlier one
-  Instant target{};      // for the first event, or for the answer
-  Instant wait_until{};  // for tokens, or for a place
-  Instant link_since{};  // it waits for the way out; the epoch: it does not
-  Instant link_until{};  // for the way out, of this attempt
-  Duration link_waited = 0s;  // of this attempt
-  Instant due{};              // when its timer runs out
+  Instant deadline{};    // the earlier one of the caller's and the route's
+  Instant target{};      // for a stream's first event, or for the response
+  Instant wait_until{};  // end of the wait for tokens or for an endpoint
+  Instant
+      link_since{};  // queued for the link since then; the epoch: not queued
+  Instant link_until{};  // end of this attempt's wait for the outbound link
+  Duration link_waited = 0s;  // wait for the link so far, of this attempt
+  Instant due{};              // when its timer expires
   Stage stage = Stage::kWaitsForBudget;
   Tokens reserved = 0;
   bool has_reservation = false;
-  bool may_have_run = false;  // some endpoint may have run it
-  bool prompt_read = false;   // some endpoint has read its prompt
+  bool may_have_run = false;  // an endpoint may have run it
+  bool prompt_read = false;   // an endpoint has prefilled its prompt
   uint32_t sends = 0;
   uint32_t runs = 0;  // attempts that may have run
   Instant send_at{};
--- a/src/dotterelshift/gateway/core.cc
+++ b/src/dotterelshift/gateway/core.cc
@@ -35,7 +35,8 @@
   ActiveRequest& active = m_active[request];
   active.id = request;
   active.info = std::move(info);
-  // A long body takes its time on a full link, and the caller's patience runs.
+  // The caller's timeout counts from the head: a long body can take seconds to
+  // arrive over a saturated link.
   const bool known = active.info.begun != Instant{} && active.info.begun <= now;
   active.arrived = known ? active.info.begun : now;
   active.routes = m_routes;
@@ -48,8 +49,8 @@
   Admit(active, now);
 }
 
-// A daemon that does not know the routes yet refuses for a while, never with
-// "there is nothing here".
+// Before the first routes are received requests are refused as not ready, not
+// as unknown paths.
 ErrorKind CoreImpl::FindRoute(ActiveRequest& active) const {
   if (m_stopped) return ErrorKind::kDraining;
   if (active.routes == nullptr) return ErrorKind::kNotReady;
@@ -79,9 +80,9 @@
   ReserveBudget(active, now);
 }
 
-// Once the balancer knows of the stop, only what its own deadline ends in time
-// is taken: the process's end would cut an answer midway, where the caller can
-// have all of it from another entry now.
+// After the notice period only requests are accepted whose own deadline is
+// before the end of the shutdown: the process's exit would truncate the
+// response of any other, which another entry can deliver completely.
 bool CoreImpl::OutlastsTheStop(const ActiveRequest& active, Instant now) const {
   return m_drain && now > m_drain->notice_end &&
          active.deadline > m_drain->last_answer;
@@ -179,7 +180,8 @@
   Finish(found->second, ErrorKind::kCallerGone, false, now);
 }
 
-// A caller whose connection just ends does not learn whether its request ran.
+// Open requests get an error response, as a caller whose connection is just
+// closed can't tell whether its request ran.
 void CoreImpl::CutOpen(Instant now) {
   m_stopped = true;
   std::vector<RequestId> open;
@@ -209,7 +211,7 @@
     found->second.due = {};
     OnDue(found->second, now);
   }
-  // After those whose time is over.
+  // After the expired requests, so that none of them is sent.
   SendWaiting(now);
 }
 
@@ -237,7 +239,7 @@
   }
   if (DueWhileRunning(active) > now)
     return SetDue(active, DueWhileRunning(active));
-  // Silent for longer than it should, and it may run elsewhere.
+  // The response's idle timeout has expired, and the request may be retried.
   CancelAttemptOf(active);
   OnBrokenAttempt(active, http::TransferEnd::kTimedOut, now);
 }
--- a/src/dotterelshift/gateway/core_answer.cc
+++ b/src/dotterelshift/gateway/core_answer.cc
@@ -56,7 +56,8 @@
   return found == m_active.end() ? nullptr : &found->second;
 }
 
-// Until the deadline, or until the silence is too long for what may run again.
+// The deadline; for a request that may be retried, the end of the idle timeout
+// if that is earlier.
 Instant CoreImpl::DueWhileRunning(const ActiveRequest& active) const {
   if (!MayRunAgain(active)) return active.deadline;
   return std::min(active.deadline,
@@ -80,7 +81,7 @@
   attempt.head_seen = true;
   const bool foreign = marks.echoed_id != active->info.caller_id;
   if (foreign && !marks.other_endpoint && !marks.not_run) {
-    // An answer to another request, or bytes that are none of the endpoint's.
+    // A response to another request, or bytes that are not from the endpoint.
     CancelAttemptOf(*active);
     return OnBrokenAttempt(*active, http::TransferEnd::kCut, now);
   }
@@ -179,8 +180,8 @@
   Fail(active, ErrorKind::kEndpointRefused, RetryAfter(active, 0s, now), now);
 }
 
-// The attempt ended without a whole answer. Only what did not reach the
-// endpoint is known not to have run.
+// Handles an attempt that ended without a complete response. Unless it did not
+// reach the endpoint, the request may have run.
 void CoreImpl::OnBrokenAttempt(ActiveRequest& active, http::TransferEnd end,
                                Instant now) {
   const EndpointKey endpoint = active.attempt.placement.endpoint;
@@ -213,8 +214,8 @@
   Fail(active, ErrorKind::kNoEndpoint, RetryAfter(active, 0s, now), now);
 }
 
-// A content that crashes each endpoint that runs it comes back at any entry, so
-// control counts the endpoints.
+// A content that crashes each endpoint that runs it may be sent again through
+// any entry. Control therefore counts the affected endpoints for all entries.
 void CoreImpl::Suspect(const ActiveRequest& active) {
   constexpr size_t kMostSuspected = 4096;
   if (m_suspected.size() >= kMostSuspected) m_suspected.clear();
@@ -232,12 +233,12 @@
   m_suspicions.emplace_back().content_hash = active.info.content_hash;
 }
 
-// Sends to another endpoint where the fleet's allowance for repeats still has
-// room; what reached nobody is no repeat.
+// Retries at another endpoint if the fleet's retry budget allows it. A request
+// that has not reached any endpoint yet uses none of that budget.
 bool CoreImpl::TryAgain(ActiveRequest& active, Instant now) {
   active.tried.push_back(active.attempt.placement.endpoint);
   const bool arrived = active.attempt.head_seen || active.runs > 0;
-  // What the way out would refuse uses none of the allowance.
+  // A retry that the outbound link would refuse must not use the retry budget.
   const bool in_time = active.sends < kMostSends && now < active.deadline &&
                        (!arrived || GoesOutInTime(active, now));
   const bool allowed =
@@ -270,7 +271,8 @@
   }
 }
 
-// The attempt is over for the endpoint and for this request.
+// Releases what the attempt holds: its slot at the endpoint and its place in
+// the link queue.
 void CoreImpl::EndAttempt(ActiveRequest& active) {
   if (active.attempt.id != 0) m_attempts.erase(active.attempt.id);
   const bool booked = active.stage == Stage::kBooked ||
@@ -295,8 +297,8 @@
   Finish(active, kind, false, now);
 }
 
-// Input counts once where it may have been read, output as far as the caller
-// was given it.
+// The prompt counts once if an endpoint may have run the request; of the output
+// only what was passed on to the caller counts.
 Tokens CoreImpl::SpentBy(const ActiveRequest& active) const {
   if (!active.may_have_run) return 0;
   const Service* service = active.routes->FindService(active.service);
--- a/src/dotterelshift/gateway/core_impl.h
+++ b/src/dotterelshift/gateway/core_impl.h
@@ -16,9 +16,9 @@
 
 namespace dotterelshift::gateway {
 
-// The core behind MakeCore(): arrival in core.cc, choice of the endpoint and
-// sending in core_place.cc, the wait for the way out in core_link.cc, answers
-// and repeats in core_answer.cc.
+// The implementation behind MakeCore(): arrival in core.cc, choice of the
+// endpoint and sending in core_place.cc, the queue for the outbound link in
+// core_link.cc, responses and retries in core_answer.cc.
 class CoreImpl final : public Core {
  public:
   CoreImpl(const CoreOptions& options, const CoreParts& parts)
@@ -53,7 +53,7 @@
   LinkQueue WaitingForLink() const override;
 
  private:
-  // Arrival (core.cc). Each gives the kind to refuse with, or kNone.
+  // Arrival (core.cc). An ErrorKind other than kNone is the reason for refusal.
   ErrorKind FindRoute(ActiveRequest& active) const;
   ErrorKind FindTeam(ActiveRequest& active) const;
   void Admit(ActiveRequest& active, Instant now);
@@ -64,7 +64,7 @@
   Duration BudgetWait(const ActiveRequest& active, Instant now) const;
   void FailForBudget(ActiveRequest& active, ErrorKind kind, Instant now);
 
-  // Place and send (core_place.cc).
+  // Choosing an endpoint and sending (core_place.cc).
   void Place(ActiveRequest& active, Instant now);
   void WaitForPlace(ActiveRequest& active, Instant now);
   bool ComesTooLate(const ActiveRequest& active, const Placement& placement,
@@ -76,16 +76,16 @@
   Duration SpreadReturn(const ActiveRequest& active, Duration least,
                         Instant now);
 
-  // The way out (core_link.cc).
+  // The outbound link (core_link.cc).
   bool MayGoOut(const ActiveRequest& active, Instant now) const;
   void WaitForLink(ActiveRequest& active, Instant now);
   void SendWaiting(Instant now);
   void RefuseLate(Instant now);
   void RefuseForLink(ActiveRequest& active, Instant now);
   Duration LinkWait(const ActiveRequest& active, Instant now) const;
-  // Until when an attempt that begins now may wait for the way out.
+  // Until when an attempt that begins now may wait for the outbound link.
   static Instant LinkUntil(const ActiveRequest& active, Instant now);
-  // Whether one more attempt would go out by then.
+  // Whether an attempt that begins now could be sent by LinkUntil().
   bool GoesOutInTime(const ActiveRequest& active, Instant now) const;
   uint64_t BytesBefore(const LinkRank& rank) const;
   void LeaveLinkQueue(ActiveRequest& active);
@@ -93,7 +93,7 @@
   void OnNotSent(AttemptId attempt, Instant now);
   Instant NextLinkTimer() const;
 
-  // Answers (core_answer.cc).
+  // Responses (core_answer.cc).
   ActiveRequest* OfAttempt(AttemptId attempt);
   void OnWholeAnswer(ActiveRequest& active, Instant now);
   void OnEndpointRefusal(ActiveRequest& active, Instant now);
@@ -135,13 +135,15 @@
   std::unordered_map<AttemptId, RequestId> m_attempts;
   AttemptId m_last_attempt = 0;
   std::set<std::pair<Instant, RequestId>> m_due;
-  std::map<LinkRank, uint64_t> m_waiting;  // for the way out, with their bytes
-  bool m_pushed_back = false;  // one came before others, which may be late now
+  std::map<LinkRank, uint64_t>
+      m_waiting;  // queued for the link, with their bytes
+  // A request was queued ahead of others, which may miss their link_until now.
+  bool m_pushed_back = false;
   uint64_t m_link_refused = 0;
   std::vector<Action> m_actions;
   std::vector<serving::RequestSummary> m_finished;
   std::vector<Suspicion> m_suspicions;
-  std::set<uint64_t> m_suspected;  // contents reported and not cleared since
+  std::set<uint64_t> m_suspected;  // contents reported and not yet cleared
 };
 
 }  // namespace dotterelshift::gateway
--- a/src/dotterelshift/gateway/core_link.cc
+++ b/src/dotterelshift/gateway/core_link.cc
@@ -6,18 +6,19 @@
 namespace dotterelshift::gateway {
 namespace {
 
-// A request may wait for the way out until this part of its target is over, so
-// that the rest is left for its work.
+// A request may wait for the outbound link until its target divided by this has
+// passed since its arrival. The rest of the target is left for running it.
 constexpr int kLinkWaitPart = 2;
 
-// A later attempt may wait for this part of its target all the same.
+// Any attempt, also a late one, may wait at least for the target divided by
+// this.
 constexpr int kLeastLinkWaitPart = 4;
 
 std::string Ms(Duration duration) { return std::to_string(ToMs(duration)); }
 
 }  // namespace
 
-// Nothing goes before what is more urgent and waits.
+// No request is sent ahead of a more urgent one in the queue.
 bool CoreImpl::MayGoOut(const ActiveRequest& active, Instant now) const {
   if (m_parts.pacer == nullptr) return true;
   const bool first =
@@ -37,7 +38,8 @@
          now + LinkWait(active, now) <= LinkUntil(active, now);
 }
 
-// What is booked keeps its endpoint, as its reading time there has come.
+// A request in stage kBooked keeps its slot while it waits, as its prefill
+// start has been reached.
 void CoreImpl::WaitForLink(ActiveRequest& active, Instant now) {
   if (active.link_until == Instant{})
     active.link_until = LinkUntil(active, now);
@@ -65,8 +67,8 @@
   RefuseLate(now);
 }
 
-// Those that more urgent ones, or more answers than before, keep from going out
-// in time.
+// Refuses queued requests that can no longer be sent in time, because more
+// urgent requests or more response traffic came ahead of them.
 void CoreImpl::RefuseLate(Instant now) {
   m_pushed_back = false;
   uint64_t before = 0;
@@ -81,7 +83,7 @@
   for (const RequestId id : late) RefuseForLink(m_active.at(id), now);
 }
 
-// Elsewhere there is room now, so that its caller should come back at once.
+// The retry delay is short, as the links of other entries have capacity now.
 void CoreImpl::RefuseForLink(ActiveRequest& active, Instant now) {
   const bool waited = active.link_since != Instant{};
   const Duration queued = waited ? now - active.link_since : 0s;
@@ -98,7 +100,7 @@
        SpreadReturn(active, m_options.link_retry_after, now), now);
 }
 
-// From now until it may go, behind what is more urgent.
+// Expected wait from now, behind the more urgent requests in the queue.
 Duration CoreImpl::LinkWait(const ActiveRequest& active, Instant now) const {
   return m_parts.pacer->WaitBehind(BytesBefore(active.Rank()),
                                    active.info.onward_bytes, now);
--- a/src/dotterelshift/gateway/core_place.cc
+++ b/src/dotterelshift/gateway/core_place.cc
@@ -5,19 +5,20 @@
 namespace dotterelshift::gateway {
 namespace {
 
-// How often a request that found all endpoints full looks again.
+// How often a request that found all endpoints full retries the choice.
 constexpr Duration kLookAgain = 10ms;
 
-// A request may wait this part of its target for a place: longer, and its
-// caller is better told at once to come back.
+// A request may wait for a free endpoint for its target divided by this. If
+// that is not enough, its caller is better told to retry.
 constexpr int kPlaceWaitPart = 8;
 
 std::string Ms(Duration duration) { return std::to_string(ToMs(duration)); }
 
 }  // namespace
 
-// Books the endpoint where the first event would come soonest. What would come
-// too late is refused at once, so that the caller can decide.
+// Reserves a slot at the endpoint with the earliest expected first event. A
+// request whose response would come too late is refused at once, so that the
+// caller can react.
 void CoreImpl::Place(ActiveRequest& active, Instant now) {
   const std::optional<Placement> placement = m_parts.load->Choose(
       active.service, active.info.prompt, active.tried, now);
@@ -111,8 +112,9 @@
   Log("sent", active, std::move(inputs));
 }
 
-// What is only booked at an endpoint that leaves is placed anew; whether an
-// attempt can be taken back, the connection knows.
+// A request that has not been sent to the leaving endpoint yet chooses another
+// one. For a sent attempt a withdrawal is requested, as only the connection
+// knows whether any byte of it has been handed over.
 void CoreImpl::LeaveEndpoint(ActiveRequest& active, Instant now) {
   if (active.stage == Stage::kRunning) {
     m_actions.emplace_back(WithdrawAttempt{active.attempt.id});
@@ -122,8 +124,8 @@
   Place(active, now);
 }
 
-// It has reached nobody, so that it is no repeat, but it counts among the
-// sends of its request.
+// The attempt has reached no endpoint, so that the next one uses no retry
+// budget, but it counts towards kMostSends.
 void CoreImpl::OnWithdrawn(AttemptId id, Instant now) {
   OnNotSent(id, now);
   ActiveRequest* active = OfAttempt(id);
@@ -139,8 +141,9 @@
   Fail(*active, kind, RetryAfter(*active, 0s, now), now);
 }
 
-// Spread over once to twice the wait, so that callers that were refused
-// together do not return together, and not later than the caller will bear.
+// Adds jitter, between one and two times the wait, so that callers that were
+// refused together do not return together. The result is at most a third of the
+// time until the caller's deadline.
 Duration CoreImpl::RetryAfter(const ActiveRequest& active, Duration wait,
                               Instant now) {
   return SpreadReturn(active, std::max(wait, m_options.least_retry_after), now);
--- a/src/dotterelshift/gateway/core_testing.h
+++ b/src/dotterelshift/gateway/core_testing.h
@@ -15,9 +15,9 @@
 
 namespace dotterelshift::gateway {
 
-// A core with two routes to a plain service and two to model engines, three and
-// two endpoints, one team, and a clock moved by hand. The actions of the last
-// event are kept, log lines apart.
+// A core with two routes to a plain service of three endpoints, two routes to a
+// service of two model engines, one team, and a manual clock. Keeps the actions
+// of the last event, with log lines in a list of their own.
 class CoreFixture : public CppUnit::TestFixture {
  public:
   void setUp() override {
@@ -111,7 +111,8 @@
     }
   }
 
-  // The one action of a kind among the last ones; fails when there is none.
+  // Returns the only action of a kind after the last event. Fails unless there
+  // is exactly one.
   template <typename Kind>
   Kind Only() {
     CPPUNIT_ASSERT_EQUAL(size_t{1}, Count<Kind>());
@@ -150,7 +151,7 @@
     Collect();
   }
 
-  // Control grants the team tokens and says what is left.
+  // Control grants the team `tokens` and reports `left` free ones.
   void AnswerAsk(Tokens tokens, Tokens left) {
     wire::GrantAnswerT grant;
     grant.budget = "team";
--- a/src/dotterelshift/gateway/drain.cc
+++ b/src/dotterelshift/gateway/drain.cc
@@ -5,17 +5,19 @@
 namespace dotterelshift::gateway {
 namespace {
 
-// For control to take the last reports, and callers their last answers. Not
-// measured: the longest wait that was borne for it so far.
+// Time for control to accept the last reports and for callers to receive their
+// last responses.
 constexpr Duration kLastReports = 500ms;
 
-// The limit is enforced from outside, from the signal's sending on: the signal
-// is taken and the exit made up to a tick of 50 ms later each; the rest is for
-// a host whose turns take longer. With no margin a process was killed at its
-// end in each of five days of 86 entries.
+// The limit is enforced from outside, counted from the sending of the signal.
+// The signal is handled and the exit performed up to one tick of 50 ms late
+// each; the rest is for hosts on which the event loop's turns take longer.
+// Without a margin processes were killed at the end of their shutdown, in each
+// of five runs with 86 entries.
 constexpr Duration kMargin = 250ms;
 
-// Of a limit too short for both, the parts that they take.
+// If the limit is too short for both times, they are capped at the limit
+// divided by these.
 constexpr int kReportsPart = 4;
 constexpr int kMarginPart = 8;
 
--- a/src/dotterelshift/gateway/event_scanner.cc
+++ b/src/dotterelshift/gateway/event_scanner.cc
@@ -9,7 +9,7 @@
 
 constexpr std::string_view kIdField = "id:";
 
-// The id that an event carries as a whole number.
+// The id of an event if it is an integer; nullopt otherwise.
 std::optional<uint64_t> IdOf(std::string_view event) {
   while (!event.empty()) {
     const size_t end = event.find('\n');
--- a/src/dotterelshift/gateway/routes.cc
+++ b/src/dotterelshift/gateway/routes.cc
@@ -7,7 +7,7 @@
 namespace dotterelshift::gateway {
 namespace {
 
-// A host as it is compared: lower case, without a port.
+// Normalizes a host name for comparison: lower case, without a port.
 std::string PlainHost(std::string_view host) {
   std::string plain(host.substr(0, host.find(':')));
   for (char& c : plain)
--- a/src/dotterelshift/routing/outliers.cc
+++ b/src/dotterelshift/routing/outliers.cc
@@ -8,7 +8,8 @@
 // Weight of a new measurement in the moving average.
 constexpr double kNewWeight = 0.2;
 
-// Good answers in a row after which earlier ejections are forgotten.
+// Measured responses since the last ejection after which the count of
+// consecutive ejections is reset.
 constexpr int kForgiven = 64;
 
 void Eject(Seat* seat, const OutlierOptions& options, Instant now) {
@@ -21,7 +22,7 @@
   seat->first_token_ms = 0;
 }
 
-// Whether one more of the seats may be ejected.
+// Whether one more of the endpoints may be ejected.
 bool MayEject(const std::vector<Seat*>& kin, const OutlierOptions& options,
               Instant now) {
   const auto out = std::count_if(kin.begin(), kin.end(), [now](Seat* seat) {
--- a/src/dotterelshift/routing/policy.cc
+++ b/src/dotterelshift/routing/policy.cc
@@ -5,32 +5,33 @@
 namespace dotterelshift::routing {
 namespace {
 
-// Random tries before the seats are gone through in order.
+// Random draws before the endpoints are tried in order.
 constexpr int kTries = 8;
 
-// Working through the prompt is this part of the usual first-token time; the
-// rest does not depend on what is cached.
+// Fraction of the average first-token time that is prefill. The rest does not
+// depend on the cache.
 constexpr double kPromptPart = 0.7;
 
-// A seat that has the prefix may have this much more work than others.
+// An endpoint that has the prefix cached may have up to this factor, plus the
+// slack, of the load of the alternative.
 constexpr double kBoundFactor = 1.25;
 constexpr double kBoundSlack = 2;
 
-// First-token time assumed before anything was measured.
+// First-token time assumed before the first measurement.
 constexpr double kFirstTokenGuessMs = 100;
 
-// How much the entry's own work counts beside the reported work of others. The
-// other entries are sent about as much, and what they have sent since the last
-// report does not show in it: counted once, all entries ran after the same
-// reports together. See docs/decisions/routing.md.
+// Weight of the entry's own requests relative to the reported requests of other
+// entries. The other entries send about as many, and what they sent since the
+// last report is missing in it. With a weight of one all entries follow the
+// same reports and herd to the same endpoints. See docs/decisions/routing.md.
 constexpr double kOwnWeight = 6;
 
-// A seat that is slower than usual by less than this is taken as usual: its
-// average holds the waits of the last few requests, which say little of the
-// next one.
+// An endpoint's own first-token time is used only if it exceeds the overall
+// average by this factor. Below that it mostly reflects the queueing of the
+// last few requests, which says little about the next one.
 constexpr double kSlowFactor = 2;
 
-// A seat's own pace counts once this many answers were seen.
+// Samples needed before an endpoint's own first-token time is used.
 constexpr int kEnoughSamples = 4;
 
 double InMs(Duration duration) {
@@ -86,7 +87,7 @@
 Seat* LeastInFlight::Pick(const Slate& slate, Random* random) {
   const size_t count = slate.seats->size();
   if (count == 0) return nullptr;
-  // Begins anywhere, so that ties do not all go to the first.
+  // Starts at a random position, so that ties do not all go to the first one.
   const size_t start = random->Below(count);
   Seat* best = nullptr;
   for (size_t i = 0; i < count; ++i) {
--- a/src/dotterelshift/routing/prefix_index.cc
+++ b/src/dotterelshift/routing/prefix_index.cc
@@ -5,8 +5,9 @@
 namespace dotterelshift::routing {
 namespace {
 
-// Prompts are noted and looked up at 1, 2, 4, .. leading blocks only: a few
-// lookups a prompt, and a match is short by at most half.
+// Prompts are recorded and looked up at 1, 2, 4, ... leading blocks only. This
+// takes few look-ups for a prompt, and a match is at least half as long as the
+// actual one.
 size_t DeepestStep(size_t blocks) {
   size_t step = 1;
   while (step * 2 <= blocks) step *= 2;
@@ -21,7 +22,7 @@
   SeatCache& cache = m_seats[seat];
   if (incarnation < cache.incarnation) return;
   if (incarnation > cache.incarnation) {
-    // A new run begins with an empty cache.
+    // A new incarnation starts with an empty cache.
     if (cache.incarnation != 0) ++cache.epoch;
     cache.incarnation = incarnation;
     cache.last_sequence = 0;
--- a/src/dotterelshift/routing/router.cc
+++ b/src/dotterelshift/routing/router.cc
@@ -11,16 +11,17 @@
 namespace dotterelshift::routing {
 namespace {
 
-// How often slow endpoints are looked for.
+// Interval between checks for slow endpoints.
 constexpr Duration kJudgeEvery = 500ms;
 
-// Weight of one measurement in the usual first-token time of all endpoints.
+// Weight of a new measurement in the moving average of the first-token time
+// over all endpoints.
 constexpr double kUsualWeight = 0.02;
 
 // The endpoints that a team may use for a target.
 struct Candidates {
   std::vector<Seat*> seats;
-  std::vector<uint32_t> numbers;  // of the seats, sorted
+  std::vector<uint32_t> numbers;  // Seat::number of each, sorted
   Instant judged{};
 };
 
@@ -118,7 +119,8 @@
     return it == m_seats.end() ? nullptr : &it->second;
   }
 
-  // What the endpoint says of itself is where learning begins.
+  // The adaptive limit starts at the number of slots that the endpoint
+  // announces.
   static admission::ConcurrencyLimit FirstLimit(
       const wire::EndpointRecordT& record) {
     constexpr double kStart = 4;
@@ -134,7 +136,7 @@
     Seat& seat = m_seats[record.id];
     if (seat.number == 0) seat.number = ++m_last_number;
     if (seat.incarnation != record.incarnation) {
-      // A new run: nothing learned of the last one holds.
+      // A new incarnation: what was learned about the previous one is void.
       if (seat.incarnation != 0) m_prefixes.Distrust(seat.number);
       seat.failures = 0;
       seat.samples = 0;
@@ -165,7 +167,7 @@
       if (!MayUse(*m_configuration, query.team, id, query.target)) continue;
       candidates->seats.push_back(Find(id));
     }
-    // In order of their numbers, so that runs with one seed repeat.
+    // Sorted by number, so that runs with the same seed are reproducible.
     std::sort(
         candidates->seats.begin(), candidates->seats.end(),
         [](const Seat* a, const Seat* b) { return a->number < b->number; });
@@ -207,7 +209,8 @@
     return slate;
   }
 
-  // Why nothing was chosen: nothing usable, or all at their limits.
+  // Reports why no endpoint was chosen: none is usable, or all are at their
+  // limits or ejected.
   RouteChoice Refusal(const Slate& slate) const {
     RouteChoice choice;
     for (const Seat* seat : *slate.seats) {
@@ -243,7 +246,7 @@
   std::unordered_map<EndpointId, Seat> m_seats;
   std::unordered_map<std::string, Candidates> m_candidates;
   PrefixIndex m_prefixes;
-  std::string m_key;  // kept, so that a choice allocates nothing
+  std::string m_key;  // reused, so that a choice allocates no memory
   uint32_t m_last_number = 0;
   double m_first_token_ms = 0;
 };
--- a/src/dotterelshift/routing/seat.cc
+++ b/src/dotterelshift/routing/seat.cc
@@ -5,12 +5,12 @@
 namespace dotterelshift::routing {
 namespace {
 
-// A report of this age counts half.
+// Age in seconds at which a report has half its weight.
 constexpr double kReportHalfLife = 0.3;
 
 constexpr double kHoldGuess = 1.0;
 
-// Old measurements fade once this many requests were seen.
+// After this many ended requests the older measurements are halved in weight.
 constexpr double kHoldWindow = 64;
 
 double InSeconds(Duration duration) {
