--- a/src/dotterelshift/gateway/core_leave_test.cc
+++ b/src/dotterelshift/gateway/core_leave_test.cc
@@ -1,5 +1,5 @@
-// A caller leaves at each stage of its request: nothing of it is started any
-// more, what has been started is cancelled once, and nothing stays held for it.
+// A caller leaves at each stage of its request. No new attempt may be started,
+// a running one is cancelled exactly once, and nothing stays reserved.
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include "dotterelshift/directory/spread.h"      // for PulseKey
@@ -52,7 +52,8 @@
     ExpectNothingMore();
   }
 
-  // Both engines read a long prompt, so the next one waits for its time.
+  // Both engines prefill a long prompt, so that the next request waits for its
+  // prefill start.
   void WhileItIsBooked() {
     Publish();
     Request("/stream/", 10'000, 3);
@@ -76,7 +77,7 @@
     const AttemptId attempt = Only<StartAttempt>().attempt;
     Leave();
     CPPUNIT_ASSERT_EQUAL(attempt, Only<CancelAttempt>().attempt);
-    // What was on its way back of it changes nothing.
+    // Bytes of the response that were in flight have no effect.
     Head(attempt, 200, true);
     CPPUNIT_ASSERT(m_last.empty());
     End(attempt, http::TransferEnd::kCutBeforeHead);
@@ -99,8 +100,8 @@
     ExpectNothingMore();
   }
 
-  // The first attempt broke; the other engine still reads, so that the second
-  // attempt has not begun.
+  // The first attempt failed. The other engine is still busy with a prefill, so
+  // that the second attempt has not been sent.
   void WhileASecondAttemptIsBooked() {
     Publish();
     Request("/resume/", 100);
@@ -129,8 +130,8 @@
     ExpectNothingMore();
   }
 
-  // Its endpoint leaves, and then its caller, before the connection has said
-  // whether the attempt could be taken back.
+  // The endpoint leaves, and then the caller, before it is known whether the
+  // attempt could be withdrawn.
   void WhileItsAttemptIsAskedBack() {
     Publish();
     Request("/safe/");
@@ -165,7 +166,7 @@
     return running;
   }
 
-  // Nothing is open, due or started, now or later.
+  // No request is open, no timer is set, and no action follows later.
   void ExpectNothingMore() {
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, Running());
--- a/src/dotterelshift/gateway/core_link_test.cc
+++ b/src/dotterelshift/gateway/core_link_test.cc
@@ -12,13 +12,15 @@
 
 constexpr double kSlowLink = 1'250'000;      // 10 Mbit/s
 constexpr double kFastLink = 1'250'000'000;  // 10 Gbit/s
-// Of the link, what is left for bytes that are counted.
+// Fraction of the link's rate that is available to payload bytes.
 constexpr double kPayloadPart = 0.92;
 constexpr size_t kPrompt = 6'000;
-// What the system may hold, so that a close stops its request in time.
+// Maximum backlog in the system's send queue. Bounded, as bytes in that queue
+// are still sent after a request has been cancelled.
 constexpr Duration kMostHanded = 80ms;
 
-// The system's queue before a link, and what it has carried.
+// Model of the system's send queue of a link, with the bytes transmitted so
+// far.
 class SystemQueue {
  public:
   void Add(size_t bytes, Instant now) {
@@ -35,7 +37,7 @@
     m_carried += carried;
   }
   double Carried() const { return m_carried; }
-  // The longest that a byte has stood here.
+  // The longest queueing delay of any byte.
   Duration Longest() const {
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double>(m_most / kRate));
@@ -49,8 +51,8 @@
   Instant m_since{};
 };
 
-// A core whose host's link carries 10 Mbit/s. Routes /urgent/ and /calm/ lead
-// to the plain service, and what the core sends goes into a queue of its own.
+// A core whose host has a link of 10 Mbit/s. Routes /urgent/ and /calm/ lead to
+// the plain service. What the core sends goes into a SystemQueue.
 class CoreLinkTest : public CoreFixture {
   CPPUNIT_TEST_SUITE(CoreLinkTest);
   CPPUNIT_TEST(AfterTheCloseNothingOfARequestGoesOut);
@@ -83,8 +85,8 @@
     MakePacedCore(kSlowLink);
   }
 
-  // Guards against prompts of callers who have left that go on out of the
-  // system's queue for a second.
+  // Guards against prompts that are still sent from the system's queue for a
+  // second after their callers have left.
   void AfterTheCloseNothingOfARequestGoesOut() {
     PublishPlain(4s);
     constexpr RequestId kCallers = 200;  // 1 s of the link
@@ -105,12 +107,13 @@
     CPPUNIT_ASSERT(m_queue.Longest() <= kMostHanded);
   }
 
-  // Guards against a queue of the system that grows with the demand, and
-  // against a link that stands idle for fear of it.
+  // Guards against a system queue that grows with the demand, and against a
+  // link left idle to avoid one.
   void AtThreeTimesTheLinkItIsUsedAndNothingStandsBeforeIt() { Overrun(3); }
   void AtTenTimesTheLinkItIsUsedAndNothingStandsBeforeIt() { Overrun(10); }
 
-  // Guards against an order of arrival, where the urgent come late.
+  // Guards against sending in the order of arrival, which delays urgent
+  // requests.
   void TheMoreUrgentGoesFirstThenTheEarlierTarget() {
     PublishPlain(600ms);
     FillLink(100ms);
@@ -123,7 +126,8 @@
     CPPUNIT_ASSERT(m_started == (std::vector<RequestId>{4, 3, 2, 1}));
   }
 
-  // Guards against small requests that are late for the length of others.
+  // Guards against small requests that miss their target behind long prompts
+  // with a later target.
   void ASmallRequestDoesNotStandBehindLongPromptsThatMayWait() {
     PublishPlain(4s, 600ms);
     FillLink(60ms);
@@ -133,8 +137,8 @@
     CPPUNIT_ASSERT(m_started == (std::vector<RequestId>{21}));
   }
 
-  // Guards against repeats that go round the wait, and against an endpoint that
-  // is given up for the time that its request stood here.
+  // Guards against retries that bypass the link queue, and against an idle
+  // timeout that includes the time for which the request was queued here.
   void ARepeatWaitsAndItsSilenceCountsFromItsStart() {
     Publish();
     Ask("/safe/", kPrompt, 1);
@@ -145,9 +149,11 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_started.size());
     Run(140ms);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, m_started.size());
-    // The second, which may not run again, is silent until its deadline.
+    // The second attempt has no retry left, so that the idle timeout does not
+    // apply to it, only the deadline.
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_core->OpenRequests());
-    // The first of another one waits, and is then given its whole silence.
+    // The first attempt of another request is queued and then gets its full
+    // idle timeout.
     FillLink(150ms);
     Ask("/safe/", kPrompt, 2);
     Run(140ms);
@@ -158,8 +164,8 @@
     CPPUNIT_ASSERT_EQUAL(size_t{4}, m_started.size());
   }
 
-  // Guards against callers that are held until nobody can serve them in time,
-  // and against all of them coming back together.
+  // Guards against requests that are queued until no entry can serve them in
+  // time, and against simultaneous retries of the refused callers.
   void WhatWouldWaitTooLongIsRefusedAtOnce() {
     PublishPlain(600ms);
     FillLink(400ms);
@@ -179,8 +185,8 @@
     CPPUNIT_ASSERT(m_started.empty());
   }
 
-  // Guards against the less urgent that are held though others go before them
-  // until they are late.
+  // Guards against less urgent requests that stay queued while urgent ones
+  // overtake them, until they are late.
   void WhatIsPushedBackTooFarIsRefusedThen() {
     PublishPlain(600ms);
     FillLink(200ms);
@@ -198,7 +204,8 @@
     CPPUNIT_ASSERT_EQUAL(size_t{kUrgent}, m_started.size());
   }
 
-  // Guards against "not run" said of what an endpoint has begun.
+  // Guards against reporting a request as not run after an endpoint may have
+  // started it.
   void WhatHasRunIsNotSaidToBeRefused() {
     Publish();
     Ask("/safe/", kPrompt, 1);
@@ -209,20 +216,22 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
   }
 
-  // Guard against room that is kept for prompts that no connection took.
+  // Guard against link capacity that stays taken by prompts that were not
+  // handed to any connection.
   void WhatWasNotSentLeavesItsRoomToTheNext() {
     PublishPlain(600ms);
     const StartAttempt first = FillWithOnePrompt();
     m_core->OnEnd(first.attempt, http::TransferEnd::kNotSent, m_now);
     Take();
-    // Its own next attempt comes before the second one.
+    // The next attempt of the same request is sent before the second request.
     CPPUNIT_ASSERT(m_started == (std::vector<RequestId>{1, 1}));
   }
 
   void WhatIsWithdrawnLeavesItsRoomToTheNext() {
     PublishPlain(600ms);
     const StartAttempt first = FillWithOnePrompt();
-    // Its caller leaves, and then it turns out that no connection had it.
+    // The caller leaves, and then the attempt turns out not to have been handed
+    // to a connection.
     m_core->OnCallerGone(1, m_now);
     Take();
     Run(0ms);
@@ -232,8 +241,8 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, m_started.size());
   }
 
-  // Guards against a request that is held though its caller's time is over
-  // before it could go.
+  // Guards against queueing a request that can't be sent before its caller's
+  // timeout.
   void WhatCannotGoBeforeItsDeadlineIsRefusedAtOnce() {
     PublishPlain(4s);
     FillLink(500ms);
@@ -247,7 +256,7 @@
     CPPUNIT_ASSERT(m_started.empty());
   }
 
-  // Guards against requests that go out after the stop has answered them.
+  // Guards against requests that are sent after the shutdown has refused them.
   void TheOwnStopEndsTheWaitAsNotRun() {
     PublishPlain(600ms);
     FillLink(100ms);
@@ -260,8 +269,8 @@
     CPPUNIT_ASSERT(m_core->NextTimer() == Instant::max());
   }
 
-  // Guards against a request that goes to an endpoint which left while it
-  // waited, and against others that are sent elsewhere for its sake.
+  // Guards against sending a queued request to an endpoint that left meanwhile,
+  // and against a reservation that diverts other requests while it is queued.
   void NoEndpointIsBookedForWhatWaits() {
     PublishPlain(600ms);
     FillLink(100ms);
@@ -274,8 +283,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("p2"), m_last_start.endpoint.id);
   }
 
-  // Guards against a prompt that goes out at its reading time, whatever stands
-  // there, and to an endpoint that has left since.
+  // Guards against a prompt that is sent at its prefill start although the link
+  // has a backlog, or to an endpoint that has left since.
   void ABookedPromptWaitsAndMayStillLeaveItsEndpoint() {
     Publish();
     for (RequestId id = 1; id <= 4; ++id) AskModel(10'000, id);
@@ -294,7 +303,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("l2"), m_last_start.endpoint.id);
   }
 
-  // Guards against a request that is lost when its route goes while it waits.
+  // Guards against losing a queued request when its route is removed.
   void NewRoutesDoNotDropWhatWaits() {
     PublishPlain(600ms);
     FillLink(100ms);
@@ -309,7 +318,7 @@
     CPPUNIT_ASSERT(m_started == (std::vector<RequestId>{1}));
   }
 
-  // Guards against any change where the link is not what bounds the entry.
+  // Guards against queueing where the link is not the bottleneck.
   void WithAnUnknownOrFastLinkAllGoesAtOnce() {
     for (const double rate : {0.0, kFastLink}) {
       MakePacedCore(rate);
@@ -322,9 +331,9 @@
     }
   }
 
-  // Guards against a turn of the loop that comes late (a processor in turns of
-  // 88 ms) and sends what its caller has given up, and then says that it may
-  // have run.
+  // Guards against a late turn of the event loop (a throttled processor stalls
+  // it for 88 ms) that sends an expired request, which is then reported as one
+  // that may have run.
   void ALateTimerSendsNothingWhoseTimeIsOver() {
     PublishPlain(4s);
     FillLink(100ms);
@@ -341,8 +350,8 @@
     CPPUNIT_ASSERT(RowOf(Only<Refuse>().kind).ran == Ran::kNo);
   }
 
-  // Guards against an endpoint's own answer that is dropped, and an allowance
-  // that is used, for a repeat that the way out refuses at once.
+  // Guards against a retry that the outbound link refuses at once, but that
+  // costs retry budget and replaces the endpoint's own error response.
   void ARepeatThatTheLinkRefusesTakesNoneOfTheAllowance() {
     Publish();
     Ask("/safe/", kPrompt, 1);
@@ -368,7 +377,7 @@
                                  &m_blocklist, m_pacer.get()});
   }
 
-  // A route that may wait besides, and one that may not wait long.
+  // Two routes with the given target, and /soon/ with a target of its own.
   void PublishPlain(Duration target, Duration soon = 600ms) {
     Routes routes;
     routes.version = 1;
@@ -388,7 +397,7 @@
     m_core->OnEndpointsChanged(m_directory, m_now);
   }
 
-  // The head of the request came in `ago`.
+  // The head of the request was received `ago` before now.
   void Ask(const std::string& path, size_t bytes, RequestId id,
            Duration ago = 0s) {
     RequestInfo info = AskFor(path);
@@ -406,7 +415,7 @@
     Take();
   }
 
-  // What the core sends goes into the system's queue.
+  // Adds the requests that the core starts to the system's queue.
   void Take() {
     Collect();
     for (const Action& action : m_last) {
@@ -418,7 +427,7 @@
     }
   }
 
-  // Moves the clock, with the core's timers on time.
+  // Advances the clock and runs the core's timers on time.
   void Run(Duration time) {
     const Instant end = m_now + time;
     for (;;) {
@@ -433,14 +442,15 @@
     }
   }
 
-  // Answers and frames take the link for so long.
+  // Responses and frames occupy the link for this time.
   void FillLink(Duration time) {
     const double seconds = std::chrono::duration<double>(time).count();
     const double part = SendPacerOptions().used_part;
     m_pacer->OnBytes(static_cast<uint64_t>(seconds * kSlowLink * part), m_now);
   }
 
-  // A first prompt of all that may be held, and a second one that waits.
+  // Sends a first prompt that takes all of the permitted backlog, and queues a
+  // second one.
   StartAttempt FillWithOnePrompt() {
     Ask("/calm/", 67'500, 1);  // 60 ms
     StartAttempt first = Only<StartAttempt>();
@@ -449,8 +459,8 @@
     return first;
   }
 
-  // Callers bring `times` what the link carries for ten seconds, while answers
-  // take a tenth of it. Each is answered as soon as it was sent.
+  // For ten seconds callers send `times` what the link can transmit, while
+  // responses take a tenth of it. Each request ends as soon as it is sent.
   void Overrun(int times) {
     PublishPlain(600ms);
     constexpr Duration kTime = 10s;
@@ -469,7 +479,7 @@
       m_pacer->OnBytes(125, m_now);
       m_queue.Add(125, m_now);
       for (; m_answered < m_started.size(); ++m_answered) {
-        // The answer's own bytes are those above.
+        // The bytes of the responses are counted above.
         m_core->OnCallerGone(m_started[m_answered], m_now);
         Collect();
       }
--- a/src/dotterelshift/gateway/core_test.cc
+++ b/src/dotterelshift/gateway/core_test.cc
@@ -98,7 +98,8 @@
     CPPUNIT_ASSERT_EQUAL(second.attempt, Only<RelayWhole>().attempt);
   }
 
-  // Run once and cut, then refused elsewhere: "not run" would be untrue.
+  // The request ran once and was cut, then another endpoint refused it. The
+  // caller must not be told that it did not run.
   void ARefusalAfterARunIsNoPromise() {
     Publish();
     Request("/safe/");
@@ -150,7 +151,7 @@
     const auto reports = m_core->TakeSuspicions();
     CPPUNIT_ASSERT_EQUAL(size_t{1}, reports.size());
     CPPUNIT_ASSERT(!reports[0].endpoint.empty() && reports[0].alone);
-    // Answered whole, it is cleared.
+    // A complete response clears it.
     Request("/once/");
     const AttemptId attempt = Only<StartAttempt>().attempt;
     Head(attempt, 200);
@@ -205,7 +206,8 @@
     Collect();
   }
 
-  // Two prompts are being read, one more is booked behind each of them.
+  // Two prompts are being prefilled, and behind each of them one more request
+  // has a slot reserved.
   void WhatIsBookedIsNotSentToALeavingEndpoint() {
     Publish();
     for (RequestId id = 1; id <= 4; ++id) {
@@ -235,14 +237,16 @@
     Withdrawn(first.attempt);
     const StartAttempt second = Only<StartAttempt>();
     CPPUNIT_ASSERT(second.endpoint.id != first.endpoint.id);
-    // A new run of the second one: the run that it was sent to is gone.
+    // A new incarnation of the second one: the incarnation that the attempt was
+    // sent to is gone.
     Announce(second.endpoint.id, "plain", false, 1);
     m_core->OnEndpointsChanged(m_directory, m_now);
     Collect();
     CPPUNIT_ASSERT_EQUAL(second.attempt, Only<WithdrawAttempt>().attempt);
   }
 
-  // The connection may hold some of it, so it may run: one run at the most.
+  // The connection may have taken some of it, so that it may run there. It must
+  // not run a second time elsewhere.
   void WhatMayHaveBeenSentStaysAtALeavingEndpoint() {
     Publish();
     Request("/once/");
@@ -253,7 +257,7 @@
     Head(start.attempt, 200);
     End(start.attempt, http::TransferEnd::kWhole);
     CPPUNIT_ASSERT_EQUAL(start.attempt, Only<RelayWhole>().attempt);
-    // What is answered already is not even asked about.
+    // For a stream that has begun no withdrawal is requested.
     Request("/stream/", 100);
     const StartAttempt stream = Only<StartAttempt>();
     Head(stream.attempt, 200, true);
@@ -285,8 +289,9 @@
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kDeadlineWhileRunning);
   }
 
-  // On a full link a long prompt takes seconds to come in; sent on with its
-  // caller's whole patience it would run after the caller has left.
+  // Over a saturated link a long prompt takes seconds to arrive. If it were
+  // sent on with the caller's full timeout, it would run on after the caller
+  // has left.
   void PatienceCountsFromTheRequestsHead() {
     Publish();
     RequestInfo info = AskFor("/stream/", 100);
@@ -318,8 +323,9 @@
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kBudgetUnavailable);
   }
 
-  // Control's answer is held up behind a hot caller's prompts on a narrow link.
-  // A request that is refused meanwhile only comes back and fills it more.
+  // On a saturated link control's answer is delayed behind the prompts of a
+  // busy caller. A request refused meanwhile would be retried and add to that
+  // load.
   void WhereAGrantIsLikelyARequestWaitsLonger() {
     Publish(1'000'000);
     m_budgets->SetConnected(true, m_now);
@@ -333,16 +339,16 @@
     Request("/stream/", 100, 2);
     Pass(Duration(4s) / CoreOptions().grant_wait_part);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kBudgetUnavailable);
-    // Cut off from control, only the other entries can help.
+    // Without a connection to control only the other entries can lend tokens.
     m_budgets->SetConnected(false, m_now);
     Request("/stream/", 100, 3);
     Pass(CoreOptions().budget_wait);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kBudgetUnavailable);
   }
 
-  // Far more long prompts than two engines read within any caller's patience:
-  // what would come too late is refused as not run, at different times to come
-  // back.
+  // Far more long prompts than two engines can prefill within the callers'
+  // timeout: requests that would be late are refused as not run, with different
+  // retry delays.
   void AFullFleetRefusesAtOnceAndSpreadsReturns() {
     Publish();
     std::vector<Duration> returns;
--- a/src/dotterelshift/gateway/dead_fleet_test.cc
+++ b/src/dotterelshift/gateway/dead_fleet_test.cc
@@ -1,6 +1,6 @@
-// A fleet of entries over the real HeldGrants, State and RecallCore, on a
-// hand-moved clock: all of them die at once late in a day, and new runs of the
-// same hosts go on with what is left.
+// A fleet of entries built from the real HeldGrants, State and RecallCore, with
+// a manual clock. All entries crash at once when most of the budgets are spent,
+// and new incarnations on the same hosts continue with what is left.
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include <algorithm>   // for max, min
@@ -23,9 +23,9 @@
 constexpr int kEntries = 60;
 constexpr Duration kTick = 20ms;
 constexpr Duration kOneWay = 10ms;  // entry to control, commit included
-constexpr Duration kPatience = 1s;  // so long a request waits for tokens
+constexpr Duration kPatience = 1s;  // a request waits for tokens this long
 constexpr Duration kOff = 2s;
-constexpr Duration kAfter = 40s;  // callers come for so long after it
+constexpr Duration kAfter = 40s;  // callers continue this long after the crash
 constexpr int kLenders = 3;       // entries that a borrower asks
 constexpr uint64_t kSeeds = 4;
 
@@ -34,7 +34,7 @@
   double requests_per_second = 250;
   Tokens mean = 8'000;  // worst case of a request
   double spread = 0.8;  // sigma of its logarithm
-  double lasts = 35;    // seconds of demand that the totals hold
+  double lasts = 35;    // seconds of demand that the totals cover
 };
 
 struct Request {
@@ -78,7 +78,7 @@
     if (m_now >= m_next_beat) Beat();
   }
 
-  // What open requests have used until then stays used.
+  // Tokens that open requests have used until then stay spent.
   void AllDie() {
     m_under_way.clear();
     for (Entry& entry : m_entries) {
@@ -98,10 +98,10 @@
  private:
   static std::string TeamName(int team) { return "t" + std::to_string(team); }
 
-  // Demand of teams falls with their number.
+  // Relative demand of a team; falls with the team's number.
   double WeightOf(int team) const { return 1.0 / (1 + team); }
 
-  // All demand of one second, in tokens.
+  // Total demand, in tokens per second.
   double Demand() const {
     return m_day.requests_per_second * static_cast<double>(m_day.mean);
   }
@@ -196,7 +196,7 @@
   void Settle(Entry& entry) {
     std::erase_if(entry.running, [&](const Request& request) {
       if (m_now < request.ends) return false;
-      // All but a small part of the worst case is used.
+      // A request uses 80 to 100% of its worst case.
       const auto spent = static_cast<Tokens>(
           static_cast<double>(request.worst_case) *
           std::uniform_real_distribution<>(0.8, 1)(m_random));
@@ -292,17 +292,18 @@
   std::vector<Entry> m_entries;
   std::multimap<Instant, std::function<void()>> m_under_way;
   Tokens m_total = 0;
-  Tokens m_consumed = 0;  // truly, by all runs
+  Tokens m_consumed = 0;  // actual spend of all incarnations
 };
 
-// What came of one death of all.
+// Result of one crash of all entries.
 struct Outcome {
-  Tokens left = 0;      // of the totals, truly
-  Tokens lost = 0;      // counts as spent with the dead
-  Tokens consumed = 0;  // of what was left, by those who came after it
+  Tokens left = 0;      // of the totals, by actual spend
+  Tokens lost = 0;      // held by dead incarnations, so counted as spent
+  Tokens consumed = 0;  // of `left`, by requests after the crash
 };
 
-// Some time late in a day, drawn by the seed, all die; callers go on coming.
+// All entries crash when 25 to 35% of the totals are left, drawn by the seed.
+// Callers continue to send requests.
 Outcome DieOnce(const Day& day, uint64_t seed) {
   std::mt19937_64 random(seed);
   const double part = std::uniform_real_distribution<>(0.25, 0.35)(random);
--- a/src/dotterelshift/gateway/drain_test.cc
+++ b/src/dotterelshift/gateway/drain_test.cc
@@ -1,10 +1,9 @@
-// Entries were stopped one after the other, each with 8 s from the signal to
-// its end. One of them went on taking requests on connections that callers had
-// kept open since before: its 'sent' lines go from 18 in the first second to 3
-// in the sixth, when the balancer had turned away 4 s before. A stream that it
-// took 5.67 s after the signal would have needed 2 s; at 7.56 s the log says
-// 'shutdown_done' with 'open: 1', and its caller had half an answer. The entry
-// compared no request with the time that it had left itself.
+// Guards against responses that are truncated by the entry's own exit. During a
+// shutdown callers can still send requests on connections that they have kept
+// open, even 4 s after the load balancer has stopped using the entry. In a
+// shutdown of 8 s, a stream that needs 2 s and is accepted 5.67 s after the
+// signal is not complete when the process exits at 7.56 s. So the entry must
+// compare the deadline of each request with its own remaining time.
 
 #include "dotterelshift/gateway/drain.h"
 
@@ -39,7 +38,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
   }
 
-  // Its own deadline ends it in time, whatever happens.
+  // The request's own deadline ends it in time in any case.
   void WhatEndsBeforeTheStopIsStillTaken() {
     Drain();
     Pass(5670ms);
@@ -48,7 +47,7 @@
                    m_times.last_answer - m_now);
     Tell(2, m_times.last_answer - m_now + 1ms);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kDraining);
-    // The route's timeout of 4 s ends what its caller would wait longer for.
+    // The route's timeout of 4 s applies, though the caller would wait longer.
     Drain();
     Pass(m_times.last_answer - m_now - 4s);
     Tell(3, 60s);
@@ -66,8 +65,8 @@
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kDraining);
   }
 
-  // A long body may take until after the notice: what counts is when the entry
-  // can send it on.
+  // A long body may take until after the notice period to arrive. What counts
+  // is when the entry can send it on.
   void AHeadBeforeTheNoticesEndDoesNotHelp() {
     Drain();
     Pass(5670ms);
@@ -76,7 +75,7 @@
     info.patience = 60s;
     m_core->OnRequest(kRequest, info, m_now);
     Collect();
-    // Its deadline, counted from its head, lies before the last answer.
+    // Its deadline, counted from its head, is before m_times.last_answer.
     CPPUNIT_ASSERT(Only<StartAttempt>().time_left == info.begun + 4s - m_now);
     info.begun = m_now - 1s;
     m_core->OnRequest(2, info, m_now);
@@ -84,8 +83,8 @@
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kDraining);
   }
 
-  // A caller that is told what happened can act at once; one whose connection
-  // ends is not told whether its request ran.
+  // A caller that gets an error response can react at once. One whose
+  // connection is just closed can't tell whether its request ran.
   void WhatIsOpenAtTheEndIsToldSo() {
     Drain();
     Request("/stream/", 100, 1);
@@ -113,8 +112,8 @@
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kDraining);
   }
 
-  // What waits for tokens has not run; what was broken off at an endpoint and
-  // waits for another may have.
+  // A request that waits for tokens has not run. One that failed at an endpoint
+  // and waits for another may have.
   void WhatWaitsAtTheEndIsToldWhetherItRan() {
     Publish(1'000'000);
     m_core->StartDraining(PlanDrain(m_now, kNotice, 8s));
@@ -126,7 +125,7 @@
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kDraining);
   }
 
-  // The spend of what is cut is known before the holdings go back.
+  // The spend of aborted requests is reported before the holdings are returned.
   void WhatIsCutIsSettled() {
     Publish(1'000'000);
     AnswerAsk(500'000, 500'000);
@@ -144,8 +143,8 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{100}, spent);
   }
 
-  // The end is enforced from outside at the limit; what a process does then is
-  // cut anywhere.
+  // The limit is enforced from outside: a process that is still running then is
+  // killed.
   void TheProcessIsGoneBeforeItsLimit() {
     constexpr Duration kLimit = 8s;
     const DrainTimes times = PlanDrain(m_now, kNotice, kLimit);
@@ -162,14 +161,14 @@
  private:
   static constexpr Duration kNotice = 2500ms;
 
-  // Routes with a timeout of 4 s, and a stop that must be over after 8 s.
+  // Publishes routes with a timeout of 4 s and begins a shutdown of 8 s.
   void Drain() {
     Publish();
     m_times = PlanDrain(m_now, kNotice, 8s);
     m_core->StartDraining(m_times);
   }
 
-  // A request for a stream whose caller bears so long a wait.
+  // Requests a stream with the given caller timeout.
   void Tell(RequestId id, Duration patience) {
     RequestInfo info = AskFor("/stream/", 100);
     info.patience = patience;
--- a/src/dotterelshift/routing/prefix_index_test.cc
+++ b/src/dotterelshift/routing/prefix_index_test.cc
@@ -17,7 +17,8 @@
   bool stored;
 };
 
-// Events as they arrive, and whether the prefix is then thought to be cached.
+// Events in the order of arrival, and whether the prefix is then believed to be
+// cached.
 struct Case {
   std::string name;
   std::vector<Event> events;
@@ -29,22 +30,22 @@
     {"stored, then dropped",
      {{1, 1, kHash, true}, {1, 2, kHash, false}},
      false},
-    {"a gap hides what was dropped",
+    {"a gap invalidates earlier events",
      {{1, 1, kHash, true}, {1, 3, 5, true}},
      false},
-    {"stored anew after a gap",
+    {"stored again after a gap",
      {{1, 1, kHash, true}, {1, 3, kHash, true}},
      true},
-    {"a late event is not believed",
+    {"a late event is ignored",
      {{1, 1, 5, true}, {1, 3, 5, true}, {1, 2, kHash, true}},
      false},
-    {"a doubled event changes nothing",
+    {"a duplicate event is ignored",
      {{1, 1, kHash, true}, {1, 1, kHash, false}},
      true},
-    {"a new run has an empty cache",
+    {"a new incarnation has an empty cache",
      {{1, 1, kHash, true}, {2, 1, 5, true}},
      false},
-    {"an older run's event is not believed",
+    {"an event of an older incarnation is ignored",
      {{2, 1, 5, true}, {1, 9, kHash, true}},
      false},
 };
--- a/src/dotterelshift/routing/router_test.cc
+++ b/src/dotterelshift/routing/router_test.cc
@@ -17,7 +17,8 @@
     PolicyKind::kLocalPrefixAffinity,
 };
 
-// A router over a few endpoints of one model, adapter "dialect" on some.
+// A router over a few endpoints of one model; endpoint 3 also has the adapter
+// "dialect".
 struct Bench {
   explicit Bench(PolicyKind policy, int endpoints = 4) {
     wire::UpsertEndpointSetT set;
@@ -60,7 +61,7 @@
     return router->Choose(query, now);
   }
 
-  // How often each endpoint is chosen in a number of choices.
+  // Counts how often each endpoint is chosen in `choices` selections.
   std::map<EndpointId, int> Count(int choices) {
     std::map<EndpointId, int> counts;
     for (int i = 0; i < choices; ++i) ++counts[Choose().endpoint];
@@ -138,7 +139,8 @@
     CPPUNIT_ASSERT(bench.Count(100)["e0"] < 10);
     bench.now += 2900ms;
     CPPUNIT_ASSERT(bench.directory.Find("e0")->usable);
-    // Others have gone on since: an old report weighs little beside own work.
+    // The reported requests have probably ended: an old report has little
+    // weight compared with the entry's own requests.
     for (int i = 0; i < 4; ++i) bench.router->OnStarted("e1", 100, bench.now);
     CPPUNIT_ASSERT(bench.Count(100)["e0"] > 50);
   }
@@ -182,8 +184,8 @@
       bench.router->OnStarted("e0", 100, bench.now);
       bench.router->OnStarted("e2", 100, bench.now);
     }
-    // Now among all; two random ones are both of the full ones a quarter of
-    // the time.
+    // Now all endpoints are candidates. Two random ones are both full in a
+    // quarter of the selections.
     counts = bench.Count(1000);
     CPPUNIT_ASSERT(counts["e1"] + counts["e3"] > 700);
   }
