--- a/include/dotterelshift/routing/policy.h
+++ b/include/dotterelshift/routing/policy.h
@@ -36,8 +36,8 @@
   const std::vector<Seat*>* seats = nullptr;  // all that serve the target
   const RouteQuery* query = nullptr;
   const directory::Directory* directory = nullptr;
-  // The endpoints of `seats` that are believed to have `cached_part` of the
-  // prompt cached.
+  // The candidates that are believed to have `cached_part` of the prompt
+  // cached.
   std::array<Seat*, PrefixMatch::kMost> holders{};
   size_t holder_count = 0;
   double cached_part = 0;
