--- a/include/dotterelshift/routing/prefix_index.h
+++ b/include/dotterelshift/routing/prefix_index.h
@@ -11,7 +11,7 @@
 
 // An endpoint that is believed to have a prompt's leading blocks cached.
 struct PrefixHolder {
-  uint32_t seat = 0;   // the endpoint's number
+  uint32_t seat = 0;
   uint32_t epoch = 0;  // of the endpoint's cache when this was recorded
 };
 
