--- a/include/dotterelshift/admission/fair_queue.h
+++ b/include/dotterelshift/admission/fair_queue.h
@@ -19,59 +19,60 @@
 struct Waiting {
   RequestId request = 0;
   TeamId team;
-  std::string target;   // model or service: what it waits for
-  uint32_t weight = 1;  // of the team
+  std::string target;   // model or service that the request needs
+  uint32_t weight = 1;  // weight of the team
   int priority = 0;     // within the team, lower first
-  double cost = 1;      // expected work, for the fair share
+  double cost = 1;      // expected work, charged to the team
   Instant deadline;
 };
 
-// Requests that wait for an endpoint: fair between teams by weight and cost, by
-// priority and then arrival within one.
+// Requests that wait for an endpoint. Scheduling is fair between teams by
+// weight and cost, and ordered by priority and then arrival within a team.
 class FairQueue {
  public:
   virtual ~FairQueue() = default;
-  // False when the team's or the whole queue is full.
+  // Returns false if the team's queue or the whole queue is full.
   virtual bool Push(const Waiting& waiting) = 0;
   virtual void Remove(RequestId request) = 0;
-  // Offers waiting requests in fair order; `try_start` returns whether it could
-  // start the one offered. A target that could not start is not offered again
-  // in this call.
+  // Offers queued requests in fair order. `try_start` returns whether it
+  // started the offered request. Once a request of a team could not be started,
+  // that team is not offered again for the same target in this call.
   virtual void Offer(const std::function<bool(const Waiting&)>& try_start) = 0;
-  // Requests whose deadline has passed; they have left the queue.
+  // Removes the requests whose deadline has passed and returns them.
   virtual std::vector<RequestId> TakeExpired(Instant now) = 0;
   virtual std::optional<Instant> NextDeadline() const = 0;
   virtual size_t Size() const = 0;
   virtual size_t SizeOf(const TeamId& team) const = 0;
-  // The cost that would be served before this request if it were pushed now:
-  // what the wait estimator needs.
+  // Cost that would be served before this request if it were pushed now; input
+  // of the wait estimator.
   virtual double CostAhead(const Waiting& waiting) const = 0;
 };
 
 std::unique_ptr<FairQueue> MakeFairQueue(const QueueOptions& options = {});
 
-// The learned limit of requests in flight at one endpoint from this entry:
-// grows while latency stays near its best, shrinks when it rises or the
-// endpoint refuses. A plain value, one for each endpoint.
+// Adaptive limit on the requests that this entry has in flight at one endpoint.
+// It grows while latency stays near its best and shrinks when latency rises or
+// the endpoint refuses. A plain value, one per endpoint.
 //
-// It starts small, so that the best latency is learned while waiting behind
-// others cannot explain it, and grows fast until latency first rises. When it
-// has shrunk to its start and latency is still far from the best, the engine
-// has become slower for good, and all is learned anew.
+// It starts small, so that the best latency is measured before queueing can
+// inflate it, and grows fast until latency first rises. If latency is still far
+// from the best after the limit has shrunk to its start value, the engine has
+// become slower for good, and the best latency is measured anew.
 class ConcurrencyLimit {
  public:
   static constexpr int kNotCounted = -1;
 
   explicit ConcurrencyLimit(double start = 4, double least = 1,
                             double most = 1024);
-  // `in_flight` counts the requests at the endpoint; a limit that is not made
-  // use of does not grow. Where it is not known the limit grows all the same.
+  // `in_flight` is the number of requests at the endpoint. The limit does not
+  // grow while it is underused; with kNotCounted it grows regardless.
   void OnFirstToken(Duration latency, Instant now, int in_flight = kNotCounted);
   void OnRefused(Instant now);
-  // What the endpoint says it works on at a time: the limit until latency or a
-  // refusal speaks, and no fast growth beyond it.
+  // Sets the limit to the number of requests that the endpoint says it runs in
+  // parallel, and ends the fast growth phase. Latency and refusals adjust the
+  // limit from there.
   void Begin(double slots);
-  // Whole requests that may be in flight.
+  // The limit, rounded down.
   int Current() const;
 
  private:
@@ -83,7 +84,7 @@
   double m_most;
   double m_best_ms = 0;
   double m_recent_ms = 0;
-  bool m_fast = true;  // until latency rises
+  bool m_fast = true;  // until latency first rises
   Instant m_last_change{};
 };
 
--- a/include/dotterelshift/admission/wait_estimator.h
+++ b/include/dotterelshift/admission/wait_estimator.h
@@ -9,30 +9,30 @@
 
 namespace dotterelshift::admission {
 
-// Estimates from the rate at which waiting requests were started how long a
-// queue will take, so that a request whose deadline cannot be met is refused at
-// its arrival, with a time to come back, and not at its deadline.
+// Estimates the queueing time from the rate at which queued requests were
+// started. A request whose deadline cannot be met is then refused on arrival,
+// with a time to retry after, instead of at its deadline.
 class WaitEstimator {
  public:
-  // A request for the target waits; `first` when none did before.
+  // A request for the target was queued; `first` if the target had none before.
   void OnWaiting(const std::string& target, bool first, Instant now);
-  // A waiting request was started; `more` when others still wait.
+  // A queued request was started; `more` if others are still queued.
   void OnStarted(const std::string& target, double cost, bool more,
                  Instant now);
 
-  // The expected wait behind so much cost; 0 while too little is known.
+  // Expected wait behind `cost_ahead`; 0 while there are too few measurements.
   Duration Expected(const std::string& target, double cost_ahead,
                     Instant now) const;
 
-  // Set when the request would miss its deadline: the time after which a
-  // request like it would be served in time.
+  // Set if the request would miss its deadline: the time after which a request
+  // like it would be served in time.
   std::optional<Duration> RefuseFor(const std::string& target,
                                     double cost_ahead, Duration time_left,
                                     Instant now) const;
 
  private:
-  // Sums that fade with the time for which something waited; idle time tells
-  // nothing of the rate.
+  // Sums that decay with the time during which requests were queued. Idle time
+  // is excluded, as it says nothing about the rate.
   struct Rate {
     double cost = 0;
     double seconds = 0;
--- a/include/dotterelshift/gateway/held_grants.h
+++ b/include/dotterelshift/gateway/held_grants.h
@@ -20,45 +20,51 @@
 namespace dotterelshift::gateway {
 
 struct HeldGrantsOptions {
-  // How often spend is reported. What is not reported yet counts as spent in
-  // full when this process dies, so it is short.
+  // Interval of spend reports. It is short, as whatever has not been reported
+  // counts as fully spent if this process dies.
   Duration report_every = 250ms;
-  // How long an entry without control should go on serving each team. All of it
-  // is lost when the process dies.
+  // How long an entry without control should be able to serve each team. All
+  // tokens held for this are lost if the process dies.
   Duration partition = 9s;
-  // Before demand is known, all entries together hold this part of a total, so
-  // that a cut soon after the start is borne, too.
+  // Fraction of a total that all entries hold together before demand is known,
+  // so that a partition soon after the start can be survived as well.
   double first_part = 0.35;
-  // So long after a team's first request is its demand taken as known.
+  // A team's demand counts as known this long after its first request.
   Duration demand_known_after = 10s;
-  // How often the other entries are asked for the same budget.
+  // Minimum interval between borrow requests to other entries for one budget.
   Duration borrow_every = 20ms;
-  // How long control's word on what is left of a total is believed.
+  // Maximum age at which control's figure for the remainder of a total is used
+  // to reject requests.
   Duration remainder_memory = 1s;
-  // The last part of a total is kept for requests that it covers many of, at
-  // such a rate that it lasts for `trickle_over`: without it a team whose total
-  // is nearly used up is not served at all for the rest of the day.
+  // Below this fraction of a total, the remainder is reserved for small
+  // requests and released at a rate that makes it last for `trickle_over`.
+  // Otherwise a team whose total is nearly used up would get no service at all
+  // for the rest of the day.
   double trickle_below = 0.03;
   Duration trickle_over = 20s;
-  // A small request may wait for so much of the trickle to gather.
+  // Limit on the tokens that accumulate, as time at the release rate; a small
+  // request may have to wait this long.
   Duration trickle_gathers = 10s;
-  Duration trickle_memory = 30s;  // how long the word on what is left serves
-  // A grant is likely while so many requests of the size are left.
+  // Maximum age at which control's figure for the remainder is used for
+  // rationing and for predicting grants.
+  Duration trickle_memory = 30s;
+  // A grant is likely if the remainder covers this many requests of the same
+  // size.
   int likely_requests = 10;
 };
 
 enum class BudgetAnswer {
   kNoTotal,    // the team's consumption is not limited
-  kReserved,   // settle it when the request has ended
-  kWait,       // more was asked for, of control and of the other entries
-  kKept,       // the last of the total is spread over time; later, perhaps
-  kExhausted,  // what is left, or what is open to one request, is too little
+  kReserved,   // to be settled when the request has ended
+  kWait,       // more tokens were requested from control and other entries
+  kKept,       // the remainder of the total is rationed; may succeed later
+  kExhausted,  // the remainder, or what one request may use of it, is too small
 };
 
-// Reserves requests of teams with a published total out of what control granted
-// this entry, and reports what they consumed. Nothing waits for a commit: a
-// grant is all spent unseen, and lost with this process but for what it
-// reported.
+// Reserves tokens for requests of teams with a published total, out of the
+// grants that control gave this entry, and reports what the requests consumed.
+// No request waits for a commit: grants are spent without a committed opening,
+// so that all but the reported part is lost if this process dies.
 class HeldGrants {
  public:
   using NextId = std::function<std::unique_ptr<wire::CommandIdT>()>;
@@ -66,15 +72,16 @@
 
   void OnRoutes(const RouteTable& routes, size_t entries, Instant now);
   BudgetAnswer Reserve(const TeamId& team, Tokens worst_case, Instant now);
-  // Whether control is in reach and said lately that the total has tokens for
-  // many requests of this size, so that its next grant covers one that waits.
+  // Whether control is reachable and recently reported a remainder large enough
+  // for many requests of this size, so that its next grant is likely to cover a
+  // waiting request.
   bool GrantIsLikely(const TeamId& team, Tokens worst_case, Instant now) const;
-  // Ends a reservation; `answered`: the caller got a whole answer.
+  // Ends a reservation; `answered`: the caller got a complete response.
   void Settle(const TeamId& team, Tokens reserved, Tokens spent, bool answered,
               Instant now);
 
-  // Other entries' borrow requests and loans. A loan has left this entry when
-  // OnBorrow returns: 0 when nothing can be spared.
+  // Handles another entry's request to borrow tokens. The returned tokens have
+  // already left this entry; 0 if none can be spared.
   Tokens OnBorrow(const wire::TokenBorrowT& borrow, const HostRun& from,
                   Instant now);
   void OnLoan(const wire::TokenLoanT& loan, Instant now);
@@ -82,17 +89,17 @@
     return std::exchange(m_borrows, {});
   }
 
-  // What the desk decides from, for the log.
+  // The figures behind a decision, for the log.
   struct Position {
     Tokens held = 0;
     Tokens reserved = 0;
     Tokens demand_per_second = 0;
-    Tokens left_elsewhere = 0;  // as control said last
+    Tokens left_elsewhere = 0;  // as last reported by control
     Duration left_age = 0s;
   };
   Position PositionOf(const TeamId& team, Instant now) const;
 
-  // Over all teams with a published total.
+  // Sums over all teams with a published total.
   struct Sums {
     Tokens held = 0;
     Tokens reserved = 0;
@@ -101,13 +108,13 @@
 
   void SetConnected(bool connected, Instant now);
   void OnRecall(const wire::RecallT& recall, Instant now);
-  // Control's answer to a command of this desk. True when a waiting request may
-  // now be covered.
+  // Control's answer to a command sent from here. Returns true if a waiting
+  // request may now be covered.
   bool OnAnswer(const wire::CommandAnswerT& answer, Instant now);
 
-  // What is to be proposed to control now.
+  // Commands to propose to control now.
   std::vector<wire::CommandT> TakeCommands(Instant now);
-  // The same at shutdown: reports everything and returns what is left.
+  // The same at shutdown: reports all spend and returns the unspent tokens.
   std::vector<wire::CommandT> TakeLastCommands(Instant now);
   std::vector<wire::BudgetHoldingT> Holdings(Instant now) const;
 
@@ -129,18 +136,20 @@
   const HeldGrantsOptions m_options;
   const NextId m_next_id;
   std::unique_ptr<budget::Ledger> m_ledger;
-  std::unordered_map<TeamId, budget::BudgetHandle> m_handles;  // with a total
+  // Teams with a total.
+  std::unordered_map<TeamId, budget::BudgetHandle> m_handles;
   SpendReports m_reports;
-  // Asks that control has not answered, by the command's sequence.
+  // Grant requests that control has not answered, by the command's sequence
+  // number.
   std::unordered_map<uint64_t, TeamId> m_asks;
-  // Teams whose demand is not known yet, and since when they draw; the epoch:
-  // not at all.
+  // Teams whose demand is not known yet, and the time of their first request;
+  // the epoch if there was none.
   std::unordered_map<TeamId, Instant> m_unknown;
   size_t m_entries = 1;
   bool m_connected = false;
   std::unordered_map<TeamId, Tokens> m_totals;
   Instant m_next_report{};
-  // What is left of a total, as control said last.
+  // The remainder of a total, as last reported by control.
   struct Remainder {
     Tokens tokens = 0;
     Instant heard{};
@@ -149,7 +158,7 @@
                      Tokens worst_case, Instant now) const;
   void AskToBorrow(const TeamId& team, budget::BudgetHandle handle,
                    Tokens worst_case, Instant now);
-  // What an entry may spend by now of the last part of a total.
+  // Token bucket for the last fraction of a total.
   struct Trickle {
     double gathered = 0;
     Instant since{};
--- a/include/dotterelshift/gateway/link_admission.h
+++ b/include/dotterelshift/gateway/link_admission.h
@@ -10,43 +10,47 @@
 namespace dotterelshift::gateway {
 
 struct LinkAdmissionOptions {
-  double bytes_per_second = 0;  // what the link carries each way; 0: not known
-  // Of the link, the part that may be in use for long.
+  // Capacity of the link in each direction; 0: not known.
+  double bytes_per_second = 0;
+  // Fraction of the link that may be in use continuously.
   double used_part = 0.92;
-  // The same while it has been full for longer than `longest_busy`, so that
-  // what waits before it gets less.
+  // The same while the link has been full for longer than `longest_busy`, so
+  // that the queue in front of it shrinks.
   double draining_part = 0.85;
   Duration longest_busy = 300ms;
-  // While it stays full, that part falls by so much a second, down to the
-  // least: what is not counted may take more of the link than is reckoned.
+  // While the link stays full, the fraction falls by this much per second, down
+  // to the minimum: traffic that is not counted may use more of the link than
+  // estimated.
   double fall_per_second = 0.5;
   double least_part = 0.4;
-  // What may come at once beyond that, as time of the link.
+  // Burst allowed on top of that, as transmission time on the link.
   Duration burst = 120ms;
-  // No connection is made while more than this, as time of the link, is on its
-  // way in.
+  // No connection is accepted while more than this, as transmission time on the
+  // link, is in transit inbound.
   Duration longest_wait = 220ms;
-  // What connections that are kept may bring unasked, all at once. Links as
-  // fast as this, 100 Mbit/s, bear all that the server takes.
+  // Limit on what idle kept-alive connections could send all at once. Links at
+  // least this fast (100 Mbit/s) carry all the connections that the server
+  // accepts, so that the limit does not apply.
   Duration kept_burst = 120ms;
   double fast_bytes_per_second = 12.5e6;
-  // A link that was overrun for longer is looked at again after this.
+  // An overrun counts at most this much, as transmission time, so that the link
+  // is tried again after this time.
   Duration longest_debt = 300ms;
-  // What a request brings, until some have been seen.
+  // Estimated size of a request until some have been measured.
   double first_request_bytes = 8 << 10;
 };
 
-// Heads of a packet on the link, besides the bytes that it carries.
+// Size of a packet's headers on the link.
 inline constexpr uint64_t kPacketHeadBytes = 66;
 
-// What becomes of a connection that comes.
+// What happens to an incoming connection.
 enum class Entrance {
   kTakes,
-  kTurnsAway,  // it is closed unread, though what it brings is on its way
-  kShut,       // it is not made, and brings nothing
+  kTurnsAway,  // closed unread, although its request is in transit
+  kShut,       // not accepted by the listener, so that nothing is sent on it
 };
 
-// Bytes that have gone over a link, counted from any moment on.
+// Bytes carried by a link since an arbitrary point in time.
 struct LinkBytes {
   uint64_t in = 0;
   uint64_t out = 0;
@@ -54,92 +58,94 @@
   LinkBytes operator+(const LinkBytes& other) const {
     return {in + other.in, out + other.out};
   }
-  // Since an earlier count.
+  // Bytes carried since an earlier count.
   LinkBytes operator-(const LinkBytes& earlier) const {
     return {in - earlier.in, out - earlier.out};
   }
 };
 
-// Says when an entry should take new connections and which of them its callers
-// may keep, so that what they bring does not queue before its host's link.
+// Decides when an entry accepts new connections and which ones callers may keep
+// alive, so that requests do not queue in front of its host's link.
 //
-// Load pattern: a hash assigns connections to entries, and one team sends many
-// times what the others do, prompts of more bytes than the link of one entry
-// carries, on new connections and on those that it has kept. They are sent as
-// soon as their connections are there, so that no answer and no later decision
-// shortens the queue: answers of endpoints, news of control and callers' closes
-// stand behind it for seconds.
+// Load pattern: connections are assigned to entries by hash, and one team sends
+// many times as much as the others. Its prompts, on new and on kept-alive
+// connections, exceed the capacity of one entry's link. They are sent as soon
+// as the connection exists, so no response or later decision shortens the
+// queue. Responses of endpoints, updates from control and callers' closes are
+// then delayed behind it for seconds.
 //
-// An allowance grows with time and is used up by all that goes over the link; a
-// connection books what its first request should bring. Callers who are turned
-// away have sent their prompts by then: with these in reckoning, no connection
-// is made while too much is on its way. What comes unasked on connections that
-// are kept is bounded by their number. As no more than the link's rate is ever
-// counted, a queue that stands nevertheless is seen by the time for which the
-// link had no gap: it then gets less until it has one.
+// A token bucket is refilled over time and drained by all traffic on the link;
+// a new connection reserves the expected size of its first request. Rejected
+// callers have already sent their prompts: these are counted too, and no
+// connection is accepted while too much is in transit. Unsolicited requests on
+// kept-alive connections are bounded by limiting their number. Since the
+// counted bytes never exceed the link's rate, a standing queue is detected by
+// how long the link has had no gap; less is then admitted until a gap occurs.
 class LinkAdmission {
  public:
   explicit LinkAdmission(const LinkAdmissionOptions& options);
 
   // A connection was accepted.
   void OnConnected();
-  // It was closed unread.
+  // A connection was closed unread.
   void OnTurnedAway();
-  // Its first request, of so many bytes, has come in whole.
+  // The first request of a connection, of this size, was received completely.
   void OnFirstRequest(uint64_t bytes);
-  // A later one has.
+  // A later request on a connection was received completely.
   void OnKeptRequest(uint64_t bytes) { OnRequestSize(bytes); }
-  // It has ended without one.
+  // A connection ended without a request.
   void OnUnusedEnd();
-  // What has gone over the link since the last call, requests included.
+  // Bytes that the link carried since the last call, requests included.
   void OnBytes(const LinkBytes& bytes, Instant now);
-  // So many bytes of requests wait here until the way out has room.
+  // Sets the bytes of requests that are queued here for the outbound link.
   void SetHeldOut(uint64_t bytes) { m_held_out = static_cast<double>(bytes); }
 
-  // Once not taken, connections are when a quarter of what may come at once has
-  // gathered. Shut is who could not even be turned away in time.
+  // Decides about a connection that arrives now. After a rejection, connections
+  // are accepted again once a quarter of the burst has accumulated. kShut is
+  // returned if connections could not even be rejected in time.
   Entrance Decide(Instant now);
 
-  // Whether a caller may keep its connection when so many others may bring a
-  // request at any moment.
+  // Whether a caller may keep its connection alive while this many others may
+  // send a request at any moment.
   bool MayKeep(size_t connections) const;
 
-  // Whether a queue may stand before the link, so that less is let in.
-  // Connections that wait for their caller's next request should end then: each
-  // may add to it at any moment.
+  // Whether a queue may be standing in front of the link, so that less is
+  // admitted. Idle kept-alive connections should then be closed, as each may
+  // add to the queue at any moment.
   bool DrainsQueue() const { return BusyFor() > m_options.longest_busy; }
 
-  // For how long the way in has been full without a gap.
+  // How long the inbound link has been full without a gap.
   Duration BusyFor() const { return m_busy_in.BusyFor(); }
 
-  // Whether the link's rate is known.
+  // Whether the link's capacity is known.
   bool IsBounded() const { return m_options.bytes_per_second > 0; }
 
  private:
-  // What may go one way by now, in bytes; below zero after an overrun.
+  // Bytes that may be carried now in each direction; negative after an overrun.
   struct Allowance {
     double in = 0;
     double out = 0;
   };
 
   double BytesIn(Duration time) const;
-  // Of the link, what may be let in now for long.
+  // Fraction of the link that may currently be in use continuously.
   double UsedPart() const;
   double FirstRequestOnWire() const;
-  // Gives back what a connection had booked, as an average of all that wait.
+  // Releases the reservation of one connection, as the average of all
+  // reservations.
   void EndBooking();
   void OnRequestSize(uint64_t bytes);
   void Grow(Instant now);
 
   const LinkAdmissionOptions m_options;
   LinkBusyTime m_busy_in;
-  double m_request_bytes;  // of a request, an average over the last ones
-  double m_booked = 0;     // by connections that have not spoken
+  double m_request_bytes;  // average size of recent requests
+  double m_booked = 0;     // by connections without a request so far
   size_t m_bookings = 0;
-  // Bytes that would wait before the link if all that is expected had come, and
-  // the link had carried on without a gap.
+  // Bytes that would be queued in front of the link if everything expected had
+  // arrived and the link had carried data without a gap.
   double m_on_its_way = 0;
-  double m_unread = 0;     // estimated of those turned away, since OnBytes()
+  double m_unread = 0;     // estimate for rejected connections, since OnBytes()
   size_t m_connected = 0;  // since OnBytes()
   Allowance m_allowance;
   double m_held_out = 0;
--- a/include/dotterelshift/gateway/link_busy_time.h
+++ b/include/dotterelshift/gateway/link_busy_time.h
@@ -6,30 +6,30 @@
 namespace dotterelshift::gateway {
 
 struct LinkBusyTimeOptions {
-  double bytes_per_second = 0;  // what the link carries; 0: not known
-  // Of it, the part at which the link counts as full; the rest is for what the
-  // estimate of packets' heads and handshakes misses.
+  double bytes_per_second = 0;  // capacity of the link; 0: not known
+  // Fraction of the capacity at which the link counts as full; the rest allows
+  // for errors in the estimate of packet headers and handshakes.
   double full_part = 0.93;
-  // A link that has carried so much less than when it is full had a gap; after
-  // long turns of the loop so much less as in the last two of them, up to the
-  // most: what has come may be counted in the next turn only.
+  // Shortfall against a full link, as transmission time, that counts as a gap.
+  // After long iterations of the event loop, the time of the last two
+  // iterations is used instead, up to the maximum, as received bytes may be
+  // counted one iteration late.
   Duration gap = 30ms;
   Duration most_gap = 200ms;
 };
 
-// Tells for how long one way of a link has been in full use without a gap.
+// Measures how long one direction of a link has been fully used without a gap.
 //
-// Load pattern: behind a full link nothing shows how much waits before it, as
-// never more than its rate comes through. But a link in which there was a gap
-// had no queue then, and what waits now has come since: so a queue is at most
-// as old as this time.
+// Load pattern: the length of the queue in front of a full link cannot be
+// observed, as no more than the link's rate ever arrives. A link that had a gap
+// had no queue at that time, so a queue is at most as old as the time since the
+// last gap.
 class LinkBusyTime {
  public:
   explicit LinkBusyTime(const LinkBusyTimeOptions& options)
       : m_options(options) {}
 
-  // So many bytes, packets' heads included, have come through since the last
-  // call.
+  // Bytes carried since the last call, packet headers included.
   void OnBytes(double bytes, Instant now);
 
   // As of the last OnBytes().
@@ -40,7 +40,7 @@
   Instant m_since{};
   Duration m_last_turn = 0s;
   Duration m_busy_for = 0s;
-  double m_missing = 0;  // bytes that a full link would have carried besides
+  double m_missing = 0;  // bytes carried less than by a full link
 };
 
 }  // namespace dotterelshift::gateway
--- a/include/dotterelshift/gateway/link_load_shedder.h
+++ b/include/dotterelshift/gateway/link_load_shedder.h
@@ -8,49 +8,51 @@
 namespace dotterelshift::gateway {
 
 struct LinkLoadShedderOptions {
-  double bytes_per_second = 0;  // what the host's link carries; 0: not known
-  // So much of the link may be in use for `window`; the rest is for what comes
-  // until the balancer has seen it, and on connections that stay.
+  double bytes_per_second = 0;  // capacity of the host's link; 0: not known
+  // Shedding starts at this link utilization, averaged over `window`. The rest
+  // of the capacity is for traffic that arrives before the load balancer reacts
+  // and for established connections.
   double full_part = 0.6;
   Duration window = 1s;
-  // Back in rotation once no more than this part is in use, and not before
-  // `shed_least`: the balancer asks once a second and believes the second miss.
+  // Shedding ends at this utilization or below, but not before `shed_least`:
+  // the balancer checks health once a second and acts on the second failure.
   double clear_part = 0.45;
   Duration shed_least = 3s;
-  // A caller that fills any entry must not keep all of them away.
+  // Shedding ends after this time at any load, so that a caller that overloads
+  // any entry it reaches does not take all entries out of rotation.
   Duration shed_most = 6s;
-  // Back in rotation, callers who are turned away send it out again after this
-  // at the earliest.
+  // Once back in rotation, an entry is not taken out again by rejected
+  // connections before this time has passed.
   Duration stay_least = 2s;
 };
 
-// Says when an entry should let new connections go to other entries because its
-// host's link is well in use.
+// Decides when an entry should direct new connections to other entries because
+// its host's link is heavily used.
 //
-// Load pattern: a hash assigns connections to entries, and one team sends many
-// times what the others do, so that the requests of a few callers fill the link
-// of one entry while the links of the others are nearly idle. All that the
-// entry is told then comes seconds late, among it that an endpoint leaves, and
-// requests outlast their callers' patience in the link's queue.
+// Load pattern: connections are assigned to entries by hash, and one team sends
+// many times as much as the others. The requests of a few callers then fill the
+// link of one entry while other links are nearly idle. All messages to that
+// entry arrive seconds late, including that an endpoint is leaving, and
+// requests time out in the link's queue.
 class LinkLoadShedder {
  public:
   explicit LinkLoadShedder(const LinkLoadShedderOptions& options)
       : m_options(options) {}
 
-  // So many bytes have gone over the link, the busier way of the two.
+  // Bytes carried by the link, in its busier direction.
   void OnBytes(size_t bytes, Instant now);
-  // A connection that comes now is not taken: new ones go elsewhere from here
-  // on, unless this entry has just come back.
+  // A connection was rejected. Starts shedding, unless this entry has only just
+  // come back into rotation.
   void OnTurnedAway(Instant now);
-  // Whether new connections should go elsewhere.
+  // Whether new connections should go to other entries.
   bool IsShedding(Instant now);
 
-  // Of the link, the part that was in use lately.
+  // Fraction of the link's capacity in use, averaged over `window`.
   double FilledPart(Instant now) const;
 
  private:
   const LinkLoadShedderOptions m_options;
-  double m_rate = 0;  // bytes a second, an exponentially decaying average
+  double m_rate = 0;  // bytes per second, exponentially decaying average
   Instant m_since{};
   Instant m_shedding_since{};  // the epoch: not shedding
   Instant m_back_since{};      // the epoch: has not shed yet
--- a/include/dotterelshift/gateway/link_wait.h
+++ b/include/dotterelshift/gateway/link_wait.h
@@ -7,25 +7,25 @@
 
 namespace dotterelshift::gateway {
 
-// Estimates how long the next byte that is handed to a link waits before it:
-// what was handed over, at the link's rate, since the link was last idle. What
-// the system adds, as packets' heads, is not in it, and what is taken back is
-// still counted.
+// Estimates how long the next byte written to a link is queued: the bytes
+// written since the link was last idle, at the link's rate. Overhead added by
+// the system, such as packet headers, is not included, and bytes that were
+// withdrawn are still counted.
 class LinkWait {
  public:
-  // 0 bytes a second: the rate is not known, and there is no wait.
+  // 0 bytes per second: the rate is not known, and the wait is always 0.
   explicit LinkWait(double bytes_per_second)
       : m_bytes_per_second(bytes_per_second) {}
 
-  // So many bytes are handed to the link.
+  // Bytes were written to the link.
   void OnBytes(uint64_t bytes, Instant now);
   Duration Wait(Instant now) const;
-  // The longest wait that there was after any bytes since the last call.
+  // The longest wait after any write since the last call.
   Duration TakeLongest();
 
  private:
   const double m_bytes_per_second;
-  Instant m_idle_at{};  // when the link will have carried all
+  Instant m_idle_at{};  // when the link will have carried all bytes
   Duration m_longest{};
 };
 
--- a/include/dotterelshift/gateway/load_note_pacer.h
+++ b/include/dotterelshift/gateway/load_note_pacer.h
@@ -8,35 +8,35 @@
 namespace dotterelshift::gateway {
 
 struct LoadNotePacerOptions {
-  double bytes_per_second = 0;  // what the host's link carries; 0: not known
-  // Of the link, the part that load notes may take.
+  double bytes_per_second = 0;  // capacity of the host's link; 0: not known
+  // Fraction of the link that load updates may use.
   double part = 0.15;
-  // Notes do not get older than this: the others place requests by them.
+  // Maximum delay of an update: other entries place requests by them.
   Duration longest_gap = 100ms;
-  // Of a batch to one entry: the frame and its packet, and each note.
+  // Size of a batch to one entry: its frame and packet, and each update.
   size_t frame_bytes = 120;
   size_t note_bytes = 32;
 };
 
-// Says when load notes go to the other entries, as one batch.
+// Decides when load updates are sent to the other entries, as one batch.
 //
-// Load pattern: an entry whose callers send a hundred requests a second tells
-// some twenty others of each one's begin and end. One frame for each takes more
-// of a slow link than the requests do, and endpoints and callers wait behind
-// them. Notes that gather are told together, no more than the link has room
-// for; where it is fast or little happens, they go at once.
+// Load pattern: an entry that receives a hundred requests a second notifies
+// some twenty others of the start and end of each. With one frame per event,
+// the updates use more of a slow link than the requests, and delay endpoints
+// and callers. Updates are therefore batched at the rate that the link's
+// fraction allows. On a fast link or at a low rate they are sent immediately.
 class LoadNotePacer {
  public:
   explicit LoadNotePacer(const LoadNotePacerOptions& options)
       : m_options(options) {}
 
   bool MaySend(Instant now) const { return now >= m_next; }
-  // From when on it may.
+  // Earliest time at which a batch may be sent.
   Instant Next() const { return m_next; }
-  // How many notes a batch to so many entries may hold, so that the longest gap
-  // pays for it.
+  // Maximum number of updates in a batch to this many entries, such that
+  // sending one batch per `longest_gap` stays within the link's fraction.
   size_t Most(size_t entries) const;
-  // A batch of so many notes goes to so many entries.
+  // A batch of `notes` updates was sent to each of `entries` entries.
   void OnSent(size_t notes, size_t entries, Instant now);
 
  private:
--- a/include/dotterelshift/gateway/part_cache.h
+++ b/include/dotterelshift/gateway/part_cache.h
@@ -11,17 +11,17 @@
 
 namespace dotterelshift::gateway {
 
-// What an engine's prompt cache probably holds, as far as requests sent there
-// tell: parts, the least recently used dropped first.
+// Estimated content of an engine's prompt cache, derived from the requests sent
+// there: prompt segments with least-recently-used eviction.
 class PartCache {
  public:
   explicit PartCache(Tokens capacity = 0) : m_capacity(capacity) {}
 
   void SetCapacity(Tokens capacity);
-  // Notes that a prompt's part was read, or used, there now.
+  // A segment of a prompt was prefilled or reused there now.
   void Touch(uint64_t part, Tokens tokens);
-  // Tokens at the front of a prompt that need not be read again: parts count
-  // only as long as all before them are held, too.
+  // Number of tokens at the front of a prompt that need no prefill: a segment
+  // counts only if all segments before it are cached as well.
   Tokens Held(const std::vector<PromptPart>& parts) const;
   void Clear();
 
--- a/include/dotterelshift/gateway/retry_share.h
+++ b/include/dotterelshift/gateway/retry_share.h
@@ -12,26 +12,27 @@
 
 struct RetryShareOptions {
   double ratio = 0.2;   // of the fleet's requests to a service in a window
-  uint32_t slack = 50;  // repeats of the whole fleet in a window besides
+  uint32_t slack = 50;  // additional retries of the whole fleet in a window
   Duration window = 10s;
-  // Part of the allowance that is used: a restarted entry forgets what its
-  // former run sent, and windows of different entries do not begin together.
+  // Fraction of the allowance that is used. The rest is a margin: a restarted
+  // entry does not know what its previous incarnation sent, and the windows of
+  // the entries are not aligned.
   double used_part = 0.8;
 };
 
-// This entry's share of the repeats that the fleet may send to a service,
-// worked out from its own requests and the number of entries, so that no
-// message is needed before a repeat. All shares together stay within the
-// fleet's allowance in every window.
+// This entry's share of the retries that the fleet may send to a service. It is
+// computed from the entry's own requests and the number of entries, so that a
+// retry needs no message to others. All shares together stay within the fleet's
+// allowance in every window.
 class RetryShare {
  public:
   explicit RetryShare(const RetryShareOptions& options) : m_options(options) {}
 
-  // Entries that share the slack; at least one.
+  // Sets the number of entries that share the slack; at least one.
   void SetEntries(size_t entries);
-  // A request for the service came in.
+  // A request for the service was received.
   void OnRequest(const std::string& service, Instant now);
-  // Takes one repeat out of the share; false when there is none left.
+  // Takes one retry from the share; false if none is left.
   bool Take(const std::string& service, Instant now);
 
  private:
@@ -39,7 +40,7 @@
   struct Counts {
     std::array<uint32_t, kBuckets> requests{};
     std::array<uint32_t, kBuckets> repeats{};
-    int64_t newest = 0;  // number of the newest bucket since the clock's start
+    int64_t newest = 0;  // bucket number, counted from the clock's epoch
   };
   Counts& Turn(const std::string& service, Instant now);
 
--- a/include/dotterelshift/gateway/send_pacer.h
+++ b/include/dotterelshift/gateway/send_pacer.h
@@ -10,56 +10,57 @@
 namespace dotterelshift::gateway {
 
 struct SendPacerOptions {
-  double bytes_per_second = 0;  // what the link carries; 0: not known
-  // Of the link, the part that what is counted may take: the rest is for what
-  // is not, as handshakes, acknowledgements and packets' heads.
+  double bytes_per_second = 0;  // capacity of the link; 0: not known
+  // Fraction of the link for counted bytes. The rest is for what is not
+  // counted, such as handshakes, acknowledgements and packet headers.
   double used_part = 0.9;
-  // What the system may hold with a prompt that is let go, as time of the link.
+  // Limit on the bytes in the system's send queue including the prompt to be
+  // sent, as transmission time on the link.
   Duration most_held = 60ms;
-  // A prompt that is longer than that by itself goes when no more than this is
-  // before it.
+  // A prompt that exceeds the limit by itself is sent once no more than this is
+  // queued before it.
   Duration least_held = 20ms;
 };
 
-// Says when a prompt may go out, so that what waits for the link waits at the
-// entry and not in the system's queue.
+// Decides when a prompt may be sent, so that prompts queue in the entry and not
+// in the system's send queue.
 //
-// Load pattern: callers of one entry send more prompts than its host's link
-// carries on to endpoints, and many leave before theirs has gone out. What the
-// system was given cannot be taken back and goes out first: prompts of callers
-// who have left, and behind these all answers, closes and frames to control,
-// for seconds. What waits at the entry costs nothing to drop.
+// Load pattern: callers of one entry send more prompts than its host's link can
+// forward to endpoints, and many callers leave before their prompt is sent.
+// Data that was passed to the system cannot be withdrawn: prompts of callers
+// who have left are sent first and delay all responses, closes and frames to
+// control for seconds. Prompts queued in the entry can be dropped at no cost.
 //
-// Models the system's queue: what was handed over, less what the link has
-// carried since. Answers and frames are counted, never held back.
+// Models the system's queue as the bytes written less what the link has carried
+// since. Responses and frames are counted but never delayed.
 class SendPacer {
  public:
   explicit SendPacer(const SendPacerOptions& options) : m_options(options) {}
 
-  // Whether the link's rate is known; else nothing is held back.
+  // Whether the link's capacity is known; otherwise nothing is delayed.
   bool IsBounded() const { return m_options.bytes_per_second > 0; }
 
-  // Whether a prompt of so many bytes may go, and from when on it may if
-  // nothing else is handed over before.
+  // Whether a prompt of this size may be sent, and the earliest time at which
+  // it may be if nothing else is written before.
   bool MaySend(uint64_t bytes, Instant now) const;
   Instant Next(uint64_t bytes) const;
-  // How long a prompt waits until it may go, when so many bytes go before it.
+  // Time until a prompt may be sent if `bytes_before` are sent before it.
   Duration WaitBehind(uint64_t bytes_before, uint64_t bytes, Instant now) const;
 
-  // The prompt of an attempt is let go.
+  // The prompt of an attempt is released for sending.
   void OnPrompt(AttemptId attempt, uint64_t bytes, Instant now);
-  // It turned out that none of it was handed to a connection.
+  // None of an attempt's prompt was written to a connection.
   void OnNotSent(AttemptId attempt, Instant now);
-  // Anything else has gone out.
+  // Anything other than a prompt was written.
   void OnBytes(uint64_t bytes, Instant now);
 
-  // How long the link needs for what it was given and has not carried.
+  // Time that the link needs for the bytes written and not yet carried.
   Duration Held(Instant now) const;
 
  private:
-  // A run of bytes that go out in order.
+  // Consecutive bytes in the send queue.
   struct Piece {
-    AttemptId attempt = 0;  // 0: no prompt
+    AttemptId attempt = 0;  // 0: not a prompt
     double bytes = 0;
   };
 
@@ -68,16 +69,16 @@
   }
   double BytesIn(Duration time) const;
   Duration TimeOf(double bytes) const;
-  // The most that may be held before a prompt that goes.
+  // Maximum bytes queued before a prompt of this size for it to be sent.
   double Room(uint64_t bytes) const;
   double HeldBytes(Instant now) const;
-  // Drops what the link has carried until now.
+  // Removes the bytes that the link has carried until now.
   void Carry(Instant now);
   void Add(AttemptId attempt, uint64_t bytes, Instant now);
 
   const SendPacerOptions m_options;
-  std::deque<Piece> m_pieces;  // the first one goes out first
-  double m_bytes = 0;          // of all pieces
+  std::deque<Piece> m_pieces;  // front is sent first
+  double m_bytes = 0;          // sum over all of them
   Instant m_carried_to{};
 };
 
--- a/include/dotterelshift/gateway/spend_reports.h
+++ b/include/dotterelshift/gateway/spend_reports.h
@@ -13,27 +13,27 @@
 
 namespace dotterelshift::gateway {
 
-// Gathers what an entry spends and hands on until control can be told. One
-// report is under way at a time, and what happens meanwhile is summed by team
-// and receiver: however long control is away, the entry then owes it one
-// command, not one for each interval and loan. A control group that starts
-// again under a whole fleet's backlog is what this is for.
+// Accumulates what an entry spends and lends until it can be reported to
+// control. One report is in flight at a time; later events are summed by team
+// and receiver. However long control is unreachable, the entry then has one
+// command to send instead of one per interval and loan, so that a restarting
+// control group is not overloaded by the backlog of a whole fleet.
 class SpendReports {
  public:
   void OnSpent(const TeamId& team, Tokens spent, bool answered);
   void OnLent(const TeamId& team, const HostRun& to, Tokens tokens);
 
-  // All that has gathered; none when nothing has, or while a report is under
-  // way. It is then under way until OnAnswer() of the command that carries it.
+  // Returns all accumulated events; none if there are none or a report is in
+  // flight. The report is in flight until OnAnswer() is called for its command.
   std::optional<wire::ReportHoldingsT> Take();
-  // The same also while one is under way: at the end there is no next time.
+  // The same even while a report is in flight, for use at shutdown.
   std::optional<wire::ReportHoldingsT> TakeLast();
-  // The command that carries the report taken last.
+  // Sets the command that carries the report taken last.
   void OnSent(uint64_t sequence) { m_under_way = sequence; }
-  // Whether the answer was the one to the report under way.
+  // Returns whether the answer was for the report in flight.
   bool OnAnswer(uint64_t sequence);
 
-  // Lines that the next report will have.
+  // Number of lines in the next report.
   size_t Gathered() const { return m_spends.size() + m_moves.size(); }
 
  private:
