--- a/include/dotterelshift/gateway/fleet_load.h
+++ b/include/dotterelshift/gateway/fleet_load.h
@@ -110,8 +110,8 @@
   void OnUnreachable(EndpointKey endpoint, Instant now);
   void OnFull(EndpointKey endpoint, Instant now);
 
-  // Load updates for the other entries since the last call. If there are more
-  // than `most`, the oldest prompt segments are dropped: without them other
+  // Load updates for the other entries since the last call. Beyond the
+  // given number the oldest prompt segments are dropped: without them other
   // entries only choose worse, but without the sums their counts would stay
   // wrong.
   std::vector<wire::LoadNote> TakeNotes(size_t most = kAllNotes);
--- a/src/dotterelshift/admission/concurrency_limit.cc
+++ b/src/dotterelshift/admission/concurrency_limit.cc
@@ -9,25 +9,26 @@
 // Weight of a new measurement in the recent latency.
 constexpr double kRecentWeight = 0.1;
 
-// Weight of a latency below the best one: a single lucky answer, such as one
-// from a cached prefix, does not become the measure of all.
+// Weight of a latency below the best one, so that a single fast response, such
+// as one from a cached prefix, does not become the reference.
 constexpr double kBetterWeight = 0.1;
 
-// Latency may be this many times the best before the limit shrinks.
+// The limit shrinks when latency exceeds this multiple of the best.
 constexpr double kTolerance = 1.5;
 
-// Weight of a new limit, and the factor after a refusal.
+// Weight of a new limit, and the factor applied after a refusal.
 constexpr double kChangeWeight = 0.2;
 constexpr double kRefusedFactor = 0.8;
 
-// Growth by each measurement until latency first rises: half as much again in
-// a round of requests.
+// Growth per measurement until latency first rises: a factor of 1.5 per round
+// of requests.
 constexpr double kFastGrowth = 0.5;
 
-// The most that one round may shrink the limit.
+// Lower bound on the factor by which one round may shrink the limit.
 constexpr double kLeastGradient = 0.5;
 
-// One refusal a while counts: those in flight together say the same thing.
+// Only one refusal per interval counts, as requests that were in flight
+// together report the same overload.
 constexpr Duration kRefusalPause = 100ms;
 
 double AsMs(Duration duration) {
--- a/src/dotterelshift/admission/concurrency_limit_test.cc
+++ b/src/dotterelshift/admission/concurrency_limit_test.cc
@@ -5,13 +5,13 @@
 namespace dotterelshift::admission {
 namespace {
 
-// An engine whose first token takes 30 ms up to its slots, and longer in
-// proportion above them.
+// An engine whose time to first token is 30 ms up to `slots` requests, and
+// grows in proportion above that.
 Duration LatencyAt(int in_flight, int slots) {
   return in_flight <= slots ? 30ms : 30ms * in_flight / slots;
 }
 
-// Measurements with the limit in full use.
+// Adds measurements with the limit fully used.
 void Use(ConcurrencyLimit& limit, int slots, int count) {
   for (int i = 0; i < count; ++i) {
     const int in_flight = limit.Current();
--- a/src/dotterelshift/admission/fair_queue.cc
+++ b/src/dotterelshift/admission/fair_queue.cc
@@ -10,41 +10,40 @@
 namespace dotterelshift::admission {
 namespace {
 
-// Teams whose first request could not start, tried for one target in one call.
-// Teams may reach different endpoints, so one miss does not speak for all; but
-// a call must stay short when everything is busy. The next call goes on behind
-// the teams that were tried.
+// Number of teams whose first request may fail to start, per target and call.
+// Teams may reach different endpoints, so one failure does not exclude the
+// others; but a call must stay short when all endpoints are busy. The next call
+// resumes behind the teams that were tried.
 constexpr int kMaxMisses = 8;
 
-// Flows without requests that are kept before those with nothing to remember
-// are swept.
+// Number of flows without requests that are kept before idle flows are removed.
 constexpr size_t kIdleFlows = 256;
 
-// Place of a request within its team: its priority, then its arrival's number.
+// Position of a request within its team: its priority, then its arrival number.
 using Place = std::pair<int, uint64_t>;
 
 // One team's requests for one target. Start-time fair queueing: the flow with
-// the least start tag is served, and each request served moves its flow's tag
-// on by cost over weight.
+// the smallest start tag is served, and each served request advances its flow's
+// tag by cost over weight.
 struct Flow {
   double start = 0;
   double weight = 1;    // of the request pushed last
-  double queued = 0;    // cost of those that wait
-  uint64_t number = 0;  // breaks ties
+  double queued = 0;    // cost of the queued requests
+  uint64_t number = 0;  // tie breaker
   std::set<std::pair<Place, RequestId>> waiting;
 };
 
-// A flow's turn: its start tag and its number.
+// Scheduling order of a flow: its start tag and its number.
 using Turn = std::pair<double, uint64_t>;
 
-// Before each flow's turn.
+// Sorts before the turn of every flow.
 constexpr Turn kNoTurn{-1, 0};
 
 struct Target {
   double virtual_time = 0;
   std::unordered_map<TeamId, Flow> flows;
   std::map<Turn, TeamId> backlogged;
-  Turn resume_after = kNoTurn;  // where the last call gave up
+  Turn resume_after = kNoTurn;  // where the last call stopped
 };
 
 struct Entry {
@@ -68,7 +67,7 @@
     Target& target = m_targets[waiting.target];
     Flow& flow = FlowOf(target, waiting.team);
     if (flow.waiting.empty()) {
-      // A team gains nothing by having been idle.
+      // A team earns no credit by having been idle.
       flow.start = std::max(flow.start, target.virtual_time);
       target.backlogged.emplace(TurnOf(flow), waiting.team);
     }
@@ -105,8 +104,8 @@
 
   size_t Size() const override { return m_entries.size(); }
 
-  // Until the request's turn each other team is served its weight times the
-  // way that virtual time has to go, at most what it has waiting.
+  // Until the request's turn, each other team is served its weight times the
+  // distance that virtual time has to advance, at most the cost it has queued.
   double CostAhead(const Waiting& waiting) const override {
     const auto named = m_targets.find(waiting.target);
     if (named == m_targets.end()) return 0;
@@ -137,7 +136,7 @@
     return std::max<uint32_t>(1, waiting.weight);
   }
 
-  // Cost of a team's requests that stand before one of this priority.
+  // Cost of a team's queued requests that precede a new one of this priority.
   double OwnCostAhead(const Flow& flow, int priority) const {
     double cost = 0;
     for (const auto& [place, request] : flow.waiting) {
@@ -155,8 +154,8 @@
     return found->second;
   }
 
-  // Goes once around the flows from where the last call gave up. `try_start`
-  // may push and remove, so no iterator is held across it.
+  // Passes once over the flows, starting where the last call stopped.
+  // `try_start` may push and remove requests, so no iterator is held across it.
   void OfferTarget(const std::string& name,
                    const std::function<bool(const Waiting&)>& try_start) {
     const Turn begin = m_targets[name].resume_after;
@@ -185,12 +184,12 @@
     m_targets[name].resume_after = misses == kMaxMisses ? after : kNoTurn;
   }
 
-  // A copy, as the callback may remove it.
+  // Returns a copy, as the callback may remove the request.
   Waiting FirstOf(const Flow& flow) const {
     return m_entries.at(flow.waiting.begin()->second).waiting;
   }
 
-  // Takes a request out; a started one is charged to its team.
+  // Removes a request; its cost is charged to its team if it was started.
   void Take(RequestId request, bool started) {
     const auto found = m_entries.find(request);
     if (found == m_entries.end()) return;
@@ -221,7 +220,8 @@
     TakeFromFlow(m_targets.at(entry.waiting.target), entry, started);
   }
 
-  // A flow without requests whose tag has been passed is as good as a new one.
+  // Removes flows without requests whose tag has been passed: a new flow would
+  // have the same effect.
   static void SweepIdle(Target& target) {
     const bool idle = target.backlogged.empty();
     if (!idle &&
--- a/src/dotterelshift/admission/fair_queue_test.cc
+++ b/src/dotterelshift/admission/fair_queue_test.cc
@@ -46,7 +46,7 @@
     struct Row {
       double cost;
       uint32_t weight;
-      int served;  // of 60 starts, beside a team of cost 1 and weight 1
+      int served;  // out of 60 starts, against a team of cost 1 and weight 1
     };
     for (const Row& row : {Row{1, 1, 30}, Row{1, 2, 40}, Row{1, 5, 50},
                            Row{2, 1, 20}, Row{4, 2, 20}}) {
@@ -146,7 +146,7 @@
       if (offered == 1) m_queue->Push(Make(100, "b"));
       return offered % 2 == 0;
     };
-    // Each call makes some way, whatever its callback does.
+    // Each call makes progress, whatever its callback does.
     for (int calls = 1; m_queue->Size() > 0; ++calls) {
       m_queue->Offer(start);
       CPPUNIT_ASSERT(offered >= calls);
@@ -178,13 +178,13 @@
     estimator.OnWaiting("m", true, At(0s));
     for (int i = 1; i <= 100; ++i)
       estimator.OnStarted("m", 2, true, At(i * 50ms));
-    // 40 of cost a second.
+    // A cost of 40 is served per second.
     const Duration wait = estimator.Expected("m", 400, At(5s));
     CPPUNIT_ASSERT(wait > 9s && wait < 11s);
     CPPUNIT_ASSERT(!estimator.RefuseFor("m", 400, 15s, At(5s)));
     const auto refused = estimator.RefuseFor("m", 400, 2s, At(5s));
     CPPUNIT_ASSERT(refused && *refused > 7s && *refused < 10s);
-    // When nothing starts any more the estimate grows by itself.
+    // The estimate grows while no request is started.
     CPPUNIT_ASSERT(estimator.Expected("m", 400, At(10s)) > 2 * wait);
   }
 
@@ -199,7 +199,7 @@
   }
 
  private:
-  // Starts so many requests; returns how many of each team.
+  // Starts this many requests; returns the count per team.
   std::map<TeamId, int> Start(int count) {
     std::map<TeamId, int> started;
     m_queue->Offer([&](const Waiting& waiting) {
--- a/src/dotterelshift/admission/wait_estimator.cc
+++ b/src/dotterelshift/admission/wait_estimator.cc
@@ -6,15 +6,15 @@
 namespace dotterelshift::admission {
 namespace {
 
-// How long a measurement is remembered, in seconds of waiting.
+// Time constant of the decay, in seconds during which requests were queued.
 constexpr double kMemorySeconds = 5;
 
-// Below so much observed waiting nothing is claimed.
+// No estimate is made from less observed queueing time than this.
 constexpr double kLeastSeconds = 0.2;
 
-// The expected wait may take this share of the time left. The estimate is rough
-// and a request that misses its deadline in the queue has waited for nothing;
-// docs/decisions/admission.md has the figures.
+// Fraction of the time left that the expected wait may take. The estimate is
+// rough, and a request that misses its deadline in the queue has waited for
+// nothing; docs/decisions/admission.md has the figures.
 constexpr double kShareOfTimeLeft = 0.8;
 
 }  // namespace
--- a/src/dotterelshift/gateway/fleet_load.cc
+++ b/src/dotterelshift/gateway/fleet_load.cc
@@ -42,7 +42,8 @@
     for (const ServiceName& service : record.services)
       m_by_service[service].push_back(key);
   }
-  // What is still under way at endpoints that were forgotten ends there.
+  // Endpoints that left the directory are kept while this entry has requests
+  // there.
   for (auto& [key, load] : known) {
     if (load.own == 0 || m_loads.contains(key)) continue;
     load.usable = false;
@@ -89,7 +90,7 @@
   const uint32_t running = RunningAt(load);
   double cost = AsMs(placement.wait) + AsMs(placement.read);
   cost += m_options.per_running_ms * running;
-  // Past its slots a request waits for one to end.
+  // Beyond its slots, a request waits for another one to end.
   constexpr double kNoSlotMs = 200;
   if (running >= load.slots) cost += kNoSlotMs * (running - load.slots + 1);
   if (load.contact.data_centre != m_options.data_centre)
@@ -148,7 +149,7 @@
 void FleetLoad::OnRead(EndpointKey endpoint, Instant now) {
   const auto found = m_loads.find(endpoint);
   if (found == m_loads.end()) return;
-  // The only one there: nothing is left to be read.
+  // It is the only request there, so no other prompt is queued.
   if (RunningAt(found->second) == 1) found->second.read_until = now;
 }
 
@@ -197,7 +198,7 @@
   change.requests += requests;
 }
 
-// An endpoint's sums go with the first note of one of its parts.
+// An endpoint's sums are sent with the first update for one of its segments.
 std::vector<wire::LoadNote> FleetLoad::TakeNotes(size_t most) {
   std::map<EndpointKey, Change> changes = std::exchange(m_changes, {});
   std::vector<wire::LoadNote> notes = std::exchange(m_part_notes, {});
@@ -219,8 +220,8 @@
   return notes;
 }
 
-// An endpoint that was forgotten for a while begins at zero again, so that less
-// may be there than is taken back.
+// An endpoint that was forgotten for a while restarts at zero, so that more may
+// be subtracted than is counted.
 void FleetLoad::ChangeOthers(Load& load, int change) {
   const int others = static_cast<int>(load.others) + change;
   load.others = static_cast<uint32_t>(std::max(0, others));
--- a/src/dotterelshift/gateway/fleet_load_test.cc
+++ b/src/dotterelshift/gateway/fleet_load_test.cc
@@ -62,7 +62,8 @@
     return *placement;
   }
 
-  // Three long prompts at once at two endpoints: no two are read side by side.
+  // Three long prompts arrive at once for two endpoints; no two are prefilled
+  // at the same time.
   void LongPromptsBookOneAfterTheOther() {
     const Placement first = Give(PromptOf(kLong));
     const Placement second = Give(PromptOf(kLong));
@@ -78,7 +79,8 @@
     m_load->OnNotes("other", notes, m_now);
     CPPUNIT_ASSERT_EQUAL(uint32_t{1}, m_load->Running(KeyOf("a")));
     CPPUNIT_ASSERT_EQUAL(KeyOf("b"), Give(PromptOf(kLong)).endpoint);
-    // The part that the other entry had read there is not read again.
+    // The segment that the other entry had prefilled there is not prefilled
+    // again.
     m_now += 1s;
     const Placement placement = Give(PromptOf(kLong, 7));
     CPPUNIT_ASSERT_EQUAL(KeyOf("a"), placement.endpoint);
@@ -89,7 +91,8 @@
     const EndpointKey owner = Give(PromptOf(kLong, 9)).endpoint;
     m_now += 1s;
     CPPUNIT_ASSERT_EQUAL(owner, Give(PromptOf(kLong, 9)).endpoint);
-    // Behind three other long prompts the owner is the slower choice.
+    // Behind three other long prompts, the endpoint with the cached segment is
+    // the slower choice.
     wire::LoadNotesT notes;
     for (int i = 0; i < 3; ++i) notes.notes.emplace_back(owner, 0, kLong, 0, 1);
     m_load->OnNotes("other", notes, m_now);
@@ -103,15 +106,15 @@
     m_load->OnNotes("other", notes, m_now);
     m_load->OnEntryGone("other");
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, m_load->Running(KeyOf("a")));
-    // A late end of one of them takes nothing from others.
+    // A late end of such a request is not subtracted from other requests.
     wire::LoadNotesT late;
     late.notes.emplace_back(KeyOf("a"), 0, 0, 0, -1);
     m_load->OnNotes("other", late, m_now);
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, m_load->Running(KeyOf("a")));
   }
 
-  // Guards against counts at the other entries that stay wrong because notes
-  // were left out of a batch.
+  // Guards against request counts at other entries that stay wrong because
+  // updates were dropped from a batch.
   void NotesThatGatherAreSummedAndPartsLeftOutFirst() {
     std::vector<EndpointKey> given;
     for (uint64_t part = 1; part <= 6; ++part)
@@ -128,7 +131,7 @@
     CPPUNIT_ASSERT_EQUAL(5, requests);
     CPPUNIT_ASSERT_EQUAL(6 * kLong, tokens);
     CPPUNIT_ASSERT(m_load->TakeNotes().empty());
-    // What began and ended meanwhile is not worth a note.
+    // A request that began and ended since the last batch needs no update.
     m_load->OnEnded(Give(PromptOf(0)).endpoint);
     CPPUNIT_ASSERT(m_load->TakeNotes().empty());
   }
--- a/src/dotterelshift/gateway/held_grants.cc
+++ b/src/dotterelshift/gateway/held_grants.cc
@@ -8,10 +8,9 @@
 
 budget::LedgerOptions LedgerOptionsOf() {
   budget::LedgerOptions options;
-  // Holdings stay close to what a cut needs, because they are lost with the
-  // process: topped up early, and given back when demand falls.
-  // What lies idle here may be lent to an entry that needs it, so it flows
-  // back late.
+  // Holdings stay close to what a partition needs, as they are lost with the
+  // process: they are topped up early and returned when demand falls. Idle
+  // tokens are returned late, as they may be lent to an entry that needs them.
   options.idle_return = 45s;
   options.ask_below = 0.85;
   options.return_above = 1.3;
@@ -34,7 +33,7 @@
       continue;
     }
     Tokens& total = m_totals[team.team];
-    // What is left of another total is not known yet.
+    // The remainder of a changed total is not known yet.
     if (total != *team.total) m_remainders.erase(team.team);
     total = *team.total;
     if (!m_handles.contains(team.team)) m_unknown[team.team] = {};
@@ -58,7 +57,8 @@
   return policy;
 }
 
-// Teams that have drawn for long enough are held by their demand alone.
+// Teams whose demand is known now hold what their demand requires, without the
+// initial minimum.
 void HeldGrants::LearnDemand(Instant now) {
   for (auto it = m_unknown.begin(); it != m_unknown.end();) {
     const bool known = it->second != Instant{} &&
@@ -99,9 +99,9 @@
   return BudgetAnswer::kWait;
 }
 
-// The answer while only the last part of a total is left; none when the request
-// may have its tokens. One that is larger than ever gathers cannot be served
-// any more, and to come back would not help its caller.
+// Result of a reservation while only the last fraction of a total is left; none
+// if the request may have its tokens. A request larger than the bucket can
+// never be served, so its caller is not told to retry.
 std::optional<BudgetAnswer> HeldGrants::KeptAnswer(const TeamId& team,
                                                    budget::BudgetHandle handle,
                                                    Tokens worst_case,
@@ -252,8 +252,8 @@
     LearnDemand(now);
   }
   for (const budget::GrantWish& wish : m_ledger->TakeWishes(now)) {
-    // The link to control sends an ask again under its first id; a second ask
-    // would be granted besides.
+    // The link to control resends a request under its first id; a second
+    // request would be granted in addition.
     const bool doubled = wish.kind == budget::GrantWish::Kind::kAsk &&
                          IsAsking(m_ledger->IdOf(wish.budget));
     if (!doubled) commands.push_back(CommandOf(wish));
--- a/src/dotterelshift/gateway/held_grants_test.cc
+++ b/src/dotterelshift/gateway/held_grants_test.cc
@@ -53,7 +53,7 @@
     m_grants->OnAnswer(answer, m_now);
   }
 
-  // Takes the first ask and grants it.
+  // Takes the first grant request and grants it.
   void GrantFirst(Tokens tokens, Tokens free) {
     const auto commands = Take();
     CPPUNIT_ASSERT_EQUAL(size_t{1}, Asks(commands).size());
@@ -64,7 +64,7 @@
     const auto commands = Take();
     const auto asks = Asks(commands);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, asks.size());
-    // A quarter of the part that all four entries hold at first.
+    // A quarter of what all four entries together hold initially.
     const auto part =
         static_cast<Tokens>(HeldGrantsOptions().first_part * 1'000'000 / 4);
     CPPUNIT_ASSERT_EQUAL(part, asks[0]->wanted);
@@ -79,8 +79,9 @@
     }
   }
 
-  // A team's callers may all be at one entry. What the others hold of it is
-  // idle there, and all that there is once control is out of reach.
+  // All callers of a team may be at one entry. The tokens that other entries
+  // hold for the team are then idle there, and are all that is available once
+  // control is unreachable.
   void IdleHoldingsStayToBeLentInACut() {
     GrantFirst(87'500, 900'000);
     m_now += 20s;
@@ -94,7 +95,7 @@
     borrow.demand_per_second = 100'000;
     const Tokens lent = m_grants->OnBorrow(borrow, {"other", 1}, m_now);
     CPPUNIT_ASSERT(lent > 80'000 && lent <= 87'500);
-    // What was lent is no longer there.
+    // Lent tokens are no longer available.
     CPPUNIT_ASSERT(m_grants->OnBorrow(borrow, {"third", 1}, m_now) <=
                    87'500 - lent);
     m_grants->SetConnected(true, m_now);
@@ -114,7 +115,7 @@
                    BudgetAnswer::kWait);
     CPPUNIT_ASSERT(m_grants->Reserve("t", 160'000, m_now) ==
                    BudgetAnswer::kExhausted);
-    // An old word on what is left is not believed.
+    // An outdated remainder is not used.
     m_now += HeldGrantsOptions().remainder_memory;
     CPPUNIT_ASSERT(m_grants->Reserve("t", 160'000, m_now) ==
                    BudgetAnswer::kWait);
@@ -122,8 +123,8 @@
                    BudgetAnswer::kNoTotal);
   }
 
-  // 28,000 of a million are left when 40 requests a second come in at each of
-  // four entries: 15 s later small ones are still served.
+  // 28,000 of a million are left when 40 requests a second arrive at each of
+  // four entries: 15 s later, small requests are still served.
   void TheLastOfATotalTricklesToSmallRequests() {
     GrantFirst(20'000, 8'000);
     Tokens small = 0;
@@ -164,8 +165,8 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{7500}, returned);
   }
 
-  // All of control starts again, and takes ten seconds for it: what each entry
-  // then sends must not grow with that time.
+  // All of control restarts and needs ten seconds: what each entry then sends
+  // must not grow with that time.
   void WhileControlIsAwayOneReportIsOwed() {
     GrantFirst(80'000, 900'000);
     m_grants->SetConnected(false, m_now);
--- a/src/dotterelshift/gateway/kept_connections_test.cc
+++ b/src/dotterelshift/gateway/kept_connections_test.cc
@@ -15,19 +15,21 @@
 constexpr double kLink = 1'250'000;  // 10 Mbit/s
 constexpr size_t kPromptBytes = 6'000;
 
-// Answers, news and closes stand behind what has been let in.
+// Responses, control updates and closes are delayed behind admitted requests.
 constexpr Duration kLongestQueue = 300ms;
 constexpr Duration kStep = 1ms;
 
-// From a connection's opening packet to its prompt.
+// From a connection's first packet to its prompt.
 constexpr Duration kHandshake = 4ms;
 
 struct CallersOptions {
-  double payload_part = 1;  // of the link, beside packets' heads and handshakes
-  double demand = 1;        // times what the link carries, were all let in
-  Duration service = 300ms;  // mean, from the whole prompt to the answer
-  Duration pause = 300ms;    // mean, from the answer to the next prompt
-  // Of the callers, those who have kept a connection from before.
+  // Fraction of the link for payload; the rest is packet headers and
+  // handshakes.
+  double payload_part = 1;
+  double demand = 1;  // multiple of the link's rate, if all were admitted
+  Duration service = 300ms;  // mean, from the complete prompt to the response
+  Duration pause = 300ms;    // mean, from the response to the next prompt
+  // Callers that start with an established connection.
   size_t kept_before = 0;
 };
 
@@ -35,10 +37,10 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-// Callers who ask one request at a time, on the connection that they were
-// allowed to keep, else on a new one. A link carries first what came first,
-// also the prompts of those who are turned away; whoever is not let in pauses
-// and comes again.
+// Callers that send one request at a time, on the connection that they were
+// allowed to keep alive, else on a new one. The link is first-in, first-out and
+// also carries the prompts of rejected callers. A caller that is not admitted
+// pauses and tries again.
 class Callers {
  public:
   explicit Callers(const CallersOptions& options)
@@ -68,9 +70,9 @@
   }
 
   Duration Longest() const { return m_longest; }
-  // From the start to the last moment at which the queue was too long.
+  // Time from the start to the last moment at which the queue was too long.
   Duration OverUntil() const { return m_last_over - kStart; }
-  // Of what the link carried and could have carried, the part let in.
+  // Admitted bytes as a fraction of what the link could have carried.
   double UsedPart() const {
     const double most =
         m_options.payload_part * kLink * Seconds(m_now - kStart);
@@ -197,8 +199,8 @@
   std::mt19937_64 m_random{1};
   Instant m_now = kStart;
   std::priority_queue<Planned, std::vector<Planned>, std::greater<>> m_planned;
-  std::vector<bool> m_keeps;  // by caller: has an idle connection
-  size_t m_may_speak = 0;     // connections that may bring a prompt
+  std::vector<bool> m_keeps;  // per caller: has an idle connection
+  size_t m_may_speak = 0;     // connections that may send a prompt
   std::deque<Prompt> m_prompts;
   Instant m_free_at = kStart;
   Duration m_longest = 0s;
@@ -216,8 +218,9 @@
   CPPUNIT_TEST_SUITE_END();
 
  private:
-  // Guards against answers and news that come seconds late behind prompts on
-  // connections that are kept: never more than the link's rate comes through.
+  // Guards against responses and control updates that are delayed for seconds
+  // behind prompts on kept-alive connections. The queue cannot be measured
+  // directly, as no more than the link's rate ever arrives.
   void NothingQueuesForLongBeforeAFullLinkThatStaysInUse() {
     for (const double payload_part : {0.92, 1.0}) {
       for (const double demand : {3.0, 10.0}) {
@@ -239,8 +242,8 @@
     }
   }
 
-  // Guards against a team that sends ten times its usual on connections that
-  // it was let keep while it was calm.
+  // Guards against a team that sends ten times its usual load on connections
+  // that it was allowed to keep while its load was low.
   void CallersWhoTurnHotOnWhatTheyHaveKeptQueueNoLonger() {
     Callers callers({.payload_part = 0.92, .demand = 0.5, .pause = 3s});
     callers.Run(10s);
@@ -249,8 +252,8 @@
     CPPUNIT_ASSERT(callers.Longest() <= kLongestQueue);
   }
 
-  // What callers who had kept their connections sent at once takes its time;
-  // nobody may add to it meanwhile.
+  // Requests that are sent all at once on kept-alive connections take a while
+  // to be carried; nothing may be admitted on top of them meanwhile.
   void AQueueThatStandsIsGoneOnceTheLinkHasCarriedIt() {
     constexpr size_t kKept = 330;
     Callers callers({.payload_part = 0.92, .demand = 5, .kept_before = kKept});
--- a/src/dotterelshift/gateway/link_admission.cc
+++ b/src/dotterelshift/gateway/link_admission.cc
@@ -6,12 +6,12 @@
 namespace dotterelshift::gateway {
 namespace {
 
-// Weight of the newest request in the average of their sizes.
+// Weight of the newest request in the average request size.
 constexpr double kNewest = 1.0 / 8;
 
-// What goes over a link besides the bytes that are counted: heads of packets
-// that are full, one that acknowledges for every two that come, and three to
-// make a connection.
+// Overhead on a link besides the counted bytes: the headers of full packets, an
+// acknowledgement for every two packets received, and three packets to
+// establish a connection.
 constexpr double kFullPacketBytes = 1448;
 constexpr double kHeads = 1 + kPacketHeadBytes / kFullPacketBytes;
 constexpr double kAcknowledgements = kPacketHeadBytes / (2 * kFullPacketBytes);
@@ -104,7 +104,8 @@
   const double part = UsedPart();
   const double all = BytesIn(passed);
   m_allowance.in = std::clamp(m_allowance.in + part * all, least, most);
-  // Outwards all is counted, and what may wait is held back before it.
+  // The full rate is available outbound: all traffic there is counted, and what
+  // can wait is queued before the link.
   m_allowance.out = std::clamp(m_allowance.out + all, least, most);
   const double carried = DrainsQueue() ? part * all : all;
   m_on_its_way =
--- a/src/dotterelshift/gateway/link_admission_test.cc
+++ b/src/dotterelshift/gateway/link_admission_test.cc
@@ -9,11 +9,11 @@
 namespace dotterelshift::gateway {
 namespace {
 
-// A link of 10 Mbit/s, and short prompts, one on each connection.
+// A link of 10 Mbit/s, and short prompts, one per connection.
 constexpr double kLink = 1'250'000;
 constexpr size_t kPromptBytes = 6'000;
 
-// Answers, news and closes stand behind what has been let in.
+// Responses, control updates and closes are delayed behind admitted requests.
 constexpr Duration kLongestQueue = 300ms;
 
 Duration Seconds(double seconds) {
@@ -21,14 +21,14 @@
       std::chrono::duration<double>(seconds));
 }
 
-// A link that carries first what came first. Callers connect at random moments
-// and send their prompt at once when they are let in.
+// A first-in, first-out link. Callers connect at random times and send their
+// prompt as soon as they are admitted.
 class Link {
  public:
   Link(LinkAdmission& admission, double bytes_per_second)
       : m_admission(admission), m_rate(bytes_per_second) {}
 
-  // Callers bring `demand` times what the link carries, for so long.
+  // Callers send `demand` times the link's rate for this time.
   void Run(double demand, size_t prompt_bytes, Duration time) {
     const double per_second =
         demand * m_rate / static_cast<double>(prompt_bytes);
@@ -41,7 +41,7 @@
     }
   }
 
-  // A caller who is let in brings its prompt; whether it was.
+  // An admitted caller sends its prompt; returns whether it was admitted.
   bool Connect(size_t prompt_bytes) {
     if (m_admission.Decide(m_now) != Entrance::kTakes) return false;
     m_admission.OnConnected();
@@ -49,10 +49,10 @@
     return true;
   }
 
-  // Callers who have been let in before bring so much at once.
+  // Callers that were admitted earlier send this much at once.
   void BringOnKept(size_t prompt_bytes) { Bring(prompt_bytes, false); }
 
-  // Lets time pass in which nobody comes.
+  // Lets time pass without new callers.
   void Rest(Duration time) {
     m_now += time;
     Deliver();
@@ -78,7 +78,7 @@
     m_longest = std::max(m_longest, m_free_at - m_now);
   }
 
-  // Bytes are counted once a turn, also when there are none.
+  // Bytes are counted once per iteration, even if there are none.
   void Deliver() {
     uint64_t bytes = 0;
     while (!m_prompts.empty() && m_prompts.front().whole <= m_now) {
@@ -128,7 +128,8 @@
     return LinkAdmission(options);
   }
 
-  // Guards against answers and news that come seconds late behind prompts.
+  // Guards against responses and control updates that are delayed for seconds
+  // behind prompts.
   void NothingQueuesForLongBeforeAFullLinkThatStaysInUse() {
     for (const double demand : {3.0, 10.0}) {
       LinkAdmission admission = Make(kLink);
@@ -154,7 +155,8 @@
     CPPUNIT_ASSERT(link.Carried() >= 0.45 * 20 * kLink);
   }
 
-  // Guards against an entry that callers who never speak close to all others.
+  // Guards against an entry that is blocked for all callers by connections on
+  // which no request is ever sent.
   void UnusedConnectionsKeepCallersOutForAMomentOnly() {
     LinkAdmission admission = Make(kLink);
     Instant now(1000s);
@@ -173,8 +175,9 @@
     CPPUNIT_ASSERT(Takes(admission, now));
   }
 
-  // Guards against an entry that opens its door while five seconds of prompts
-  // still stand before its link, and against one that stays away after them.
+  // Guards against an entry that admits callers while five seconds of prompts
+  // are still queued in front of its link, and against one that stays closed
+  // afterwards.
   void NobodyIsLetInWhileAQueueStands() {
     LinkAdmission admission = Make(kLink);
     Link link(admission, kLink);
@@ -188,7 +191,8 @@
     CPPUNIT_ASSERT(Takes(admission, link.Now()));
   }
 
-  // A caller that fills any entry must not keep all of them away.
+  // A caller that overloads any entry it reaches must not keep all entries out
+  // of rotation.
   void LoadThatDoesNotEndKeepsNoEntryAwayForGood() {
     LinkAdmission admission = Make(kLink);
     Link link(admission, kLink);
@@ -199,7 +203,7 @@
     }
   }
 
-  // What goes out is bounded as what comes in.
+  // Outbound traffic is bounded like inbound traffic.
   void NobodyIsLetInWhileTheWayOutIsFull() {
     LinkAdmission admission = Make(kLink);
     const Instant now(1000s);
@@ -208,8 +212,8 @@
     CPPUNIT_ASSERT(!Takes(admission, now));
   }
 
-  // Guards against callers who are let in to wait for what they would get at
-  // once from another entry.
+  // Guards against admitting callers that would wait here although another
+  // entry could serve them at once.
   void CallersAreTurnedAwayWhileRequestsWaitForTheWayOut() {
     LinkAdmission admission = Make(kLink);
     const Instant now(1000s);
--- a/src/dotterelshift/gateway/link_busy_time_test.cc
+++ b/src/dotterelshift/gateway/link_busy_time_test.cc
@@ -26,7 +26,8 @@
   }
 
  private:
-  // A part of what the link carries, for so long, counted each `turn`.
+  // Carries a fraction of the link's rate for this time, counted once per
+  // `turn`.
   void Carry(double part, Duration time, Duration turn) {
     for (const Instant end = m_now + time; m_now < end;) {
       m_now += turn;
@@ -40,7 +41,7 @@
     CPPUNIT_ASSERT(m_busy.BusyFor() == 2s);
   }
 
-  // What came while a turn took long is counted at its end.
+  // Bytes received during a long iteration are counted at its end.
   void ALateTurnIsNoGap() {
     Carry(0.95, 500ms, 2ms);
     Carry(0.95, 100ms, 100ms);
--- a/src/dotterelshift/gateway/link_load_shedder_test.cc
+++ b/src/dotterelshift/gateway/link_load_shedder_test.cc
@@ -29,7 +29,8 @@
     return LinkLoadShedder(options);
   }
 
-  // Requests at an even rate; whether the shedder was on at any of them.
+  // Sends requests at an even rate; returns whether shedding was on at any of
+  // them.
   bool Load(LinkLoadShedder& shedder, double requests_per_second,
             Duration time) {
     const Duration gap = std::chrono::duration_cast<Duration>(
@@ -42,7 +43,7 @@
     return shed;
   }
 
-  // 25 long prompts a second are more than the link carries.
+  // 25 long prompts a second exceed the link's rate.
   void AHotCallerSendsTheEntryAwayAndItComesBack() {
     LinkLoadShedder shedder = Make(kLink);
     CPPUNIT_ASSERT(Load(shedder, 25, 1s));
@@ -70,8 +71,8 @@
     CPPUNIT_ASSERT(back);
   }
 
-  // Guards against callers who are turned away for a second more than the
-  // balancer needs.
+  // Guards against rejecting callers for a second longer than the load balancer
+  // needs.
   void CallersTurnedAwaySendTheEntryAwayAtOnce() {
     LinkLoadShedder shedder = Make(kLink);
     CPPUNIT_ASSERT(!shedder.IsShedding(m_now));
--- a/src/dotterelshift/gateway/link_wait_test.cc
+++ b/src/dotterelshift/gateway/link_wait_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kLink = 1'250'000;   // 10 Mbit/s
-constexpr uint64_t kTenth = 125'000;  // bytes that it carries in 100 ms
+constexpr uint64_t kTenth = 125'000;  // bytes carried in 100 ms
 
 class LinkWaitTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LinkWaitTest);
@@ -27,7 +27,7 @@
     CPPUNIT_ASSERT(m_wait.Wait(m_now) == 150ms);
   }
 
-  // Time in which nothing was handed over is not saved up.
+  // Idle time is not credited to later writes.
   void AnIdleLinkOwesNothing() {
     m_wait.OnBytes(kTenth, m_now);
     m_now += 5s;
--- a/src/dotterelshift/gateway/load_note_pacer_test.cc
+++ b/src/dotterelshift/gateway/load_note_pacer_test.cc
@@ -19,7 +19,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  private:
-  // Runs for ten seconds, a note each `gap`.
+  // Runs for ten seconds with one update per `gap`.
   struct Result {
     double bytes = 0;
     Duration longest_wait{};
@@ -44,7 +44,8 @@
     return result;
   }
 
-  // Guards against a hot entry whose notes fill the way out of its host.
+  // Guards against a heavily loaded entry whose updates fill its host's
+  // outbound link.
   void NotesOfABusyEntryLeaveItsSlowLinkToRequests() {
     const Result result = Run(kSlowLink, 2ms);
     CPPUNIT_ASSERT(result.bytes <=
--- a/src/dotterelshift/gateway/retry_share.cc
+++ b/src/dotterelshift/gateway/retry_share.cc
@@ -9,7 +9,7 @@
   m_entries = std::max<size_t>(1, entries);
 }
 
-// The counts of a service, with the buckets that have passed emptied.
+// Returns the counts of a service after clearing the buckets that have expired.
 RetryShare::Counts& RetryShare::Turn(const std::string& service, Instant now) {
   Counts& counts = m_services[service];
   const int64_t number = now.time_since_epoch() / (m_options.window / kBuckets);
--- a/src/dotterelshift/gateway/retry_share_test.cc
+++ b/src/dotterelshift/gateway/retry_share_test.cc
@@ -13,8 +13,8 @@
   CPPUNIT_TEST(ServicesAreCountedApart);
   CPPUNIT_TEST_SUITE_END();
 
-  // Eight entries, each of which repeats as often as it may, under a load that
-  // jumps: in no window does the fleet repeat more than it may.
+  // Eight entries, each of which retries as often as it may, under a load with
+  // steps: in no window does the fleet exceed its allowance.
   void AllSharesTogetherStayWithinTheAllowance() {
     constexpr int kEntries = 8;
     RetryShareOptions options;
--- a/src/dotterelshift/gateway/send_pacer.cc
+++ b/src/dotterelshift/gateway/send_pacer.cc
@@ -5,7 +5,7 @@
 namespace dotterelshift::gateway {
 namespace {
 
-// What rounding may leave of a byte, or of the time that it takes.
+// Tolerance for rounding, in bytes.
 constexpr double kRounding = 0.5;
 
 }  // namespace
--- a/src/dotterelshift/gateway/send_pacer_test.cc
+++ b/src/dotterelshift/gateway/send_pacer_test.cc
@@ -23,7 +23,7 @@
  public:
   void setUp() override { m_now = Instant(1000s); }
 
-  // Guards against prompts that are handed over faster than they are carried.
+  // Guards against prompts that are written faster than the link carries them.
   void PromptsGoOnlyAsFastAsTheLinkCarriesThem() {
     SendPacer pacer = Pacer();
     uint64_t sent = 0;
@@ -39,7 +39,7 @@
     CPPUNIT_ASSERT(static_cast<double>(sent) > 0.85 * 2 * kSlowLink);
   }
 
-  // Guards against a prompt longer than the bound that would never go.
+  // Guards against a prompt that exceeds the limit and would never be sent.
   void ALongPromptIsNotHeldForGood() {
     SendPacer pacer = Pacer();
     constexpr uint64_t kLong = 1'000'000;
@@ -51,7 +51,7 @@
     CPPUNIT_ASSERT(pacer.MaySend(kLong, next));
   }
 
-  // Guards against prompts that pile up before answers and frames of control.
+  // Guards against prompts that queue in front of responses and control frames.
   void AnswersTakeTheRoomOfPrompts() {
     SendPacer pacer = Pacer();
     pacer.OnBytes(200'000, m_now);
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT(pacer.MaySend(kPrompt, m_now + wait));
   }
 
-  // Guards against a timer that comes again and again in the same moment.
+  // Guards against a timer that fires repeatedly without a prompt being sent.
   void TheTimeThatItNamesIsTheOneAtWhichItMay() {
     SendPacer pacer = Pacer();
     for (uint64_t bytes = 1; bytes < 100'000; bytes += 997) {
@@ -75,7 +75,7 @@
     }
   }
 
-  // Guards against room for bytes that were carried before they were missed.
+  // Guards against returning room for bytes that the link has already carried.
   void OnlyWhatIsStillHeldIsGivenBack() {
     SendPacer pacer = Pacer();
     pacer.OnPrompt(1, 22'500, m_now);  // 20 ms
@@ -91,7 +91,7 @@
     CPPUNIT_ASSERT(pacer.Held(m_now) == 0s);
   }
 
-  // Guards against holding back where the link's rate is not known.
+  // Guards against delaying prompts when the link's rate is not known.
   void AnUnknownLinkHoldsNothingBack() {
     SendPacer pacer((SendPacerOptions()));
     pacer.OnBytes(1 << 30, m_now);
--- a/src/dotterelshift/gateway/spend_reports_test.cc
+++ b/src/dotterelshift/gateway/spend_reports_test.cc
@@ -30,7 +30,8 @@
     CPPUNIT_ASSERT_EQUAL(uint32_t{1}, next->spends.front()->answered);
   }
 
-  // Control is away for a minute of 24 teams' requests and loans to 5 entries.
+  // Control is unreachable for a minute of requests of 24 teams and loans to 5
+  // entries.
   void WhatGathersIsBoundedByTeamsAndReceivers() {
     constexpr int kTeams = 24;
     constexpr int kReceivers = 5;
--- a/src/dotterelshift/gateway/uneven_link_load_test.cc
+++ b/src/dotterelshift/gateway/uneven_link_load_test.cc
@@ -14,8 +14,8 @@
 constexpr double kLink = 1'250'000;
 constexpr Duration kLongestQueue = 300ms;
 
-// Load on an entry's link that does not come evenly: prompts of mixed sizes, a
-// processor that comes in turns, connections that come about together.
+// Uneven load on an entry's link: prompts of mixed sizes, a process that gets
+// its processor time in bursts, and connections that are established together.
 class UnevenLinkLoadTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(UnevenLinkLoadTest);
   CPPUNIT_TEST(AStepToLongPromptsIsNotCreditedWhatWasNotBooked);
@@ -26,9 +26,9 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against connections that were booked as short prompts and are given
-  // back as long ones: the admission then lets in as if the link were idle.
-  // Callers connect 40 times a second; the link carries first what came first.
+  // Guards against reservations that were made for short prompts and released
+  // at the size of long ones: admission would then behave as if the link were
+  // idle. Callers connect 40 times a second; the link is first-in, first-out.
   void AStepToLongPromptsIsNotCreditedWhatWasNotBooked() {
     LinkAdmissionOptions options;
     options.bytes_per_second = kLink;
@@ -37,7 +37,7 @@
     admission.Decide(now);
     for (int i = 0; i < 200; ++i) admission.OnKeptRequest(600);
     constexpr double kLong = 60'000;
-    std::deque<double> link;  // bytes left of each prompt
+    std::deque<double> link;  // remaining bytes of each prompt
     double queued = 0;
     Duration longest_after = 0s;
     const Instant begin = now;
@@ -69,9 +69,10 @@
     CPPUNIT_ASSERT(longest_after <= kLongestQueue);
   }
 
-  // The same with a steady demand of three times the link, on new connections,
-  // one prompt in ten being long: the longer the average at a credit than at
-  // its booking, the more are let in. Whoever is turned away brings nothing.
+  // The same with a steady demand of three times the link's rate on new
+  // connections, where one prompt in ten is long: the more the average size
+  // grows between reservation and release, the more is admitted. Rejected
+  // callers send nothing here.
   void MixedPromptsQueueNoLonger() {
     LinkAdmissionOptions options;
     options.bytes_per_second = kLink;
@@ -123,8 +124,8 @@
                    std::chrono::duration<double>(kLongestQueue).count());
   }
 
-  // Guards against a listener that is shut for prompts that wait here, as the
-  // pacer and the admission do not mean the same part of the link.
+  // Guards against a listener that is closed because of prompts queued in this
+  // entry: pacer and admission use different fractions of the link.
   void PromptsThatThePacerLetsGoDoNotShutTheEntry() {
     LinkAdmissionOptions options;
     options.bytes_per_second = kLink;
@@ -135,7 +136,7 @@
     for (int ms = 0; ms < 20'000; ms += 10) {
       now += 10ms;
       const auto bytes = static_cast<uint64_t>(out / 100);
-      // Half as much comes in: no queue stands there.
+      // Half as much arrives inbound, so no queue forms there.
       admission.OnBytes({bytes / 2, bytes}, now);
       admission.SetHeldOut(500'000);
       const Entrance entrance = admission.Decide(now);
@@ -143,9 +144,9 @@
     }
   }
 
-  // Guards against a queue that is not seen as a throttled process does not
-  // read in each turn all that has come: it comes 12 ms in 100, and what its
-  // sockets' buffers held is counted over two turns.
+  // Guards against a queue that is not detected because a throttled process
+  // does not read all received data in each iteration: it runs for 12 ms in 100
+  // ms, and the content of its socket buffers is counted over two iterations.
   void AFullLinkIsBusyThoughTheProcessComesInTurns() {
     LinkBusyTimeOptions options;
     options.bytes_per_second = kLink;
@@ -165,7 +166,7 @@
   }
 
   // Guards against prompts that count as carried while they wait for their
-  // connections (300 ms at the most), which then come all together.
+  // connections (300 ms at most) and are then sent all together.
   void PromptsThatWaitForTheirConnectionsDoNotGoInABunch() {
     SendPacerOptions options;
     options.bytes_per_second = kLink;
