--- a/include/dotterelshift/gateway/held_grants.h
+++ b/include/dotterelshift/gateway/held_grants.h
@@ -84,6 +84,7 @@
   // already left this entry; 0 if none can be spared.
   Tokens OnBorrow(const wire::TokenBorrowT& borrow, const HostRun& from,
                   Instant now);
+  // Adds tokens that another entry has lent.
   void OnLoan(const wire::TokenLoanT& loan, Instant now);
   std::vector<wire::TokenBorrowT> TakeBorrows() {
     return std::exchange(m_borrows, {});
--- a/include/dotterelshift/gateway/link_admission.h
+++ b/include/dotterelshift/gateway/link_admission.h
@@ -47,7 +47,7 @@
 enum class Entrance {
   kTakes,
   kTurnsAway,  // closed unread, although its request is in transit
-  kShut,       // not accepted by the listener, so that nothing is sent on it
+  kShut,       // not accepted, so that nothing is sent on it
 };
 
 // Bytes carried by a link since an arbitrary point in time.
@@ -145,7 +145,7 @@
   // Bytes that would be queued in front of the link if everything expected had
   // arrived and the link had carried data without a gap.
   double m_on_its_way = 0;
-  double m_unread = 0;     // estimate for rejected connections, since OnBytes()
+  double m_unread = 0;     // estimated, since OnBytes()
   size_t m_connected = 0;  // since OnBytes()
   Allowance m_allowance;
   double m_held_out = 0;
