--- a/include/dotterelshift/quarantine/blocklist.h
+++ b/include/dotterelshift/quarantine/blocklist.h
@@ -11,33 +11,33 @@
 namespace dotterelshift::quarantine {
 
 struct BlocklistOptions {
-  // How long a content stays blocked after control named it. The end that
-  // control gives is on its wall clock, which no core reads; naming the same
-  // end again does not make it longer.
+  // How long a content stays blocked after control reported it. The expiry that
+  // control sends is a time on control's wall clock, which the entry's cores do
+  // not read. Reporting the same expiry again does not extend the block.
   Duration hold = 600s;
 };
 
-// The contents that control has quarantined: refused on this entry whatever
-// key they come with.
+// Contents that control has quarantined. This entry refuses requests with such
+// a content, whatever key they carry.
 class Blocklist {
  public:
   explicit Blocklist(const BlocklistOptions& options = {})
       : m_options(options) {}
 
-  // News from control of one content; an end of 0 clears it.
+  // Updates one content from control; an expiry of 0 unblocks it.
   void OnEntry(const wire::SuspectAnswerT& entry, Instant now);
   void OnPush(const wire::QuarantinePushT& push, Instant now);
 
-  // How long the content is still blocked; nothing when it is not.
+  // Remaining time for which the content is blocked; empty if it is not.
   std::optional<Duration> BlockedFor(uint64_t content_hash, Instant now) const;
 
-  // Forgets what is over.
+  // Removes expired blocks.
   void OnTimer(Instant now);
   size_t size() const { return m_blocks.size(); }
 
  private:
   struct Block {
-    int64_t until_ms = 0;  // control's wall clock
+    int64_t until_ms = 0;  // on control's wall clock
     Instant until;
   };
   BlocklistOptions m_options;
--- a/include/dotterelshift/quarantine/suspects.h
+++ b/include/dotterelshift/quarantine/suspects.h
@@ -11,33 +11,38 @@
 namespace dotterelshift::quarantine {
 
 struct SuspectOptions {
-  Duration memory = 600s;      // a suspect that did nothing more is forgotten
-  size_t max_suspects = 4096;  // above it the oldest is forgotten
+  // How long a suspect is kept after the last endpoint died running it.
+  Duration memory = 600s;
+  size_t max_suspects = 4096;  // beyond it the oldest is removed
 };
 
-// The contents whose attempts ended with their endpoint's death, as this entry
-// saw it. A suspect runs on one endpoint at a time and never beside another
-// suspect, so that the next death tells the guilty one from the innocent.
+// Contents whose attempts ended with the death of their endpoint, as seen by
+// this entry. Only one copy of a suspect runs at a time, and never on an
+// endpoint that already runs a suspect, so that the next death shows which
+// content causes it.
 class Suspects {
  public:
   explicit Suspects(const SuspectOptions& options = {}) : m_options(options) {}
 
   bool IsSuspect(uint64_t content_hash) const;
 
-  // Whether an attempt may start now: a suspect only while no copy of it runs.
+  // Whether an attempt may start now: a suspect may start only while no copy of
+  // it runs.
   bool MayStart(uint64_t content_hash) const;
-  // The endpoints on which suspects run, where no other suspect may go.
+  // The endpoints that run a suspect; no other suspect may be sent to them.
   std::vector<EndpointId> Occupied() const;
 
-  // An attempt goes to its endpoint. True when it is a suspect, which runs
-  // alone.
+  // Records that an attempt was sent to its endpoint. Returns true if its
+  // content is a suspect, which occupies the endpoint.
   bool OnStarted(uint64_t content_hash, const EndpointId& endpoint);
-  // An attempt ended in any way; `alone` is what OnStarted() said.
+  // Records that an attempt ended, for whatever reason; `alone` is the value
+  // that OnStarted() returned.
   void OnEnded(uint64_t content_hash, const EndpointId& endpoint, bool alone);
 
-  // The endpoint died under the content.
+  // Records that the endpoint died while running the content.
   void OnDeath(uint64_t content_hash, Instant now);
-  // The content was answered whole. True when that clears a suspect.
+  // Records a complete response to the content. Returns true if that clears a
+  // suspect.
   bool OnAnswered(uint64_t content_hash);
 
   void OnTimer(Instant now);
@@ -47,7 +52,7 @@
   void ForgetOldest();
 
   SuspectOptions m_options;
-  std::unordered_map<uint64_t, Instant> m_suspects;  // latest death
+  std::unordered_map<uint64_t, Instant> m_suspects;  // time of the last death
   std::unordered_map<uint64_t, int> m_running;       // attempts by content
   std::unordered_map<EndpointId, int> m_occupied;    // suspects by endpoint
 };
--- a/include/dotterelshift/state/compact_table.h
+++ b/include/dotterelshift/state/compact_table.h
@@ -12,16 +12,17 @@
 
 namespace dotterelshift::state {
 
-// Rows by their `id`, for tables of some hundred thousand small rows: a row
-// costs its own size and about eight bytes of index, where a node-based map
-// spends three times as much. Rows keep their place until they are erased. An
-// empty id marks a free place, so no row may have one.
+// Hash table of rows keyed by their `id` member, for tables of several hundred
+// thousand small rows. A row costs its own size and about eight bytes of index,
+// where a node-based map takes three times as much. The address of a row is
+// stable until the row is erased. An empty id marks a free slot, so no row may
+// have one.
 template <typename Row>
 class CompactTable {
  public:
   using Slot = uint32_t;
 
-  // Goes over the rows, in the order of their places, as (id, row).
+  // Iterates over the rows in slot order and yields pairs of id and row.
   template <typename Table, typename Item>
   class BasicIterator {
    public:
@@ -63,7 +64,7 @@
     return m_chunks[slot / kChunk][slot % kChunk];
   }
 
-  // Null when there is no such row.
+  // Returns null if there is no such row.
   Row* Find(std::string_view id) {
     const size_t place = PlaceOf(id);
     return IsTaken(place) ? &At(m_index[place] - 1) : nullptr;
@@ -73,7 +74,7 @@
     return IsTaken(place) ? &At(m_index[place] - 1) : nullptr;
   }
 
-  // The place of the row of this id; a fresh row is made when there is none.
+  // Returns the slot of the row with this id, and true if the row was added.
   std::pair<Slot, bool> FindOrAdd(const std::string& id) {
     if ((m_size + 1) * 4 > m_index.size() * 3) Grow();
     const size_t place = PlaceOf(id);
@@ -106,7 +107,8 @@
     return std::hash<std::string_view>()(id) & (m_index.size() - 1);
   }
 
-  // Where the id stands in the index, or the free place where it would.
+  // Position of the id in the index or, if it is not there, the free position
+  // where it would be inserted (linear probing).
   size_t PlaceOf(std::string_view id) const {
     if (m_index.empty()) return 0;
     size_t place = HomeOf(id);
@@ -115,7 +117,8 @@
     return place;
   }
 
-  // Moves later entries of the probe sequence up, so that none is cut off.
+  // Removes an index entry by backward shift deletion: later entries of the
+  // probe sequence move up, so that all of them stay reachable.
   void CloseHole(size_t hole) {
     const size_t mask = m_index.size() - 1;
     size_t next = (hole + 1) & mask;
@@ -152,7 +155,7 @@
   }
 
   std::vector<std::unique_ptr<Row[]>> m_chunks;
-  std::vector<Slot> m_index;  // slot + 1; 0: free. Its size is a power of two
+  std::vector<Slot> m_index;  // slot + 1, or 0 if free; size: a power of two
   std::vector<Slot> m_free;
   Slot m_slots = 0;
   size_t m_size = 0;
--- a/include/dotterelshift/state/configuration.h
+++ b/include/dotterelshift/state/configuration.h
@@ -17,20 +17,20 @@
 
 namespace dotterelshift::state {
 
-// Keyed BLAKE2b of a bearer key. Only hashes are kept; they are compared in
-// constant time.
+// Keyed BLAKE2b hash of a bearer key. Only hashes are stored; they are compared
+// in constant time.
 using KeyHash = std::array<uint8_t, 32>;
 
 // The hash of a bearer key under the fleet's secret.
 KeyHash HashKey(std::string_view bearer_key, std::string_view fleet_secret);
 
-// What a team is refused or allowed to reach.
+// Whether a team may use a model or service. kUnknown: the configuration does
+// not name it; kOutOfReach: none of the team's endpoint sets allows it.
 enum class Reach { kAllowed, kUnknown, kOutOfReach };
 
 // The accepted configuration: teams, keys, budgets, endpoint sets and
-// placements. The same class on every daemon; a version counts the accepted
-// changes of it and only rises. Amounts of budgets are not part of it (see
-// state.h).
+// placements. All daemons use this class. The version counts the accepted plans
+// and never decreases. The amounts of budgets are not part of it (see state.h).
 class Configuration {
  public:
   Configuration() = default;
@@ -39,15 +39,16 @@
 
   uint64_t Version() const { return m_version; }
 
-  // Brings the configuration to `version` by a plan's changes. Changes that do
-  // not concern it (top-ups, replicas) count as versions and change nothing
-  // else.
+  // Applies the changes of a plan and raises the version to `version`. Changes
+  // to things that are not part of the configuration (top-ups, replicas) have
+  // no other effect.
   void Apply(std::span<const wire::ChangeT> changes, uint64_t version);
 
-  // The whole configuration as changes to an empty one.
+  // The complete configuration, as changes to an empty one. Equal
+  // configurations give equal lists.
   std::vector<wire::ChangeT> AsChanges() const;
 
-  // Null when there is no such thing. Pointers hold until the next Apply().
+  // Return null if not found. Pointers are valid until the next Apply().
   const wire::TeamT* FindTeam(const TeamId& id) const;
   const wire::TeamT* FindTeamByKey(const KeyHash& hash) const;
   const wire::ApiKeyT* FindKey(const std::string& id) const;
@@ -55,13 +56,13 @@
   const wire::EndpointSetT* FindEndpointSet(const std::string& id) const;
   const wire::ModelPlacementT* FindPlacement(const ModelName& model) const;
 
-  // The ids of a team's budgets, in order; the first one is drawn on unless the
-  // caller names another.
+  // The ids of a team's budgets in ascending order. The first one is charged
+  // unless the caller names another.
   std::vector<BudgetId> BudgetsOf(const TeamId& team) const;
 
-  // Whether the team may use the model (or plain service), by its endpoint
-  // sets. A set allows the models and services it names, on the endpoints it
-  // names; one that names no endpoint allows every endpoint.
+  // Whether the endpoint sets of the team allow the model (or plain service). A
+  // set allows the models and services that it names, on the endpoints that it
+  // names; a set that names no endpoint allows every endpoint.
   Reach ReachOfModel(const TeamId& team, const ModelName& model) const;
   Reach ReachOfService(const TeamId& team, const std::string& service) const;
 
@@ -92,7 +93,7 @@
     bool operator()(const KeyHash& a, const KeyHash& b) const;
   };
   using SetTest = std::function<bool(const wire::EndpointSetT&)>;
-  // Whether one of the team's sets passes the test.
+  // Whether one of the team's endpoint sets satisfies the predicate.
   bool AnySetOf(const TeamId& team, const SetTest& test) const;
   void ApplyOne(const wire::ChangeT& change);
   void UpsertKey(const wire::ApiKeyT& key);
@@ -103,10 +104,10 @@
   uint64_t m_version = 0;
   std::unordered_map<TeamId, wire::TeamT> m_teams;
   CompactTable<wire::ApiKeyT> m_keys;
-  // Places in m_keys by hash.
+  // Slots in m_keys by key hash.
   std::unordered_map<KeyHash, Slot, KeyHasher, KeyEqual> m_key_by_hash;
   CompactTable<wire::BudgetT> m_budgets;
-  // Places in m_budgets, sorted by id.
+  // Slots in m_budgets by team, each list sorted by budget id.
   std::unordered_map<TeamId, std::vector<Slot>> m_budgets_of_team;
   std::unordered_map<std::string, wire::EndpointSetT> m_endpoint_sets;
   std::unordered_map<ModelName, wire::ModelPlacementT> m_placements;
--- a/include/dotterelshift/state/packed_document.h
+++ b/include/dotterelshift/state/packed_document.h
@@ -8,18 +8,18 @@
 
 namespace dotterelshift::state {
 
-// The largest document that is unpacked, in bytes.
+// Size limit of an unpacked document, in bytes.
 inline constexpr size_t kMostDocumentBytes = 32 << 20;
 
-// What tells the document to who holds `base`: about as many bytes as the two
-// differ in. With an empty base, the document by itself, compressed. Throws
-// Error(kInternal) when the library fails.
+// Encodes the document as a compressed delta against `base`, which is about as
+// large as their difference. With an empty base the document is compressed by
+// itself. Throws Error(kInternal) if the compression library fails.
 std::vector<uint8_t> PackDocument(std::string_view document,
                                   std::string_view base);
 
-// The document again, given the same base. Throws Error(kBadFrame) on bytes
-// that are damaged or were packed against another base, and on a document
-// larger than kMostDocumentBytes.
+// Decodes the result of PackDocument(), given the same base. Throws
+// Error(kBadFrame) if the bytes are damaged or were packed against another
+// base, or if the document is larger than kMostDocumentBytes bytes.
 std::string UnpackDocument(const std::vector<uint8_t>& packed,
                            std::string_view base);
 
--- a/include/dotterelshift/state/state.h
+++ b/include/dotterelshift/state/state.h
@@ -15,31 +15,30 @@
 
 namespace dotterelshift::state {
 
-// The amounts of one budget. purchased = settled + granted + lost + free,
-// always.
+// The amounts of one budget. Invariant: purchased = settled + granted + lost +
+// free.
 struct BudgetAccount {
   Tokens purchased = 0;
-  Tokens settled = 0;  // consumed, wasted attempts included
-  Tokens billed =
-      0;  // of the settled: answered whole, once for each request key
+  Tokens settled = 0;  // consumed, including wasted attempts
+  Tokens billed = 0;   // of settled: complete responses, one per request key
   Tokens granted = 0;  // held by entries, unspent as far as control knows
-  Tokens lost = 0;     // in grants of runs that are dead or gone and cannot be
-                       // shown unspent: stranded
+  Tokens lost = 0;     // held by dead incarnations and possibly spent
   Tokens Free() const { return purchased - settled - granted - lost; }
 };
 
-// What one run of an entry holds of one budget.
+// What one incarnation of an entry holds of one budget.
 struct Holding {
   HostRun holder;
   Tokens tokens = 0;    // granted, not yet settled or returned
-  Tokens opened = 0;    // of it: committed openings without a settlement
-  Tokens standing = 0;  // how much may have been spent without an opening
-  bool dead = false;    // a newer run or a retirement proved it gone: what is
-                        // left counts as lost
+  Tokens opened = 0;    // of these: in committed, unsettled openings
+  Tokens standing = 0;  // pre-authorized: may have been spent
+                        // without a committed opening
+  bool dead = false;    // replaced by a newer incarnation, or retired: its
+                        // remaining tokens count as lost
   Tokens demand_per_second = 0;
 };
 
-// One line of a report: a team's day.
+// One line of a report: one team on one day.
 struct TeamDay {
   TeamId team;
   int64_t day = 0;  // days since 1970, UTC
@@ -51,9 +50,10 @@
     uint64_t with_budget_left = 0;
     uint64_t without_budget_left = 0;
   };
-  std::map<uint16_t, Refusals> refusals;  // by number of the ErrorKind
-  std::map<std::string, std::vector<uint64_t>>
-      first_token_ms;  // by class: counts by kTimeBucketsMs, one more for above
+  std::map<uint16_t, Refusals> refusals;  // by ErrorKind value
+  // By request class: the counts of the buckets of kTimeBucketsMs, and a last
+  // count for larger values.
+  std::map<std::string, std::vector<uint64_t>> first_token_ms;
   std::map<std::string, std::vector<uint64_t>> total_ms;
 };
 
@@ -62,73 +62,75 @@
     50, 100, 200, 400, 700, 1000, 2000, 5000, 10000, 30000, 60000, 120000};
 
 struct StateOptions {
-  WallMs bill_age_out_ms =
-      3 * 24 * 3600 *
-      1000LL;  // bills and finished claims older than this become daily sums
-  size_t answers_kept =
-      4096;  // per run: how far back a resend gets its first answer
-  uint32_t quarantine_after = 3;  // distinct endpoints that died on a content
+  // Age at which bills and finished claims are compacted into daily totals.
+  WallMs bill_age_out_ms = 3 * 24 * 3600 * 1000LL;
+  // Answers kept per incarnation, so that a resend gets its first answer.
+  size_t answers_kept = 4096;
+  // Distinct endpoints that died running a content before it is quarantined.
+  uint32_t quarantine_after = 3;
   WallMs quarantine_ms = 600'000;
   WallMs suspect_memory_ms = 3'600'000;
-  WallMs expired_key_ms = 30 * 24 * 3600 * 1000LL;  // how long the keys of aged
-                                                    // requests are recognised
-  WallMs plan_age_out_ms = 24 * 3600 * 1000LL;      // plans never confirmed
-  WallMs confirmed_plan_ms = 30 * 24 * 3600 * 1000LL;  // first answers of
-                                                       // confirmed plans
+  // How long the request keys of compacted requests are recognised.
+  WallMs expired_key_ms = 30 * 24 * 3600 * 1000LL;
+  WallMs plan_age_out_ms = 24 * 3600 * 1000LL;  // of plans never confirmed
+  // How long a repeated confirmation of a plan gets its first answer.
+  WallMs confirmed_plan_ms = 30 * 24 * 3600 * 1000LL;
   size_t changes_kept = 4096;  // of confirmed plans, for ChangesSince()
-  WallMs lease_ms = 2'000;     // GrantWay::ClockLease: silence after which the
-                               // unopened part may be given to others
-  int64_t days_kept = 400;     // of the reports
+  WallMs lease_ms = 2'000;     // GrantWay::ClockLease: idle timeout after which
+                               // unopened tokens may be granted to others
+  int64_t days_kept = 400;     // days that reports reach back
 };
 
-// A request key that an entry made up itself begins with this; a caller's key
-// may not. Nobody can send such a key again later, so it is not remembered
-// once its request has aged out.
+// Prefix of request keys that an entry generated; a caller's key may not start
+// with it. Nobody can send a generated key again later, so it is not remembered
+// once its request has been compacted.
 inline constexpr char kGeneratedKeyPrefix = '~';
 
-// What an operator's program published last; version 0: nothing yet.
+// The routes document that an operator's program published last; version 0 if
+// there is none.
 struct PublishedRoutes {
   uint64_t version = 0;
-  std::string_view document;  // good until the next command is applied
+  std::string_view document;  // valid until the next Apply()
 };
 
-// The state that the log's commands make. Deterministic: the same batches give
-// the same state, answers and snapshot bytes on every replica. Knows no clock;
-// time comes as the stamp of a batch and never falls.
+// The replicated state machine. Deterministic: the same batches give the same
+// state, answers and snapshot bytes on every replica. It reads no clock: time
+// is the stamp of the latest batch and never goes back.
 class State {
  public:
   virtual ~State() = default;
 
-  // Carries out a committed batch and returns an answer to each command, in
-  // order.
+  // Applies a committed batch and returns one answer per command, in order.
   virtual std::vector<wire::CommandAnswerT> Apply(
       const wire::CommandBatchT& batch) = 0;
 
-  // The whole state as bytes, and back. Restore throws Error(kStorageDamaged)
-  // and changes nothing on bad bytes.
+  // Serializes and restores the complete state. Restore() throws
+  // Error(kStorageDamaged) on invalid bytes and leaves the state unchanged.
   virtual std::string Snapshot() const = 0;
   virtual void Restore(std::string_view snapshot) = 0;
 
-  // What is accepted; the changes from an older version on (empty: that old is
-  // not kept, send the whole).
+  // The accepted configuration, and the changes to it since an older version.
+  // ChangesSince() returns an empty list if changes that old are no longer
+  // kept; the full configuration has to be sent then.
   virtual const Configuration& GetConfiguration() const = 0;
   virtual std::vector<wire::ChangeT> ChangesSince(uint64_t version) const = 0;
 
   virtual PublishedRoutes GetPublished() const = 0;
-  // The steps from an older version to the one in force, in order; empty: that
-  // old is not kept, send the whole.
+  // The deltas from an older version to the current one, in order. An empty
+  // list if deltas that old are no longer kept; the full document has to be
+  // sent then.
   virtual std::vector<wire::RoutesStepT> RoutesSince(
       uint64_t version) const = 0;
-  // Where every token of the published totals is, summed over the teams.
+  // The amounts of all published totals, summed over the teams.
   virtual BudgetAccount PublishedSums() const = 0;
-  // The budgets that published totals made, each named like its team.
+  // The budgets created by published totals; each has the name of its team.
   virtual std::vector<BudgetId> PublishedBudgets() const = 0;
 
-  // Null or empty when there is no such thing.
+  // Return null or an empty list if not found.
   virtual const BudgetAccount* FindAccount(const BudgetId& budget) const = 0;
   virtual std::vector<Holding> HoldingsOf(const BudgetId& budget) const = 0;
   virtual const wire::PlanT* FindPlan(const std::string& plan) const = 0;
-  // Whether a top-up of this id was counted before.
+  // Whether a top-up with this id has been applied.
   virtual bool KnowsTopUp(const std::string& top_up) const = 0;
   virtual std::vector<wire::OrderT> Orders() const = 0;
   virtual std::vector<wire::SuspectAnswerT> Quarantined(WallMs now) const = 0;
@@ -138,13 +140,14 @@
   };
   virtual std::vector<HostEntry> Hosts() const = 0;
 
-  // The days between two days (both included) of one team, or of all when
-  // `team` is empty, in order.
+  // The report lines of one team, or of all teams if `team` is empty, from the
+  // first to the last day inclusive (in days since 1970, UTC), ordered by team
+  // and day.
   virtual std::vector<TeamDay> Report(const TeamId& team, int64_t first_day,
                                       int64_t last_day) const = 0;
 
-  // Cross-checks totals (accounts against holdings, bills against days); each
-  // line is a disagreement.
+  // Cross-checks totals (accounts against holdings, bills against days).
+  // Returns one line for each disagreement.
   virtual std::vector<std::string> Disagreements() const = 0;
 
   virtual WallMs LastStamp() const = 0;
--- a/src/dotterelshift/quarantine/suspects.cc
+++ b/src/dotterelshift/quarantine/suspects.cc
@@ -5,7 +5,7 @@
 namespace dotterelshift::quarantine {
 namespace {
 
-// Takes one from a count and drops the count at zero.
+// Decrements a counter and erases it at zero.
 template <typename Counts, typename Key>
 void Decrement(Counts* counts, const Key& key) {
   const auto it = counts->find(key);
--- a/src/dotterelshift/state/answers.cc
+++ b/src/dotterelshift/state/answers.cc
@@ -13,7 +13,8 @@
                           });
 }
 
-// Most answers say no more than one small number; the rest is kept whole.
+// Most answers carry at most one small number and fit in a KeptAnswer; the
+// others are also stored in full.
 bool IsShort(const wire::CommandAnswerT& answer) {
   const bool small = answer.body.type == wire::AnswerBody::DoneAnswer ||
                      answer.body.type == wire::AnswerBody::SettleAnswer;
--- a/src/dotterelshift/state/answers.h
+++ b/src/dotterelshift/state/answers.h
@@ -4,20 +4,20 @@
 #include "dotterelshift/state/tables.h"             // for Host
 #include "dotterelshift/wire/commands_generated.h"  // for CommandAnswerT
 
-// The answers that are kept for resends, by host run and sequence.
+// Answers kept for resent commands, per host incarnation and by sequence.
 namespace dotterelshift::state {
 
 enum class Resend { kNew, kAnswered, kTooOld };
 
-// Whether the command was carried out before; if so, `answer` is its first
+// Whether the command was applied before; if so, `answer` is set to its first
 // answer.
 Resend LookUpAnswer(const Host& host, const wire::CommandT& command,
                     wire::CommandAnswerT& answer);
 
-// Drops the answers that the sender has.
+// Drops the answers to sequences below `below`, which the sender has received.
 void ForgetAnswers(Host& host, uint64_t below);
 
-// Keeps an answer, and drops the oldest beyond `limit`.
+// Stores an answer and drops the oldest ones beyond `limit`.
 void KeepAnswer(Host& host, const wire::CommandAnswerT& answer, size_t limit);
 
 }  // namespace dotterelshift::state
--- a/src/dotterelshift/state/apply.h
+++ b/src/dotterelshift/state/apply.h
@@ -4,7 +4,7 @@
 #include "dotterelshift/state/tables.h"             // for Context
 #include "dotterelshift/wire/commands_generated.h"  // for RegisterHostT
 
-// One function a command type; each stands in the file of its name.
+// One function per command type, defined in the files apply_*.cc.
 namespace dotterelshift::state {
 
 void Apply(Context& context, const wire::RegisterHostT& command,
--- a/src/dotterelshift/state/apply_age_out.cc
+++ b/src/dotterelshift/state/apply_age_out.cc
@@ -6,7 +6,7 @@
 namespace dotterelshift::state {
 namespace {
 
-// Ended orders that are kept for `status`.
+// Number of ended orders that are kept for `status`.
 constexpr size_t kEndedOrdersKept = 1000;
 
 template <typename Map, typename Old>
@@ -40,7 +40,7 @@
   orders.assign(kept.rbegin(), kept.rend());
 }
 
-// Days beyond the reports' reach are folded into one line, so that the totals
+// Days older than reports reach are summed up in one line, so that the totals
 // still agree with the accounts.
 void AgeDays(Tables& tables, WallMs stamp) {
   const int64_t first_kept = stamp / kDayMs - tables.options.days_kept;
@@ -61,8 +61,8 @@
 
 }  // namespace
 
-// Bills and claims have their sums in the days since they were settled; only
-// their keys are kept on.
+// Bills and claims were added to the daily totals when they were settled, so
+// only their keys are kept.
 void Apply(Context& context, const wire::AgeOutT&,
            wire::CommandAnswerT& answer) {
   Tables& tables = context.tables;
--- a/src/dotterelshift/state/apply_confirm_plan.cc
+++ b/src/dotterelshift/state/apply_confirm_plan.cc
@@ -8,13 +8,13 @@
 namespace dotterelshift::state {
 namespace {
 
-// Looks at budgets and top-ups of a plan before anything is changed: a plan is
-// carried out whole or not at all.
+// Checks the budgets and top-ups of a plan before anything is changed: a plan
+// is applied completely or not at all.
 class PlanCheck {
  public:
   explicit PlanCheck(const Tables& tables) : m_tables(tables) {}
 
-  // Empty when the change is in order, else what is wrong with it.
+  // Returns an empty string if the change is valid, else what is wrong with it.
   std::string Look(const wire::ChangeBodyUnion& body) {
     if (body.type == wire::ChangeBody::UpsertBudget)
       return LookAtBudget(*body.AsUpsertBudget()->budget);
@@ -28,7 +28,8 @@
   }
 
  private:
-  // Its past spend belongs to the first team's reports.
+  // A budget cannot change its team: its past spend belongs to the reports of
+  // the first one.
   std::string LookAtBudget(const wire::BudgetT& budget) {
     m_made.insert(budget.id);
     if (budget.id.empty()) return "a budget has no id";
@@ -69,9 +70,9 @@
   return "";
 }
 
-// The first retirement of a run that nothing proved dead shuts it out: its
-// commands are refused from now on and its grants are lost as far as it may
-// have spent them. Only a run known to be dead has its remainder freed.
+// Retires an incarnation. If it is not known to be dead, it is marked as dead:
+// its commands are refused from now on, and its grants are lost as far as it
+// may have spent them. The remainder is freed only if it was dead already.
 void Retire(Context& context, const wire::RetireHolderT& body) {
   Tables& tables = context.tables;
   const std::optional<RunNumber> run =
@@ -101,7 +102,8 @@
   tables.accounts.Find(top_up.budget)->amounts.purchased += top_up.tokens;
 }
 
-// Keeps the newest confirmed plans whole, as many changes as the options say.
+// Keeps the bodies of the newest confirmed plans, up to
+// StateOptions::changes_kept changes, and drops the older ones.
 void DropOldBodies(Tables& tables) {
   size_t kept = 0;
   for (auto entry = tables.plan_by_version.rbegin();
--- a/src/dotterelshift/state/apply_open_attempt.cc
+++ b/src/dotterelshift/state/apply_open_attempt.cc
@@ -10,7 +10,7 @@
            wire::CommandAnswerT& answer) {
   Tables& tables = context.tables;
   const RequestDigest digest = DigestOf(command.team, command.request_key);
-  // Its settlement overtook it.
+  // The settlement arrived before the opening.
   if (FindAttempt(tables, digest, context.run, command.attempt) != nullptr)
     return Refuse(answer, ErrorKind::kResendTooOld, "attempt is settled");
   if (IsExpired(tables, digest) && FindClaim(tables, digest) == nullptr)
--- a/src/dotterelshift/state/apply_published.cc
+++ b/src/dotterelshift/state/apply_published.cc
@@ -8,22 +8,22 @@
 namespace dotterelshift::state {
 namespace {
 
-// A team's account under published totals has the team's own name.
+// Under published totals, the budget of a team has the name of the team.
 Account& AccountOf(Tables& tables, const TeamId& team) {
   Account& account = tables.accounts.At(tables.accounts.FindOrAdd(team).first);
   account.team = tables.teams.FindOrAdd(team).first;
   return account;
 }
 
-// Steps that are kept for entries that are some versions behind.
+// Number of deltas kept for entries that are some versions behind.
 constexpr size_t kMostSteps = 32;
 
-// Larger steps are not kept: a document is as quickly told whole.
+// Larger deltas are not kept: sending the full document takes no longer.
 constexpr size_t kMostStepBytes = 32 << 10;
 
-// The document that a command brings. Throws Error(kVersionMoved) when it is
-// told as a step from another version than the one in force, kBadFrame when it
-// cannot be read.
+// The document that a command publishes. Throws Error(kVersionMoved) if it is a
+// delta from a version other than the current one, and Error(kBadFrame) if it
+// cannot be decoded.
 std::string DocumentOf(const Published& published,
                        const wire::PublishRoutesT& command) {
   if (command.packed.empty())
@@ -58,8 +58,8 @@
 
 }  // namespace
 
-// The highest version wins; an older one is answered with what is in force, so
-// that a resend is told the same as the first time.
+// The highest version wins. A command with an older one is answered with the
+// current version, so that a resend gets the same answer as the first time.
 void Apply(Context& context, const wire::PublishRoutesT& command,
            wire::CommandAnswerT& answer) {
   Published& published = context.tables.published;
@@ -78,9 +78,10 @@
   Answer(answer, body);
 }
 
-// Moves what a holder has spent out of its grant. Entries hand tokens to each
-// other and spend them before control hears of it, so one holder's grant may be
-// below zero until the other's MoveGrant comes; the sum over all is exact.
+// Moves the tokens that a holder has spent out of its grant. Entries transfer
+// tokens to each other and spend them before control is notified, so the grant
+// of the receiver may be below zero until the sender's MoveGrant arrives. The
+// sum over all grants is exact.
 void Apply(Context& context, const wire::ReportSpendT& command,
            wire::CommandAnswerT& answer) {
   Tables& tables = context.tables;
@@ -105,9 +106,9 @@
   Answer(answer, wire::DoneAnswerT());
 }
 
-// What a dead run was handed is lost with it. A receiver that has not
-// registered yet may spend all the same: its grant goes below zero then, and
-// what the sender is still counted to hold makes up for it.
+// Tokens transferred to a dead incarnation are lost. A receiver that has not
+// registered yet may spend its tokens nevertheless: its grant is then below
+// zero, which the tokens still counted for the sender make up for.
 void Apply(Context& context, const wire::MoveGrantT& command,
            wire::CommandAnswerT& answer) {
   Tables& tables = context.tables;
@@ -136,8 +137,8 @@
   Answer(answer, wire::DoneAnswerT());
 }
 
-// Each part counts by itself: one that is refused, because its budget or its
-// receiver is not known, leaves its tokens with the sender.
+// Each item is applied independently. If one is refused because its budget or
+// receiver is not known, its tokens stay with the sender.
 void Apply(Context& context, const wire::ReportHoldingsT& command,
            wire::CommandAnswerT& answer) {
   wire::CommandAnswerT of_part;
--- a/src/dotterelshift/state/apply_record_order.cc
+++ b/src/dotterelshift/state/apply_record_order.cc
@@ -13,7 +13,7 @@
   const bool ended = order != orders.end() &&
                      order->state != wire::OrderState::Planned &&
                      order->state != wire::OrderState::Sent;
-  // A late record never changes an order's end.
+  // A late record never changes the final state of an order.
   if (order != orders.end() && !ended) {
     order->state = command.state;
     order->detail = command.detail;
--- a/src/dotterelshift/state/apply_record_refusals.cc
+++ b/src/dotterelshift/state/apply_record_refusals.cc
@@ -4,7 +4,8 @@
 
 void Apply(Context& context, const wire::RecordRefusalsT& command,
            wire::CommandAnswerT& answer) {
-  // Bounded: only numbers of the error table and teams that exist make rows.
+  // Only known error numbers and existing teams add rows, which bounds the
+  // table.
   const bool known =
       RowOf(static_cast<ErrorKind>(command.error)).kind ==
           static_cast<ErrorKind>(command.error) &&
--- a/src/dotterelshift/state/apply_register_host.cc
+++ b/src/dotterelshift/state/apply_register_host.cc
@@ -2,7 +2,8 @@
 
 namespace dotterelshift::state {
 
-// The older runs of the host were buried when this run's first command came.
+// Older incarnations of the host were marked as dead when the first command of
+// this one was applied.
 void Apply(Context& context, const wire::RegisterHostT& command,
            wire::CommandAnswerT& answer) {
   Tables& tables = context.tables;
--- a/src/dotterelshift/state/apply_request_grant.cc
+++ b/src/dotterelshift/state/apply_request_grant.cc
@@ -8,13 +8,15 @@
 namespace dotterelshift::state {
 namespace {
 
-// Near the end of a budget a grant takes at most this part of what is free, so
-// that one holder does not keep the last of it from the others.
+// A grant takes at most one in this many of the free tokens, or its minimum, so
+// that near the end of a budget one holder does not keep the last tokens from
+// the others.
 constexpr Tokens kShareOfFree = 4;
 
-// Under a lease, a holder that has not been heard of gives up its unopened
-// part. No clock has to be trusted: its next opening is refused, and without
-// an opening it may not dispatch.
+// Takes back the unopened tokens of holders whose lease has expired because
+// they sent nothing for StateOptions::lease_ms (in milliseconds). This is safe
+// without trusting any clock: the next opening of such a holder is refused, and
+// without an opening it may not dispatch.
 void ReclaimLapsed(Context& context, Account& account) {
   Tables& tables = context.tables;
   const WallMs silent = context.stamp - tables.options.lease_ms;
@@ -28,30 +30,32 @@
 }
 
 Tokens SizeOf(const wire::RequestGrantT& command, Tokens free) {
-  // Below zero: a published total was lowered under what is held.
+  // Negative if a published total was lowered below what is held.
   if (free <= 0 || free < command.minimum) return 0;
   const Tokens share = std::max(command.minimum, free / kShareOfFree);
   return std::min({std::max(command.wanted, command.minimum), share, free});
 }
 
-// What all entries together may hold of what is left of a published total. All
-// they hold is lost when they die at once, and half of what is left bears a cut
-// of ten seconds until the last fifth of a day.
+// The share of what is left of a published total that all entries together may
+// hold, in percent. What they hold is lost if they all die at once. Holding
+// half of what is left would carry them through ten seconds without control,
+// until the last fifth of a day.
 constexpr Tokens kHeldPercent = 45;
 
-// The last part of a published total, in thousandths, is not held by entries
-// but given out by control, to small requests one at a time: when all entries
-// die at once, and take with them what they hold, the small ones of those that
-// come are still served. Below the part that entries spread over time.
+// The reserve of a published total, in thousandths. Entries do not hold it:
+// control grants it to small requests one at a time, so that some of these are
+// still served after all entries died at once with the tokens that they held.
+// It is smaller than the last fraction of a total that entries spread over
+// time.
 constexpr Tokens kReservePerMille = 8;
 
-// A small request needs no more than one in so many of that part.
+// A request is small if it needs at most one in this many of the reserve.
 constexpr Tokens kRequestsOfReserve = 4;
 
-// What waits, and a second of the holder's demand, is granted in any case; more
-// only up to that part. Where others hold the part and draw little, a holder
-// that was given one request's tokens at a time served one request an answer of
-// control.
+// The minimum, for the requests that wait, and one second of the holder's
+// demand are granted in any case; more only up to kHeldPercent of what is left.
+// With the minimum alone, where others hold that share and spend little, a
+// holder would serve one request per answer from control.
 Tokens SizeOfPublished(const wire::RequestGrantT& command,
                        const BudgetAccount& amounts) {
   const Tokens free = amounts.Free();
@@ -69,7 +73,7 @@
   return small ? command.minimum : 0;
 }
 
-// By how much the part grows that the holder may spend without openings.
+// The increase of the amount that the holder may spend without openings.
 Tokens StandingGrowth(const wire::TeamT& team, const Grant& grant) {
   const budget::HoldingFacts facts{grant.tokens, grant.tokens - grant.Opened(),
                                    grant.demand_per_second,
@@ -80,8 +84,9 @@
   return std::max<Tokens>(0, target - grant.standing);
 }
 
-// The terms under which a budget is held: its team's, or those of published
-// totals, whose entries work without a commit for each request.
+// The terms under which a budget is held: those of its team or, under published
+// totals, terms by which entries spend without a commit for each request. Empty
+// if there is no such budget.
 std::optional<wire::TeamT> TermsOf(const Tables& tables,
                                    const BudgetId& budget) {
   if (tables.published.totals.contains(budget)) {
@@ -125,8 +130,8 @@
   grant.tokens += body.tokens;
   grant.demand_per_second = command.demand_per_second;
   account->amounts.granted += body.tokens;
-  // Published totals are held unwitnessed, and entries hand tokens on, so the
-  // two parts of a grant stay equal.
+  // Published totals are spent without openings, and entries transfer tokens to
+  // each other, so the pre-authorized amount equals the whole grant.
   body.standing = published ? body.tokens : StandingGrowth(*team, grant);
   grant.standing += body.standing;
   body.free = account->amounts.Free();
--- a/src/dotterelshift/state/apply_return_grant.cc
+++ b/src/dotterelshift/state/apply_return_grant.cc
@@ -16,7 +16,7 @@
   if (!IsAmount(command.tokens) || !IsAmount(command.standing))
     return Refuse(answer, ErrorKind::kBadFrame, "amount out of range");
   if (grant != nullptr) {
-    // Less may be there, when a lapsed lease took it back before.
+    // The grant may hold less, if an expired lease was reclaimed before.
     const bool published =
         context.tables.published.totals.contains(command.budget);
     const Tokens returned =
--- a/src/dotterelshift/state/apply_settle.cc
+++ b/src/dotterelshift/state/apply_settle.cc
@@ -8,14 +8,15 @@
 namespace dotterelshift::state {
 namespace {
 
-// The run that spent: the sender, unless a spool is settled for another.
+// The incarnation that spent the tokens: the sender, unless it settles the
+// spool of another incarnation.
 std::optional<RunNumber> Spender(const Context& context,
                                  const wire::SettleT& settle) {
   if (settle.holder.empty()) return context.run;
   return context.tables.FindRun({settle.holder, settle.holder_incarnation});
 }
 
-// True when the attempt had a committed opening; it ends here.
+// Ends the committed opening of the attempt. Returns false if it had none.
 bool EndOpening(Grant& grant, uint64_t attempt) {
   const auto found = std::find_if(
       grant.openings.begin(), grant.openings.end(),
@@ -25,17 +26,17 @@
   return true;
 }
 
-// What the settlement adds to the spend: the openings of a retired run were
-// written off in full before.
+// What the settlement adds to the spend. The openings of a retired incarnation
+// were counted as spent in full before.
 Tokens Uncounted(const Tables& tables, RunNumber spender,
                  const wire::SettleT& settle) {
   const bool written_off = tables.runs[spender].retired && settle.witnessed;
   return written_off ? 0 : settle.spent;
 }
 
-// Takes what was spent out of the holder's grant; of it, what the grant does
-// not cover comes out of the free part, and of that, what is not there shows
-// as overdrawn: only a faulty holder, or a retirement in error, gets so far.
+// Charges the spend to the holder's grant, then to the free tokens of the
+// account, and counts the rest as overdrawn, which only a faulty holder or a
+// mistaken retirement causes.
 void Charge(Context& context, Account& account, RunNumber spender,
             const wire::SettleT& settle) {
   BudgetAccount& amounts = account.amounts;
@@ -69,8 +70,8 @@
 
 void Report(Context& context, const Account& account,
             const wire::SettleT& settle, Tokens spent, bool first_bill) {
-  // A settlement may come late out of a spool: it counts on the day it
-  // finished, but never on one that is still to come.
+  // A settlement may arrive late, from a spool. It counts on the day on which
+  // the attempt finished, but never on a day in the future.
   const bool dated =
       settle.finished_ms > 0 && settle.finished_ms <= context.stamp;
   TeamDay& day =
@@ -78,7 +79,8 @@
                            dated ? settle.finished_ms : context.stamp);
   day.spent += spent;
   if (first_bill) day.billed += settle.billed;
-  // What was refused without being run is counted by RecordRefusals.
+  // Requests that were refused without being run are counted by RecordRefusals
+  // instead.
   if (!settle.last_attempt || settle.outcome == wire::Outcome::Refused) return;
   ++day.requests;
   if (!first_bill) return;
@@ -89,12 +91,13 @@
   Count(day.total_ms[label], settle.total_ms);
 }
 
-// Work that was not run gives its claim up, so that a resend may run.
+// Ends the claim of a request. A request that was not run releases its claim,
+// so that a resend may run.
 void EndClaim(Tables& tables, const RequestDigest& digest, RunNumber spender,
               const wire::SettleT& settle) {
   ClaimEntry* claim = FindClaim(tables, digest);
   if (claim == nullptr || !settle.last_attempt || claim->run != spender) return;
-  // A doubled settlement of an earlier claim says nothing of this one.
+  // A duplicate settlement of an earlier claim does not concern this one.
   if (settle.claim != 0 && settle.claim != claim->attempt) return;
   if (settle.unknown) {
     claim->progress = ClaimProgress::kUnknown;
--- a/src/dotterelshift/state/apply_store_plan.cc
+++ b/src/dotterelshift/state/apply_store_plan.cc
@@ -3,7 +3,7 @@
 namespace dotterelshift::state {
 namespace {
 
-// Plans that wait for their confirmation; beyond this the oldest go.
+// Limit of unconfirmed plans; beyond it the oldest one is dropped.
 constexpr size_t kMaxWaiting = 200;
 
 void DropOldestWaiting(Tables& tables) {
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-// A plan that is stored already stays as it was: a resend changes nothing.
+// A plan that is already stored is left unchanged, so that a resend has no
+// effect.
 void Apply(Context& context, const wire::StorePlanT& command,
            wire::CommandAnswerT& answer) {
   Tables& tables = context.tables;
--- a/src/dotterelshift/state/apply_suspect.cc
+++ b/src/dotterelshift/state/apply_suspect.cc
@@ -3,11 +3,13 @@
 namespace dotterelshift::state {
 namespace {
 
-// A content that never was alone when its endpoints died needs this many times
-// the endpoints, because another request may be at fault.
+// A content that was never the only one in flight when its endpoints died is
+// quarantined after this many times the endpoints, because another request may
+// be the cause.
 constexpr uint32_t kFactorInCompany = 2;
 
-// Contents beyond this are not taken up: bounded memory under a flood.
+// Contents beyond this number are not tracked, which bounds the memory under a
+// flood.
 constexpr size_t kMaxSuspects = 10'000;
 
 }  // namespace
@@ -38,7 +40,8 @@
   Answer(answer, body);
 }
 
-// Its content ran to the end: whatever it was near to, it is innocent.
+// The content ran to completion, so it was not the cause of any death reported
+// before.
 void Apply(Context& context, const wire::ClearSuspectT& command,
            wire::CommandAnswerT& answer) {
   context.tables.suspects.erase(command.content_hash);
--- a/src/dotterelshift/state/checks.h
+++ b/src/dotterelshift/state/checks.h
@@ -8,8 +8,8 @@
 
 namespace dotterelshift::state {
 
-// Cross-checks the accounts with their grants and with the days of the reports;
-// one line for each disagreement.
+// Cross-checks the accounts against their grants and against the daily reports.
+// Returns one line for each disagreement.
 std::vector<std::string> FindDisagreements(const Tables& tables);
 
 }  // namespace dotterelshift::state
--- a/src/dotterelshift/state/configuration.cc
+++ b/src/dotterelshift/state/configuration.cc
@@ -24,7 +24,7 @@
   return found == map.end() ? nullptr : &found->second;
 }
 
-// The keys of a map in order, so that the same content gives the same bytes.
+// The sorted keys of a map, so that equal content is serialized to equal bytes.
 template <typename Map>
 std::vector<const std::string*> SortedKeys(const Map& map) {
   std::vector<const std::string*> keys;
@@ -35,7 +35,7 @@
   return keys;
 }
 
-// Wraps one part of the configuration in the change that makes it.
+// Wraps an object of the configuration in the change that creates it.
 template <typename Body, typename Part>
 wire::ChangeT ChangeOf(const Part& part, std::unique_ptr<Part> Body::*member) {
   Body body;
@@ -45,7 +45,7 @@
   return change;
 }
 
-// Whether any set or placement speaks of a name at all.
+// Whether any endpoint set has the name in the given list.
 template <typename Sets>
 bool AnySetNames(const Sets& sets,
                  std::vector<std::string> wire::EndpointSetT::*list,
@@ -58,7 +58,8 @@
 }  // namespace
 
 KeyHash HashKey(std::string_view bearer_key, std::string_view fleet_secret) {
-  // The secret may have any length; the library's keys may not.
+  // The secret may have any length, but keys of libsodium may not, so the
+  // secret is hashed to a key first.
   std::array<uint8_t, crypto_generichash_KEYBYTES> key{};
   crypto_generichash(key.data(), key.size(),
                      reinterpret_cast<const uint8_t*>(fleet_secret.data()),
@@ -123,7 +124,7 @@
       m_placements.erase(change.body.AsRemovePlacement()->model);
       break;
     default:
-      break;  // amounts, holders and replicas are not part of it
+      break;  // amounts, holders and replicas are not stored here
   }
 }
 
@@ -143,7 +144,7 @@
   KeyHash hash{};
   std::copy(key->hash.begin(), key->hash.end(), hash.begin());
   const auto by_hash = m_key_by_hash.find(hash);
-  // The same bearer key may have been given a second id since.
+  // The bearer key may since have been stored under a second id.
   const bool own =
       by_hash != m_key_by_hash.end() && &m_keys.At(by_hash->second) == key;
   if (own) m_key_by_hash.erase(by_hash);
@@ -167,8 +168,8 @@
   budgets.insert(at, slot);
 }
 
-// A team takes its keys and budgets along; the budgets' accounts stay in the
-// state for the reports.
+// Also removes the keys and budgets of the team. The budgets' accounts stay in
+// the state for the reports.
 void Configuration::RemoveTeam(const TeamId& id) {
   m_teams.erase(id);
   std::vector<std::string> keys;
--- a/src/dotterelshift/state/configuration_test.cc
+++ b/src/dotterelshift/state/configuration_test.cc
@@ -55,7 +55,7 @@
   return change;
 }
 
-// The bytes of a list of changes, for comparison.
+// The serialized changes, for comparison.
 std::string BytesOf(std::vector<wire::ChangeT> changes) {
   wire::PlanT plan;
   for (wire::ChangeT& change : changes)
@@ -94,7 +94,7 @@
     CPPUNIT_ASSERT(team != nullptr && team->id == "dakar");
     CPPUNIT_ASSERT(!m_configuration.FindTeamByKey(HashKey("key", "other")));
     CPPUNIT_ASSERT(!m_configuration.FindTeamByKey(HashKey("yek", "secret")));
-    // A key id that is given a new secret no longer opens by the old one.
+    // After a key id is given a new secret, the old one is no longer accepted.
     const std::vector<wire::ChangeT> changes =
         One(KeyChange("k1", "dakar", HashKey("new", "secret")));
     m_configuration.Apply(changes, 8);
--- a/src/dotterelshift/state/grants.cc
+++ b/src/dotterelshift/state/grants.cc
@@ -11,7 +11,7 @@
                       [run](const Grant& grant) { return grant.run == run; });
 }
 
-// Openings of a retired run count as spent, worst case.
+// Counts the openings of a retired incarnation as spent, the worst case.
 void WriteOffOpenings(Tables& tables, Account& account, Grant& grant,
                       WallMs stamp) {
   const Tokens spent = std::min(grant.tokens, grant.Opened());
@@ -44,7 +44,7 @@
   const auto found = Place(account, run);
   if (found == grants.end()) return account.DropGrantsIfEmpty();
   if (found->tokens != 0) return;
-  // The holder of a live standing part goes on to count with it.
+  // A live holder still counts on its pre-authorized amount.
   const bool remembered = !found->openings.empty() || found->standing > 0;
   if (found->dead || !remembered) grants.erase(found);
   account.DropGrantsIfEmpty();
--- a/src/dotterelshift/state/grants.h
+++ b/src/dotterelshift/state/grants.h
@@ -5,21 +5,22 @@
 
 #include "dotterelshift/state/tables.h"  // for Account, Grant
 
-// Moves of tokens between the columns of an account. Each keeps
-// purchased = settled + granted + lost + free with no column below zero.
+// Moves tokens between the amounts of an account. Each function preserves
+// purchased = settled + granted + lost + free and leaves no amount below zero.
 namespace dotterelshift::state {
 
-// The rules on which soundness rests. A test compiles one out to show that it
-// is missed.
+// The rules that keep spend within the budget. A test compiles one out to show
+// that it is needed.
 struct SoundRules {
-  // A dead run may have spent its standing part while it was cut off, so that
-  // part is not given out again.
+  // A dead incarnation may have spent its pre-authorized amount while it was
+  // cut off, so that amount is not granted again.
   static constexpr bool kKeepStandingOfTheDead = true;
 };
 
-// What is left of a dead run's grant: openings without a settlement and the
-// standing part may have been spent; the rest cannot have been, because it
-// would have needed an opening that control committed.
+// Splits the grant of a dead incarnation. Its unsettled openings and its
+// pre-authorized amount may have been spent and are lost. The rest cannot have
+// been spent, because that would have required a committed opening, and is
+// freed.
 template <typename Rules>
 Recovery RecoverDead(const Grant& grant) {
   const Tokens standing = Rules::kKeepStandingOfTheDead ? grant.standing : 0;
@@ -27,22 +28,24 @@
   return {grant.tokens - lost, lost};
 }
 
-// The grant of a run in an account; null when it has none.
+// The grant of an incarnation in an account. If there is none, FindGrant()
+// returns null and GrantOf() adds one.
 Grant* FindGrant(Account& account, RunNumber run);
 Grant& GrantOf(Account& account, RunNumber run);
 
-// Drops the grant when nothing is left to remember of it.
+// Removes the grant if it holds no tokens and no state that is still needed.
 void DropIfEmpty(Account& account, RunNumber run);
 
-// Takes a dead run's grants back in all accounts, as far as they can be.
+// Marks an incarnation as dead and takes back its grants in all accounts, as
+// far as `recover` allows.
 void BuryRun(Tables& tables, RunNumber run, RecoverGrant recover);
 
-// After a settlement of a dead run: frees what its openings and standing part
-// no longer cover.
+// After a settlement for a dead incarnation: frees the tokens that its
+// remaining openings and pre-authorized amount no longer account for.
 void FreeUncovered(Account& account, Grant& grant, RecoverGrant recover);
 
-// An operator's confirmed word that a dead run's remainder was not spent:
-// frees the standing part. Openings count as spent in full.
+// Applies an operator's confirmation that a dead incarnation did not spend its
+// pre-authorized amount: frees that amount. Openings count as spent in full.
 void RetireRun(Tables& tables, RunNumber run, WallMs stamp);
 
 }  // namespace dotterelshift::state
--- a/src/dotterelshift/state/packed_document.cc
+++ b/src/dotterelshift/state/packed_document.cc
@@ -13,15 +13,15 @@
 namespace dotterelshift::state {
 namespace {
 
-// Fast, and it finds what is unchanged in documents of several megabytes.
+// Fast, yet finds the unchanged text in documents of several megabytes.
 constexpr int kLevel = 3;
 
-// The library's bounds of a window, as powers of two of bytes.
+// Bounds of the window size in zstd, as powers of two of bytes.
 constexpr int kLeastWindow = 10;
 constexpr int kMostWindow = 27;
 
-// A packed document begins with a hash of its base, since a base that differs
-// where nothing is copied from it would go unnoticed.
+// A packed document starts with a hash of its base. Without it, a wrong base
+// would go unnoticed if the delta copies none of the bytes that differ.
 using BaseHash = XXH64_hash_t;
 
 struct FreeCompressor {
@@ -40,7 +40,8 @@
   return result;
 }
 
-// All of the base and the document is looked at for what they share.
+// A window that covers both the base and the document, so that matches are
+// found anywhere in them.
 int WindowOf(size_t bytes) {
   return std::clamp(static_cast<int>(std::bit_width(bytes)), kLeastWindow,
                     kMostWindow);
@@ -85,7 +86,7 @@
   const uint8_t* frame = packed.data() + sizeof hash;
   const size_t frame_bytes = packed.size() - sizeof hash;
   const auto size = ZSTD_getFrameContentSize(frame, frame_bytes);
-  if (size > kMostDocumentBytes)  // also: not told, or no frame
+  if (size > kMostDocumentBytes)  // also true if unknown, or not a frame
     throw Error(ErrorKind::kBadFrame, "packed document of unknown size");
   const std::unique_ptr<ZSTD_DCtx, FreeDecompressor> context(ZSTD_createDCtx());
   Checked(ZSTD_DCtx_refPrefix(context.get(), base.data(), base.size()),
--- a/src/dotterelshift/state/packed_document_test.cc
+++ b/src/dotterelshift/state/packed_document_test.cc
@@ -68,7 +68,7 @@
       for (int bit = 0; bit < 8; ++bit) {
         std::vector<uint8_t> flipped = packed;
         flipped[i] ^= static_cast<uint8_t>(1 << bit);
-        // A bit that means nothing to the library leaves the document whole.
+        // Flipping a bit that the library ignores leaves the document intact.
         CPPUNIT_ASSERT(IsRefused(flipped, base) ||
                        UnpackDocument(flipped, base) == next);
       }
--- a/src/dotterelshift/state/plan_conflicts.cc
+++ b/src/dotterelshift/state/plan_conflicts.cc
@@ -7,9 +7,9 @@
 namespace dotterelshift::state {
 namespace {
 
-// How a change bears on an object. Two plans may both read or both add to an
-// object; they clash where one writes what the other writes, and where one
-// removes what the other needs.
+// How a change accesses an object. Two plans may both read or both add to an
+// object. They conflict if both write or remove it, and if one removes what the
+// other accesses in any way.
 enum Use : uint8_t { kRead = 1, kAdd = 2, kWrite = 4, kRemove = 8 };
 using Uses = std::map<std::string, uint8_t>;
 
@@ -50,7 +50,7 @@
 void UseBody(const wire::RetireHolderT& body, Uses& uses) {
   uses["holder " + body.host] |= kWrite;
 }
-// Replicas are replaced one at a time.
+// All changes of replicas conflict: replicas are replaced one at a time.
 void UseBody(const wire::AddReplicaT&, Uses& uses) {
   uses["replicas"] |= kWrite;
 }
--- a/src/dotterelshift/state/plan_conflicts.h
+++ b/src/dotterelshift/state/plan_conflicts.h
@@ -10,15 +10,16 @@
 
 namespace dotterelshift::state {
 
-// Why a plan may not be confirmed any more.
+// Why a plan can no longer be confirmed.
 struct PlanObstacle {
   ErrorKind kind = ErrorKind::kNone;
-  std::string detail;  // who changed what since
+  std::string detail;  // who changed which objects since
 };
 
-// Compares a plan with what was confirmed after its base: kPlanConflict when a
-// plan of the same base touched the same objects, kPlanStale when a later one
-// did or when the changes since are no longer kept.
+// Checks a plan against the plans confirmed since its base version. Returns
+// kPlanConflict if a plan with the same base touched the same objects, and
+// kPlanStale if one with another base did, or if the changes since then are no
+// longer kept. Empty if nothing prevents the confirmation.
 std::optional<PlanObstacle> FindObstacle(const Tables& tables,
                                          const wire::PlanT& plan);
 
--- a/src/dotterelshift/state/plan_orders.cc
+++ b/src/dotterelshift/state/plan_orders.cc
@@ -21,7 +21,7 @@
   return order;
 }
 
-// What one endpoint that is to carry the model still lacks.
+// Appends what an endpoint of the new placement still has to load or change.
 void OrdersOfEndpoint(const EndpointId& endpoint,
                       const wire::ModelPlacementT* before,
                       const wire::ModelPlacementT& after,
@@ -91,7 +91,7 @@
   for (const wire::OrderT& order : fresh) Supersede(tables.orders, order);
   for (size_t i = 0; i < fresh.size(); ++i) {
     fresh[i].id = plan.id + "/" + std::to_string(i + 1);
-    // The place of the confirming command in the log: it only rises.
+    // The position of the confirming command in the log, which only increases.
     fresh[i].fencing = tables.commands_applied;
     tables.orders.push_back(std::move(fresh[i]));
   }
--- a/src/dotterelshift/state/plan_orders.h
+++ b/src/dotterelshift/state/plan_orders.h
@@ -6,8 +6,8 @@
 
 namespace dotterelshift::state {
 
-// The orders that bring endpoints from one placement of a model to another;
-// either may be null. The fencing number and the id are set by AddOrders().
+// The orders that take endpoints from one placement of a model to another;
+// either may be null. AddOrders() sets the fencing number and the id.
 std::vector<wire::OrderT> OrdersBetween(const wire::ModelPlacementT* before,
                                         const wire::ModelPlacementT* after);
 
--- a/src/dotterelshift/state/published_test.cc
+++ b/src/dotterelshift/state/published_test.cc
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT(copy->Snapshot() == m_state->Snapshot());
   }
 
-  // A version told as a step from the one in force.
+  // Publishes a document as a delta from the current version.
   wire::PublishRoutesT StepTo(uint64_t version, const std::string& document) {
     const PublishedRoutes in_force = m_state->GetPublished();
     wire::PublishRoutesT step;
@@ -106,8 +106,8 @@
     return step;
   }
 
-  // Replicas that have restored a snapshot go on with the same documents, and
-  // know of no older steps.
+  // A replica that has restored a snapshot applies further deltas, but has none
+  // of the older ones.
   void StepsLeadFromVersionToVersion() {
     m_control->Send(StepTo(4, "four"), 2);
     const auto copy = MakeState();
@@ -123,7 +123,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_state->RoutesSince(4).size());
     CPPUNIT_ASSERT(m_state->RoutesSince(2).empty());
     CPPUNIT_ASSERT(copy->RoutesSince(1).empty());
-    // A whole document ends what led to the one before it.
+    // A full document discards the deltas before it.
     m_control->Send(RoutesOf(9, 1000), 4);
     CPPUNIT_ASSERT(m_state->RoutesSince(7).empty());
   }
@@ -147,12 +147,13 @@
   void EntriesHoldOnlyAPartOfWhatIsLeft() {
     CPPUNIT_ASSERT_EQUAL(Tokens{450}, Grant(*m_a, 1000, 0));
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, Grant(*m_b, 1000, 0));
-    // A request that waits is covered all the same.
+    // A waiting request is covered beyond that share.
     CPPUNIT_ASSERT_EQUAL(Tokens{300}, Grant(*m_b, 1000, 300));
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, Grant(*m_b, 1000, 300));
   }
 
-  // With one request's tokens an answer it would serve one request an answer.
+  // With the minimum alone, a holder would serve one request per answer from
+  // control while others hold the whole share.
   void AHolderGetsASecondOfItsDemandBeyondThatPart() {
     CPPUNIT_ASSERT_EQUAL(Tokens{450}, Grant(*m_a, 1000, 0));
     wire::RequestGrantT ask = AskOf(1000, 10);
@@ -161,12 +162,12 @@
       return m_b->Send(ask, 1).body.AsGrantAnswer()->tokens;
     };
     CPPUNIT_ASSERT_EQUAL(Tokens{100}, granted());
-    // But not more than a quarter of what is free.
+    // But no more than a quarter of the free tokens.
     ask.demand_per_second = 900;
     CPPUNIT_ASSERT_EQUAL(Tokens{112}, granted());
   }
 
-  // The receiver's spend comes before the sender's word of the hand-over.
+  // The receiver's spend arrives before the sender reports the transfer.
   void TokensHandedOnAreCountedOnceInAnyOrder() {
     Grant(*m_a, 400, 400);
     m_b->Send(SpendOf(150), 2);
@@ -182,8 +183,9 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{650}, Account().Free());
   }
 
-  // A sender takes "stale" as the word that a newer run has its place, and
-  // leaves; a hand-over to one that has just started must not say that.
+  // To a sender, kStaleIncarnation means that a newer incarnation has replaced
+  // it, and it exits. A transfer to a receiver that has just started must not
+  // cause that error.
   void AReceiverThatIsNotKnownIsNoFaultOfTheSender() {
     Grant(*m_a, 400, 400);
     const auto answer = m_a->Send(MoveOf(200, {"just started", 7}), 2);
@@ -195,7 +197,7 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{600}, Account().Free());
   }
 
-  // A part that cannot count leaves the others as they are.
+  // An item that is refused does not affect the others.
   void AReportCountsEachOfItsParts() {
     Grant(*m_a, 400, 400);
     wire::ReportHoldingsT report;
@@ -223,12 +225,13 @@
 
   void WhatADeadEntryHeldIsNeverGrantedAgain() {
     Grant(*m_a, 400, 400);
-    m_b->Send(SpendOf(100), 2);  // handed on by a, which dies unheard
+    m_b->Send(SpendOf(100), 2);  // transferred by a, which dies unreported
     TestRun again(m_state.get(), "a", 2);
     Register(again);
     CPPUNIT_ASSERT_EQUAL(Tokens{600}, Account().Free());
     CPPUNIT_ASSERT_EQUAL(Tokens{400}, Account().lost);
-    // All but the last part, and of that small pieces until it is used up.
+    // Everything but the reserve, and then the reserve in small amounts until
+    // it is used up.
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, Grant(again, 1000, 593));
     CPPUNIT_ASSERT_EQUAL(Tokens{592}, Grant(again, 1000, 592));
     for (int piece = 0; piece < 4; ++piece)
@@ -236,8 +239,8 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, Grant(again, 1000, 1));
   }
 
-  // Requests of all sizes wait at the entries until control gives nothing more
-  // to any but small ones; then all entries die with what they hold.
+  // Requests of all sizes draw tokens until control grants nothing more except
+  // to small ones. Then all entries die with the tokens that they hold.
   void AFleetThatDiesLeavesSomethingForSmallRequests() {
     constexpr Tokens kTotal = 1'000'000;
     constexpr Tokens kSmall = 2'000;
@@ -265,8 +268,8 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, Grant(*m_b, 10, 10));
   }
 
-  // Entries ask, spend, hand on, report late and die in any order; what they
-  // really consumed stays within the total.
+  // Entries request grants, spend, transfer tokens, report late and die in
+  // random order. What they really consumed must stay within the total.
   void SpendNeverExceedsTheTotalInAnySchedule() {
     constexpr int kSchedules = 300;
     constexpr int kSteps = 200;
@@ -335,8 +338,8 @@
       if (&other == &entry || lent == 0) return;
       entry.held -= lent;
       other.held += lent;
-      // The word of it waits for the next report, or comes at once, or is lost
-      // with the sender.
+      // The transfer is reported with the next report, at once, or never, as
+      // its sender dies first.
       switch (m_random() % 3) {
         case 0:
           entry.unreported_moves.push_back(MoveOf(lent, other.run->Id()));
--- a/src/dotterelshift/state/requests.cc
+++ b/src/dotterelshift/state/requests.cc
@@ -8,8 +8,8 @@
 namespace dotterelshift::state {
 namespace {
 
-// Bills are kept in this many periods, so that a lookup stays short and a
-// whole period can be dropped at once.
+// Records are kept in this many periods, so that a lookup is short and a whole
+// period can be dropped at once.
 constexpr int kPeriods = 6;
 
 RequestPeriod* PeriodOf(Tables& tables, const RequestDigest& digest) {
@@ -31,7 +31,8 @@
   return tables.requests.back();
 }
 
-// The period that the request's records go to: all of a request are together.
+// The period for the records of a request: all records of one request are in
+// the same period.
 RequestPeriod& PeriodFor(Tables& tables, const RequestDigest& digest,
                          const std::string& request_key) {
   RequestPeriod* known = PeriodOf(tables, digest);
@@ -43,7 +44,8 @@
   return period;
 }
 
-// Claims of work that still runs outlive their period.
+// Keeps the claims of requests that are still running beyond the end of their
+// period.
 void KeepRunning(Tables& tables, RequestPeriod& from, RequestPeriod& to) {
   for (const auto& [digest, claim] : from.claims) {
     const bool runs = claim.progress == ClaimProgress::kRunning &&
@@ -54,7 +56,7 @@
 
 void Age(Tables& tables, RequestPeriod& period) {
   KeepRunning(tables, period, CurrentPeriod(tables));
-  // Assigning an empty list would keep the buckets.
+  // A new map frees the bucket array; assigning an empty list would keep it.
   period.settled = decltype(period.settled)();
   period.settled_again.clear();
   period.claims = decltype(period.claims)();
@@ -66,7 +68,7 @@
 }  // namespace
 
 RequestDigest DigestOf(const TeamId& team, const std::string& request_key) {
-  // The length keeps ("a", "bc") and ("ab", "c") apart.
+  // The length distinguishes ("a", "bc") from ("ab", "c").
   const uint64_t length = team.size();
   std::string text(reinterpret_cast<const char*>(&length), sizeof(length));
   text += team;
--- a/src/dotterelshift/state/requests.h
+++ b/src/dotterelshift/state/requests.h
@@ -6,19 +6,20 @@
 #include "dotterelshift/state/tables.h"  // for RequestPeriod
 
 // The records of requests by (team, request key): settled attempts, bills and
-// claims, and the keys of those that have aged out.
+// claims, and the keys of requests that have been compacted.
 namespace dotterelshift::state {
 
-// Cannot be made to collide by a choice of keys (BLAKE2b).
+// The BLAKE2b digest of team and request key: callers cannot choose keys that
+// collide.
 RequestDigest DigestOf(const TeamId& team, const std::string& request_key);
 
-// The claim of a request; null when there is none.
+// The claim of a request; null if there is none.
 ClaimEntry* FindClaim(Tables& tables, const RequestDigest& digest);
 void AddClaim(Tables& tables, const RequestDigest& digest,
               const std::string& request_key, const ClaimEntry& claim);
 void EraseClaim(Tables& tables, const RequestDigest& digest);
 
-// The settled attempt of a request; null when it was not settled.
+// The settled attempt of a request; null if it is not settled.
 const SettledAttempt* FindAttempt(const Tables& tables,
                                   const RequestDigest& digest, RunNumber run,
                                   uint64_t attempt);
@@ -26,10 +27,11 @@
 void AddAttempt(Tables& tables, const RequestDigest& digest,
                 const std::string& request_key, const SettledAttempt& attempt);
 
-// Whether the key belongs to a request that has aged out.
+// Whether the key belongs to a request that has been compacted.
 bool IsExpired(const Tables& tables, const RequestDigest& digest);
 
-// Lets the periods lapse that are older than the options say.
+// Compacts the periods that are older than StateOptions::bill_age_out_ms and,
+// after StateOptions::expired_key_ms more, drops their keys.
 void AgeRequests(Tables& tables);
 
 }  // namespace dotterelshift::state
--- a/src/dotterelshift/state/routes_document_testing.h
+++ b/src/dotterelshift/state/routes_document_testing.h
@@ -1,8 +1,8 @@
 #ifndef DOTTERELSHIFT_SRC_STATE_ROUTES_DOCUMENT_TESTING_H_
 #define DOTTERELSHIFT_SRC_STATE_ROUTES_DOCUMENT_TESTING_H_
 
-// Documents of routes in the size and shape of an operator's; for tests and
-// benchmarks only.
+// Generates routes documents of the size and shape of an operator's, for tests
+// and benchmarks only.
 
 #include <cstdint>   // for uint64_t
 #include <optional>  // for optional
@@ -14,11 +14,11 @@
 struct RoutesDocumentOptions {
   uint64_t version = 1;
   size_t routes = 1'400;
-  std::optional<size_t> changed;  // a route that differs from other versions'
+  std::optional<size_t> changed;  // index of a route that each version changes
 };
 
-// A document of some 230 bytes for each route. The names are the same in each
-// version.
+// A document of about 230 bytes per route. The names are the same in all
+// versions.
 inline std::string RoutesDocument(const RoutesDocumentOptions& options) {
   std::minstd_rand random;
   const auto word = [&random] {
--- a/src/dotterelshift/state/snapshot.cc
+++ b/src/dotterelshift/state/snapshot.cc
@@ -61,7 +61,8 @@
   if (record.overdrawn > 0) tables.overdrawn[record.budget] = record.overdrawn;
   for (const auto& holding : record.holdings) {
     if (holding->run >= tables.runs.size())
-      throw Error(ErrorKind::kStorageDamaged, "snapshot: unknown run");
+      throw Error(ErrorKind::kStorageDamaged,
+                  "snapshot: holding of an unknown incarnation");
     Grant grant{holding->run,
                 holding->dead,
                 holding->tokens,
@@ -125,7 +126,8 @@
   }
   for (const auto& record : snapshot.hosts) {
     if (record->run >= tables.runs.size())
-      throw Error(ErrorKind::kStorageDamaged, "snapshot: unknown run");
+      throw Error(ErrorKind::kStorageDamaged,
+                  "snapshot: host with an unknown incarnation");
     tables.hosts[record->host] = ReadHost(*record);
   }
 }
@@ -207,7 +209,8 @@
 void ReadPlans(const wire::StateSnapshotT& snapshot, Tables& tables) {
   for (const auto& record : snapshot.plans) {
     if (record->plan == nullptr)
-      throw Error(ErrorKind::kStorageDamaged, "snapshot: empty plan");
+      throw Error(ErrorKind::kStorageDamaged,
+                  "snapshot: plan record without a plan");
     const std::string& id = record->plan->id;
     if (record->version != 0) tables.plan_by_version[record->version] = id;
     tables.plans[id] = {*record->plan, record->stored_ms, record->confirmed_ms,
@@ -271,7 +274,7 @@
   return day;
 }
 
-// ---- the whole
+// ---- complete snapshot
 
 void WriteRest(const Tables& tables, wire::StateSnapshotT* snapshot) {
   for (const auto& [hash, suspect] : tables.suspects)
@@ -368,7 +371,7 @@
   flatbuffers::Verifier verifier(reinterpret_cast<const uint8_t*>(bytes.data()),
                                  bytes.size(), limits);
   if (!wire::VerifyStateSnapshotBuffer(verifier))
-    throw Error(ErrorKind::kStorageDamaged, "snapshot: not whole");
+    throw Error(ErrorKind::kStorageDamaged, "snapshot: truncated or damaged");
   wire::StateSnapshotT snapshot;
   wire::GetStateSnapshot(bytes.data())->UnPackTo(&snapshot);
   if (snapshot.format != kFormat)
--- a/src/dotterelshift/state/snapshot.h
+++ b/src/dotterelshift/state/snapshot.h
@@ -8,11 +8,11 @@
 
 namespace dotterelshift::state {
 
-// The tables as bytes: equal tables give equal bytes.
+// Serializes the tables. Equal tables give equal bytes.
 std::string WriteSnapshot(const Tables& tables);
 
-// The tables again. Throws Error(kStorageDamaged) on bytes that are not a whole
-// snapshot of a known format.
+// Restores the tables. Throws Error(kStorageDamaged) if the bytes are not a
+// complete snapshot of a known format.
 Tables ReadSnapshot(std::string_view snapshot, const StateOptions& options);
 
 }  // namespace dotterelshift::state
--- a/src/dotterelshift/state/state.cc
+++ b/src/dotterelshift/state/state.cc
@@ -216,8 +216,8 @@
     return answer;
   }
 
-  // True when the command is of its host's newest run. A run that is newer than
-  // any before proves those dead; from its first command on it counts.
+  // Whether the command is from the newest incarnation of its host. The first
+  // command of a newer incarnation adds it and proves the older ones dead.
   bool EnterRun(const wire::CommandIdT& id) {
     const HostRun run{id.host, id.incarnation};
     const auto known = m_tables.hosts.find(id.host);
@@ -251,8 +251,8 @@
     KeepAnswer(host, answer, m_tables.options.answers_kept);
   }
 
-  // Of a dead run only settlements count, which a replica kept for it; they
-  // are recognised by their attempts when they come twice.
+  // Of a dead incarnation only settlements are applied, which a replica kept
+  // for it. Duplicates are recognised by their attempts.
   void ApplyOfDead(const wire::CommandT& command,
                    wire::CommandAnswerT& answer) {
     const std::optional<RunNumber> run =
--- a/src/dotterelshift/state/state_core.h
+++ b/src/dotterelshift/state/state_core.h
@@ -8,8 +8,8 @@
 
 namespace dotterelshift::state {
 
-// The state under a given rule for dead runs' grants. MakeState() takes
-// RecoverDead<SoundRules>; tests may take a broken one.
+// Creates a state with a given rule for the grants of dead incarnations.
+// MakeState() uses RecoverDead<SoundRules>; tests may pass an unsafe rule.
 std::unique_ptr<State> MakeStateWith(const StateOptions& options,
                                      RecoverGrant recover);
 
--- a/src/dotterelshift/state/state_test.cc
+++ b/src/dotterelshift/state/state_test.cc
@@ -79,7 +79,7 @@
   }
 
   void DeadHolderKeepsOnlyWhatItMayHaveSpent() {
-    // 500 held, 10 s of 12 a second standing, 200 opened.
+    // 500 held, 120 of them pre-authorized (10 s at 12 a second), 200 opened.
     Ask(m_entry, 500, 12, 500);
     Open("k", 1, 200);
     CPPUNIT_ASSERT_EQUAL(Tokens{120}, m_state->HoldingsOf("b")[0].standing);
@@ -101,7 +101,8 @@
     for (int times = 0; times < 2; ++times) {
       CPPUNIT_ASSERT(FirstBill(m_entry.Resend(late, kStart)));
       CPPUNIT_ASSERT(FirstBill(m_entry.Resend(unwitnessed, kStart)));
-      // The opening is settled; 90 of the standing part stay in doubt.
+      // The opening is settled; 90 of the pre-authorized tokens may still be
+      // spent.
       CheckAmounts({1000, 80, 80, 0, 90});
     }
   }
@@ -141,7 +142,7 @@
     const auto days = m_state->Report("team", 0, 30'000);
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, days.at(0).answered);
     CPPUNIT_ASSERT_EQUAL(Tokens{13}, days.at(0).spent);
-    // An opening that its settlement overtook does not stay open.
+    // An opening that arrives after its settlement does not stay open.
     CPPUNIT_ASSERT(Is(Open("k", 1, 10), ErrorKind::kResendTooOld));
   }
 
@@ -156,8 +157,8 @@
     CheckAmounts({1000, 0, 0, 100, 0});
   }
 
-  // A fleet that restarts makes thousands of commands a second; what control
-  // keeps of them is what may still be asked for.
+  // A restarting fleet sends thousands of commands a second, so control keeps
+  // only the answers that may still be asked for.
   void AnswersThatTheSenderHasAreDropped() {
     const auto first = m_entry.Command(GrantAsk("b", 100));
     auto second = m_entry.Command(GrantAsk("b", 50));
@@ -170,7 +171,8 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{50}, Granted(m_entry.Resend(second, kStart)));
     CPPUNIT_ASSERT_EQUAL(Tokens{10}, Granted(m_entry.Resend(third, kStart)));
     CheckAmounts({1000, 0, 0, 160, 0});
-    // A sender that names more than it has sent does not lose its next answer.
+    // A sender that acknowledges more than it has sent does not lose its next
+    // answer.
     auto fourth = m_entry.Command(GrantAsk("b", 5));
     fourth.id->answered_below = fourth.id->sequence + 100;
     m_entry.Resend(fourth, kStart);
@@ -265,7 +267,7 @@
     CPPUNIT_ASSERT(second.detail.find("team team") != std::string::npos);
     const auto far = Confirm("far");
     CPPUNIT_ASSERT(Is(far, ErrorKind::kNone));
-    // Resent confirms get their first answers, whoever sends them.
+    // Repeated confirmations get the first answer, whoever sends them.
     CPPUNIT_ASSERT_EQUAL(base + 1, Confirm("one").body.AsPlanAnswer()->version);
     CPPUNIT_ASSERT_EQUAL(base + 2, Confirm("far").body.AsPlanAnswer()->version);
     m_operator.Send(PlanOf("three", base + 1, "cem", List(TeamChange("x"))),
@@ -303,7 +305,7 @@
       CPPUNIT_ASSERT_MESSAGE(row.name, Is(answer, ErrorKind::kBadIntent));
     }
     CPPUNIT_ASSERT_EQUAL(base, m_state->GetConfiguration().Version());
-    // The same top-up in a second plan counts once.
+    // The same top-up in two plans counts once.
     for (const char* plan : {"x", "y"})
       Accept(m_operator, *m_state, plan, List(TopUpChange("t", "b", 5)),
              kStart);
@@ -350,7 +352,7 @@
     copy->Restore(bytes);
     CPPUNIT_ASSERT(copy->Snapshot() == bytes);
     CPPUNIT_ASSERT(copy->Disagreements().empty());
-    // Both go on alike.
+    // Both states continue identically.
     TestRun left(m_state.get(), "entry", 2);
     TestRun right(copy.get(), "entry", 2);
     for (TestRun* run : {&left, &right}) Ask(*run, 100);
@@ -362,7 +364,7 @@
     for (const size_t length : {size_t{0}, size_t{3}, bytes.size() / 2}) {
       try {
         m_state->Restore(bytes.substr(0, length));
-        CPPUNIT_FAIL("a torn snapshot was taken");
+        CPPUNIT_FAIL("a truncated snapshot was accepted");
       } catch (const Error& error) {
         CPPUNIT_ASSERT(error.Kind() == ErrorKind::kStorageDamaged);
       }
@@ -383,7 +385,7 @@
     return list;
   }
 
-  // The team with its budget of 1000 tokens.
+  // Stores the team with this grant mode, and its budget of 1000 tokens.
   void Set(const std::string& plan, const Way& way) {
     const auto answer =
         Accept(m_operator, *m_state, plan,
--- a/src/dotterelshift/state/state_testing.h
+++ b/src/dotterelshift/state/state_testing.h
@@ -9,10 +9,10 @@
 #include "dotterelshift/state/state.h"              // for State
 #include "dotterelshift/wire/commands_generated.h"  // for CommandT
 
-// Short ways to write commands down, for tests and benchmarks.
+// Helpers that build and send commands, for tests and benchmarks.
 namespace dotterelshift::state {
 
-// Sends commands of one run to a state, with rising sequences.
+// Sends commands of one host incarnation to a state, with increasing sequences.
 class TestRun {
  public:
   TestRun(State* state, HostId host, Incarnation incarnation)
@@ -104,7 +104,8 @@
   return body;
 }
 
-// Stores and confirms a plan on the newest version; the answer to the confirm.
+// Stores and confirms a plan based on the newest version. Returns the answer to
+// the confirmation.
 inline wire::CommandAnswerT Accept(TestRun& run, State& state,
                                    const std::string& id,
                                    std::vector<wire::ChangeT> changes,
--- a/src/dotterelshift/state/tables.h
+++ b/src/dotterelshift/state/tables.h
@@ -18,11 +18,11 @@
 #include "dotterelshift/state/state.h"              // for BudgetAccount
 #include "dotterelshift/wire/commands_generated.h"  // for CommandT
 
-// The data behind the state, and what the commands do to it. Internal to the
-// package: each command has a file apply_*.cc.
+// The tables of the state. Internal to the package; the commands that change
+// them are applied in the files apply_*.cc.
 namespace dotterelshift::state {
 
-// Numbers a run in the list of all runs.
+// Index of an incarnation in Tables::runs, the list of all incarnations.
 using RunNumber = uint32_t;
 
 struct Opening {
@@ -30,8 +30,9 @@
   Tokens reserved = 0;
 };
 
-// What one run holds of one budget. Of a dead run, `tokens` is what may have
-// been spent and is not settled yet: it is part of the account's `lost`.
+// What one incarnation holds of one budget. For a dead incarnation, `tokens` is
+// what may have been spent and is not settled yet; it is included in the
+// account's `lost`.
 struct Grant {
   RunNumber run = 0;
   bool dead = false;
@@ -43,11 +44,11 @@
   Tokens Opened() const;
 };
 
-// Kept small: there is one for each budget that ever was.
+// Kept small, as there is one for each budget that ever existed.
 struct Account {
   BudgetId id;
   BudgetAccount amounts;
-  uint32_t team = 0;  // its place in Tables::teams
+  uint32_t team = 0;  // slot in Tables::teams
 
   const std::vector<Grant>& Grants() const;
   std::vector<Grant>& MutableGrants();
@@ -62,15 +63,16 @@
   TeamId id;
 };
 
-// One run of a host that ever sent a command.
+// One incarnation of a host that has sent a command.
 struct Run {
   HostRun id;
   bool dead = false;
-  bool retired = false;  // its remainder was written off by an operator
+  bool retired = false;  // by an operator: its remainder is resolved
   WallMs heard = 0;      // stamp of its newest command
 };
 
-// An answer as it is kept for resends; what does not fit is in long_answers.
+// The compact form of an answer that is kept for resends. An answer that does
+// not fit is also in Host::long_answers.
 struct KeptAnswer {
   uint64_t sequence = 0;
   uint16_t error = 0;
@@ -78,7 +80,7 @@
   uint8_t value = 0;  // first_bill, or the claim's state
 };
 
-// The newest run of a host, with the answers that its resends get.
+// The newest incarnation of a host, and the answers kept for its resends.
 struct Host {
   RunNumber run = 0;
   wire::RegisterHostT registered;
@@ -103,7 +105,7 @@
 struct SettledAttempt {
   uint64_t attempt = 0;
   RunNumber run = 0;
-  bool billed = false;  // this one made the request's bill
+  bool billed = false;  // the request was billed for this attempt
 };
 
 enum class ClaimProgress : uint8_t { kRunning, kRan, kUnknown };
@@ -115,24 +117,25 @@
   ClaimProgress progress = ClaimProgress::kRunning;
 };
 
-// The requests whose first command fell into one period; they age out together.
+// The requests whose first command fell into one period. They are compacted
+// together.
 struct RequestPeriod {
   WallMs start = 0;
-  // The first settled attempt of a key, and the further ones of those few that
-  // have more.
+  // The first settled attempt of each key, and the further attempts of the few
+  // keys that have more than one.
   std::unordered_map<RequestDigest, SettledAttempt, RequestDigestHasher>
       settled;
   std::map<RequestDigest, std::vector<SettledAttempt>> settled_again;
   std::unordered_map<RequestDigest, ClaimEntry, RequestDigestHasher> claims;
-  // Digests (their low half) of callers' keys; those of an aged period are
-  // sorted and are all that is left of it.
+  // The low halves of the digests of callers' keys. In a compacted period they
+  // are sorted, and nothing else is left.
   std::vector<uint64_t> caller_keys;
   bool aged = false;
 };
 
 struct Suspect {
-  std::set<EndpointId> endpoints;  // distinct ones that died on the content
-  bool alone = false;              // at least once nothing else was in flight
+  std::set<EndpointId> endpoints;  // distinct ones that died running it
+  bool alone = false;              // once it was the only one in flight
   WallMs last = 0;
   WallMs quarantined_until = 0;
 };
@@ -141,23 +144,24 @@
   wire::PlanT plan;
   WallMs stored = 0;
   WallMs confirmed = 0;
-  uint64_t version = 0;  // that it made; 0: not confirmed
+  uint64_t version = 0;  // that it created; 0: not confirmed
   bool has_body = true;  // its changes are still kept
 };
 
 inline constexpr WallMs kDayMs = 86'400'000;
 
-// The day that days beyond the reports' reach are added up in.
+// The day number of the line that sums up all days older than reports reach.
 inline constexpr int64_t kFoldedDay = -1;
 
-// The routes that an operator's program published whole, and what each team may
-// consume in all under them.
+// The routes document that an operator's program published, and how many tokens
+// each team may consume in total under it.
 struct Published {
   uint64_t version = 0;
   std::string document;
   std::map<TeamId, Tokens> totals;
-  // The newest of the steps that led here, each on from the one before it. Not
-  // in snapshots: who needs older ones takes the document.
+  // The latest deltas that lead to this version, each based on the version of
+  // the one before. They are not part of snapshots: an entry that needs an
+  // older delta gets the full document.
   std::deque<wire::RoutesStepT> steps;
 };
 
@@ -168,7 +172,8 @@
   Configuration configuration;
   CompactTable<TeamName> teams;
   CompactTable<Account> accounts;
-  // Settled beyond purchased, by a faulty holder or a retirement in error.
+  // Tokens settled beyond what was purchased, by a faulty holder or after a
+  // mistaken retirement.
   std::map<BudgetId, Tokens> overdrawn;
   std::vector<Run> runs;
   std::map<HostRun, RunNumber> run_numbers;
@@ -183,18 +188,18 @@
   Published published;
 
   TeamDay& DayOf(const TeamId& team, WallMs when);
-  // The number of a run that is known; none otherwise.
+  // The index of an incarnation; empty if it is not known.
   std::optional<RunNumber> FindRun(const HostRun& run) const;
 };
 
-// What a dead run's grant comes to.
+// How the grant of a dead incarnation is split.
 struct Recovery {
   Tokens freed = 0;
   Tokens lost = 0;
 };
 using RecoverGrant = Recovery (*)(const Grant&);
 
-// What a command is carried out with, besides its body.
+// The context in which the body of a command is applied.
 struct Context {
   Tables& tables;
   const wire::CommandIdT& id;
@@ -203,7 +208,7 @@
   RecoverGrant recover = nullptr;
 };
 
-// Gives an answer its body, or its error.
+// Sets the body of an answer, or its error.
 template <typename Body>
 void Answer(wire::CommandAnswerT& answer, Body body) {
   answer.body.Set(std::move(body));
@@ -214,7 +219,7 @@
   answer.detail = std::move(detail);
 }
 
-// Whether an amount from outside may be reckoned with.
+// Whether an amount from another process is in the valid range.
 inline bool IsAmount(Tokens tokens) {
   return tokens >= 0 && tokens <= kMaxTokens;
 }
