--- a/src/dotterelshift/state/apply_claim.cc
+++ b/src/dotterelshift/state/apply_claim.cc
@@ -8,8 +8,7 @@
                          const wire::ClaimT& command) {
   if (claim.body_hash != command.body_hash)
     return wire::ClaimState::BodyDiffers;
-  // The attempt that holds the claim asked again; it is dispatched at most
-  // once.
+  // The attempt that holds the claim asks again; it is dispatched at most once.
   const bool own = claim.run == context.run && claim.attempt == command.attempt;
   switch (claim.progress) {
     case ClaimProgress::kRunning:
--- a/src/dotterelshift/state/apply_published.cc
+++ b/src/dotterelshift/state/apply_published.cc
@@ -58,8 +58,9 @@
 
 }  // namespace
 
-// The highest version wins. A command with an older one is answered with the
-// current version, so that a resend gets the same answer as the first time.
+// The highest version wins. A command that does not raise the version is
+// answered with the current one, so that a resend gets the same answer as the
+// first time.
 void Apply(Context& context, const wire::PublishRoutesT& command,
            wire::CommandAnswerT& answer) {
   Published& published = context.tables.published;
--- a/src/dotterelshift/state/apply_request_grant.cc
+++ b/src/dotterelshift/state/apply_request_grant.cc
@@ -8,15 +8,15 @@
 namespace dotterelshift::state {
 namespace {
 
-// A grant takes at most one in this many of the free tokens, or its minimum, so
-// that near the end of a budget one holder does not keep the last tokens from
-// the others.
+// A grant takes at most 1 / kShareOfFree of the free tokens, unless its minimum
+// is more, so that near the end of a budget one holder does not keep the last
+// tokens from the others.
 constexpr Tokens kShareOfFree = 4;
 
-// Takes back the unopened tokens of holders whose lease has expired because
-// they sent nothing for StateOptions::lease_ms (in milliseconds). This is safe
-// without trusting any clock: the next opening of such a holder is refused, and
-// without an opening it may not dispatch.
+// Takes back the unopened tokens of holders that have sent nothing for
+// StateOptions::lease_ms milliseconds. This needs no trusted clock: the next
+// opening of such a holder is refused, and without an opening it may not
+// dispatch.
 void ReclaimLapsed(Context& context, Account& account) {
   Tables& tables = context.tables;
   const WallMs silent = context.stamp - tables.options.lease_ms;
@@ -36,26 +36,28 @@
   return std::min({std::max(command.wanted, command.minimum), share, free});
 }
 
-// The share of what is left of a published total that all entries together may
-// hold, in percent. What they hold is lost if they all die at once. Holding
-// half of what is left would carry them through ten seconds without control,
-// until the last fifth of a day.
+// Percentage of the remainder of a published total that all entries together
+// may hold. What they hold is lost if they all die at once. With half of the
+// remainder they can serve through a cut of ten seconds from control, until the
+// last fifth of a day.
 constexpr Tokens kHeldPercent = 45;
 
 // The reserve of a published total, in thousandths. Entries do not hold it:
 // control grants it to small requests one at a time, so that some of these are
 // still served after all entries died at once with the tokens that they held.
-// It is smaller than the last fraction of a total that entries spread over
+// It is smaller than the last fraction of a total, which entries spread over
 // time.
 constexpr Tokens kReservePerMille = 8;
 
-// A request is small if it needs at most one in this many of the reserve.
+// A request is small if its minimum is at most 1 / kRequestsOfReserve of the
+// reserve.
 constexpr Tokens kRequestsOfReserve = 4;
 
-// The minimum, for the requests that wait, and one second of the holder's
-// demand are granted in any case; more only up to kHeldPercent of what is left.
-// With the minimum alone, where others hold that share and spend little, a
-// holder would serve one request per answer from control.
+// Grants the minimum, which covers the requests that wait, and one second of
+// the holder's demand in any case, and more only while all holders together
+// stay below kHeldPercent of the remainder. With the minimum alone, where
+// others hold that share and spend little, a holder would serve one request per
+// answer from control.
 Tokens SizeOfPublished(const wire::RequestGrantT& command,
                        const BudgetAccount& amounts) {
   const Tokens free = amounts.Free();
@@ -73,7 +75,8 @@
   return small ? command.minimum : 0;
 }
 
-// The increase of the amount that the holder may spend without openings.
+// How much the pre-authorized amount grows, which the holder may spend without
+// openings.
 Tokens StandingGrowth(const wire::TeamT& team, const Grant& grant) {
   const budget::HoldingFacts facts{grant.tokens, grant.tokens - grant.Opened(),
                                    grant.demand_per_second,
--- a/src/dotterelshift/state/apply_suspect.cc
+++ b/src/dotterelshift/state/apply_suspect.cc
@@ -3,13 +3,13 @@
 namespace dotterelshift::state {
 namespace {
 
-// A content that was never the only one in flight when its endpoints died is
-// quarantined after this many times the endpoints, because another request may
-// be the cause.
+// A content that was never the only request in flight when its endpoints died
+// is quarantined after this many times as many endpoints, because another
+// request may be the cause.
 constexpr uint32_t kFactorInCompany = 2;
 
 // Contents beyond this number are not tracked, which bounds the memory under a
-// flood.
+// flood of reports.
 constexpr size_t kMaxSuspects = 10'000;
 
 }  // namespace
@@ -40,7 +40,7 @@
   Answer(answer, body);
 }
 
-// The content ran to completion, so it was not the cause of any death reported
+// The content ran to completion, so it was not the cause of the deaths reported
 // before.
 void Apply(Context& context, const wire::ClearSuspectT& command,
            wire::CommandAnswerT& answer) {
--- a/src/dotterelshift/state/grants.h
+++ b/src/dotterelshift/state/grants.h
@@ -18,9 +18,8 @@
 };
 
 // Splits the grant of a dead incarnation. Its unsettled openings and its
-// pre-authorized amount may have been spent and are lost. The rest cannot have
-// been spent, because that would have required a committed opening, and is
-// freed.
+// pre-authorized amount may have been spent and are lost. The rest is freed: to
+// spend it would have required a committed opening.
 template <typename Rules>
 Recovery RecoverDead(const Grant& grant) {
   const Tokens standing = Rules::kKeepStandingOfTheDead ? grant.standing : 0;
--- a/src/dotterelshift/state/plan_conflicts.h
+++ b/src/dotterelshift/state/plan_conflicts.h
@@ -17,9 +17,9 @@
 };
 
 // Checks a plan against the plans confirmed since its base version. Returns
-// kPlanConflict if a plan with the same base touched the same objects, and
-// kPlanStale if one with another base did, or if the changes since then are no
-// longer kept. Empty if nothing prevents the confirmation.
+// kPlanConflict if a plan with the same base changed the same objects, and
+// kPlanStale if one with another base did, or if the changes since the base are
+// no longer kept. Empty if the plan may be confirmed.
 std::optional<PlanObstacle> FindObstacle(const Tables& tables,
                                          const wire::PlanT& plan);
 
--- a/src/dotterelshift/state/plan_orders.cc
+++ b/src/dotterelshift/state/plan_orders.cc
@@ -91,7 +91,8 @@
   for (const wire::OrderT& order : fresh) Supersede(tables.orders, order);
   for (size_t i = 0; i < fresh.size(); ++i) {
     fresh[i].id = plan.id + "/" + std::to_string(i + 1);
-    // The position of the confirming command in the log, which only increases.
+    // The number of commands applied up to the confirmation, which only
+    // increases.
     fresh[i].fencing = tables.commands_applied;
     tables.orders.push_back(std::move(fresh[i]));
   }
--- a/src/dotterelshift/state/published_test.cc
+++ b/src/dotterelshift/state/published_test.cc
@@ -225,13 +225,14 @@
 
   void WhatADeadEntryHeldIsNeverGrantedAgain() {
     Grant(*m_a, 400, 400);
-    m_b->Send(SpendOf(100), 2);  // transferred by a, which dies unreported
+    m_b->Send(SpendOf(100), 2);  // received from a, which dies before
+                                 // it reports the transfer
     TestRun again(m_state.get(), "a", 2);
     Register(again);
     CPPUNIT_ASSERT_EQUAL(Tokens{600}, Account().Free());
     CPPUNIT_ASSERT_EQUAL(Tokens{400}, Account().lost);
-    // Everything but the reserve, and then the reserve in small amounts until
-    // it is used up.
+    // Everything but the reserve is granted, then the reserve in small amounts
+    // until it is used up.
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, Grant(again, 1000, 593));
     CPPUNIT_ASSERT_EQUAL(Tokens{592}, Grant(again, 1000, 592));
     for (int piece = 0; piece < 4; ++piece)
@@ -338,8 +339,8 @@
       if (&other == &entry || lent == 0) return;
       entry.held -= lent;
       other.held += lent;
-      // The transfer is reported with the next report, at once, or never, as
-      // its sender dies first.
+      // The transfer is reported with the next report, at once, or not at all,
+      // like a report that is lost with its sender.
       switch (m_random() % 3) {
         case 0:
           entry.unreported_moves.push_back(MoveOf(lent, other.run->Id()));
--- a/src/dotterelshift/state/state.cc
+++ b/src/dotterelshift/state/state.cc
@@ -217,7 +217,7 @@
   }
 
   // Whether the command is from the newest incarnation of its host. The first
-  // command of a newer incarnation adds it and proves the older ones dead.
+  // command of a newer incarnation records it and marks the one before as dead.
   bool EnterRun(const wire::CommandIdT& id) {
     const HostRun run{id.host, id.incarnation};
     const auto known = m_tables.hosts.find(id.host);
@@ -251,7 +251,7 @@
     KeepAnswer(host, answer, m_tables.options.answers_kept);
   }
 
-  // Of a dead incarnation only settlements are applied, which a replica kept
+  // From a dead incarnation only settlements are applied, which a replica kept
   // for it. Duplicates are recognised by their attempts.
   void ApplyOfDead(const wire::CommandT& command,
                    wire::CommandAnswerT& answer) {
--- a/src/dotterelshift/state/state_test.cc
+++ b/src/dotterelshift/state/state_test.cc
@@ -101,8 +101,8 @@
     for (int times = 0; times < 2; ++times) {
       CPPUNIT_ASSERT(FirstBill(m_entry.Resend(late, kStart)));
       CPPUNIT_ASSERT(FirstBill(m_entry.Resend(unwitnessed, kStart)));
-      // The opening is settled; 90 of the pre-authorized tokens may still be
-      // spent.
+      // The opening is settled; 90 of the pre-authorized tokens may still have
+      // been spent.
       CheckAmounts({1000, 80, 80, 0, 90});
     }
   }
--- a/src/dotterelshift/state/tables.h
+++ b/src/dotterelshift/state/tables.h
@@ -67,7 +67,7 @@
 struct Run {
   HostRun id;
   bool dead = false;
-  bool retired = false;  // by an operator: its remainder is resolved
+  bool retired = false;  // an operator freed what it had left
   WallMs heard = 0;      // stamp of its newest command
 };
 
@@ -134,8 +134,8 @@
 };
 
 struct Suspect {
-  std::set<EndpointId> endpoints;  // distinct ones that died running it
-  bool alone = false;              // once it was the only one in flight
+  std::set<EndpointId> endpoints;  // distinct ones that died running this
+  bool alone = false;              // once it was the only request in flight
   WallMs last = 0;
   WallMs quarantined_until = 0;
 };
