--- a/include/dotterelshift/state/configuration.h
+++ b/include/dotterelshift/state/configuration.h
@@ -40,8 +40,8 @@
   uint64_t Version() const { return m_version; }
 
   // Applies the changes of a plan and raises the version to `version`. Changes
-  // to things that are not part of the configuration (top-ups, replicas) have
-  // no other effect.
+  // that do not concern the configuration (top-ups, replicas) have no other
+  // effect.
   void Apply(std::span<const wire::ChangeT> changes, uint64_t version);
 
   // The complete configuration, as changes to an empty one. Equal
--- a/include/dotterelshift/state/state.h
+++ b/include/dotterelshift/state/state.h
@@ -62,7 +62,7 @@
     50, 100, 200, 400, 700, 1000, 2000, 5000, 10000, 30000, 60000, 120000};
 
 struct StateOptions {
-  // Age at which bills and finished claims are compacted into daily totals.
+  // The age from which bills and finished claims are only kept as daily totals.
   WallMs bill_age_out_ms = 3 * 24 * 3600 * 1000LL;
   // Answers kept per incarnation, so that a resend gets its first answer.
   size_t answers_kept = 4096;
@@ -72,13 +72,14 @@
   WallMs suspect_memory_ms = 3'600'000;
   // How long the request keys of compacted requests are recognised.
   WallMs expired_key_ms = 30 * 24 * 3600 * 1000LL;
-  WallMs plan_age_out_ms = 24 * 3600 * 1000LL;  // of plans never confirmed
+  // How long a plan that is not confirmed is kept.
+  WallMs plan_age_out_ms = 24 * 3600 * 1000LL;
   // How long a repeated confirmation of a plan gets its first answer.
   WallMs confirmed_plan_ms = 30 * 24 * 3600 * 1000LL;
   size_t changes_kept = 4096;  // of confirmed plans, for ChangesSince()
   WallMs lease_ms = 2'000;     // GrantWay::ClockLease: idle timeout after which
                                // unopened tokens may be granted to others
-  int64_t days_kept = 400;     // days that reports reach back
+  int64_t days_kept = 400;     // that reports reach back
 };
 
 // Prefix of request keys that an entry generated; a caller's key may not start
--- a/src/dotterelshift/state/snapshot.cc
+++ b/src/dotterelshift/state/snapshot.cc
@@ -75,7 +75,7 @@
   }
 }
 
-// ---- runs and hosts
+// ---- incarnations and hosts
 
 void WriteRuns(const Tables& tables, wire::StateSnapshotT* snapshot) {
   for (const Run& run : tables.runs) {
--- a/src/dotterelshift/state/snapshot.h
+++ b/src/dotterelshift/state/snapshot.h
@@ -11,7 +11,7 @@
 // Serializes the tables. Equal tables give equal bytes.
 std::string WriteSnapshot(const Tables& tables);
 
-// Restores the tables. Throws Error(kStorageDamaged) if the bytes are not a
+// Reads the tables back. Throws Error(kStorageDamaged) if the bytes are not a
 // complete snapshot of a known format.
 Tables ReadSnapshot(std::string_view snapshot, const StateOptions& options);
 
--- a/src/dotterelshift/state/tables.h
+++ b/src/dotterelshift/state/tables.h
@@ -77,7 +77,7 @@
   uint64_t sequence = 0;
   uint16_t error = 0;
   uint8_t type = 0;   // wire::AnswerBody
-  uint8_t value = 0;  // first_bill, or the claim's state
+  uint8_t value = 0;  // first_bill of a SettleAnswer
 };
 
 // The newest incarnation of a host, and the answers kept for its resends.
