--- a/include/dotterelshift/budget/grant_way.h
+++ b/include/dotterelshift/budget/grant_way.h
@@ -8,32 +8,33 @@
 #include "dotterelshift/base/tokens.h"              // for Tokens
 #include "dotterelshift/wire/commands_generated.h"  // for GrantWay
 
-// The ways in which an entry may hold part of a budget. What is spent never
-// exceeds the budget under any of them: the standing part bounds what a holder
-// may spend unseen, and control keeps that back when the holder dies. A way
-// only decides how large that part is and when it is drawn on.
+// Grant modes: policies for how an entry holds tokens of a budget. Spending
+// never exceeds the budget in any mode: the pre-authorized amount bounds what a
+// holder may spend without control knowing, and control withholds that amount
+// when the holder dies. A mode only determines how large the pre-authorized
+// amount is and when it is used.
 namespace dotterelshift::budget {
 
-// What control knows of a holding when it sets the standing part.
+// What control knows about a holding when it sets the pre-authorized amount.
 struct HoldingFacts {
   Tokens tokens = 0;
   Tokens unopened = 0;
   Tokens demand_per_second = 0;
-  uint32_t partition_seconds = 0;  // that the team asks to be covered
+  uint32_t partition_seconds = 0;  // partition length to cover, by the team
 };
 
 template <typename Way>
 concept GrantWayPolicy = requires(const HoldingFacts& facts, bool connected) {
   // Whether an attempt is dispatched without a committed opening.
   { Way::GoesUnwitnessed(connected) } -> std::same_as<bool>;
-  // The size that the standing part should have.
+  // The pre-authorized amount that the holding should have.
   { Way::StandingTarget(facts) } -> std::same_as<Tokens>;
-  // Whether control may take the unopened part of a silent holder back.
+  // Whether control may reclaim the unopened tokens of a silent holder.
   { Way::Lapses() } -> std::same_as<bool>;
 };
 
-// All of a grant may be spent unseen: no commit before an attempt, and all of
-// it is lost with its holder.
+// The whole grant is pre-authorized: attempts need no committed opening, and
+// the whole grant is lost when its holder dies.
 struct UnwitnessedWay {
   static constexpr bool GoesUnwitnessed(bool) { return true; }
   static constexpr Tokens StandingTarget(const HoldingFacts& facts) {
@@ -42,17 +43,18 @@
   static constexpr bool Lapses() { return false; }
 };
 
-// Every attempt is opened by a commit, and a holder that falls silent loses
-// what it has not opened. No clock needs to be trusted, because without a
-// commit nothing is dispatched; but an entry that is cut off serves nothing.
+// Every attempt needs a committed opening, and a silent holder loses the tokens
+// that it has not opened. This needs no trusted clock, because nothing is
+// dispatched without a commit; but an entry that is cut off serves nothing.
 struct ClockLeaseWay {
   static constexpr bool GoesUnwitnessed(bool) { return false; }
   static constexpr Tokens StandingTarget(const HoldingFacts&) { return 0; }
   static constexpr bool Lapses() { return true; }
 };
 
-// Every attempt is opened by a commit while the leader is in reach; cut off, an
-// entry spends its standing part, sized by demand and the partition to cover.
+// Every attempt needs a committed opening while the leader is reachable. An
+// entry that is cut off spends its pre-authorized amount, which is sized by
+// demand and by the partition length to cover.
 struct WitnessedWay {
   static constexpr bool GoesUnwitnessed(bool connected) { return !connected; }
   static constexpr Tokens StandingTarget(const HoldingFacts& facts) {
@@ -68,7 +70,7 @@
 static_assert(GrantWayPolicy<ClockLeaseWay>);
 static_assert(GrantWayPolicy<WitnessedWay>);
 
-// Calls `use` with the policy of a way.
+// Calls `use` with the policy of the given grant mode.
 template <typename Use>
 auto WithWay(wire::GrantWay way, Use use) {
   switch (way) {
--- a/include/dotterelshift/budget/ledger.h
+++ b/include/dotterelshift/budget/ledger.h
@@ -13,121 +13,123 @@
 
 namespace dotterelshift::budget {
 
-// A budget's place in one ledger; found once for each request, then used
-// without hashing.
+// Index of a budget in one ledger. Looked up once per request, so that later
+// calls need no hashing.
 using BudgetHandle = uint32_t;
 
-// How a team wants its budgets held at the entries.
+// How a team's budgets are held at the entries.
 struct HoldingPolicy {
   wire::TeamPolicy policy = wire::TeamPolicy::OverspendFirst;
   wire::GrantWay way = wire::GrantWay::Witnessed;
-  Duration partition = 60s;  // how long a cut-off entry should go on
-  Tokens least = 0;  // to be held while the budget is in use, whatever the
-                     // demand has been so far
+  Duration partition = 60s;  // how long a cut-off entry should keep serving
+  Tokens least = 0;          // minimum holding while the budget is in use,
+                             // independent of the measured demand
 };
 
 struct LedgerOptions {
   Tokens least_grant = 4096;
-  Duration idle_return =
-      10s;  // a remainder that nobody drew on for this long flows back
-  Duration ask_again =
-      250ms;  // an ask that has no answer is sent again, with the same id
-  Duration refusal_memory = 500ms;  // how long "nothing free" is believed
-                                    // before the leader is asked again
-  Duration cut_off_patience =
-      2s;  // refusals first: so long an interruption is waited out
-  // An ask goes out when less than this part of the wanted holding is left.
+  Duration idle_return = 10s;       // tokens unused for this long are returned
+  Duration ask_again = 250ms;       // an unanswered request is sent again after
+                                    // this time, with the same id
+  Duration refusal_memory = 500ms;  // after the answer "nothing free", the
+                                    // leader is not asked again for this long
+  Duration cut_off_patience = 2s;   // teams with RefusalsFirst: requests wait
+                                    // through a disconnection of this length
+  // More tokens are requested when less than this fraction of the target
+  // holding is left.
   double ask_below = 0.5;
-  // What is held beyond the wanted holding by this factor flows back at once;
-  // 0: only what lies idle does.
+  // Tokens above the target holding are returned at once when the holding
+  // exceeds the target by this factor; 0: only idle tokens are returned.
   double return_above = 0;
 };
 
 enum class ReserveResult {
-  kReserved,          // have the opening committed before the attempt is
-                      // dispatched; whatever comes of it, end it by Settle()
-                      // and a wire::Settle with the same attempt
-  kReservedStanding,  // from the standing part: dispatch at once, without an
-                      // opening; end it by SettleStanding() and a wire::Settle
-                      // with witnessed = false
-  kWait,       // more was asked for; try again when OnGrant or Settle frees
-               // something
-  kExhausted,  // control said that nothing is free and nothing comes back
+  kReserved,          // commit an opening before dispatching the attempt; in
+                      // any case end it by Settle() and a wire::Settle with
+                      // the same attempt
+  kReservedStanding,  // from the pre-authorized amount: dispatch at once,
+                      // without an opening; end it by SettleStanding() and a
+                      // wire::Settle with witnessed = false
+  kWait,       // more tokens were requested; try again after OnGrant() or
+               // Settle()
+  kExhausted,  // control reported that nothing is free and that no tokens held
+               // elsewhere can be returned
 };
 
-// What an entry wants to tell control about one budget.
+// A change to the holding of one budget that the entry has to send to control:
+// a request for more tokens, or a return of tokens.
 struct GrantWish {
   BudgetHandle budget = 0;
   enum class Kind { kAsk, kReturn } kind = Kind::kAsk;
-  Tokens wanted = 0;   // ask: what the demand suggests; return: what flows back
-  Tokens minimum = 0;  // ask: below this it does not help
-  Tokens standing = 0;  // return: by how much the standing part shrinks with it
+  Tokens wanted = 0;    // request: amount by demand; return: amount returned
+  Tokens minimum = 0;   // request: a smaller grant does not help
+  Tokens standing = 0;  // return: decrease of the pre-authorized amount
   Tokens demand_per_second = 0;
 };
 
-// What one entry holds of the budgets, and what is reserved of it. Never lets
-// reserved exceed held. Part of a holding may be standing: only as much as that
-// is ever spent without a committed opening, and control counts it as spent
-// when this run dies.
+// The tokens that one entry holds of each budget, and how many of them are
+// reserved. Reserved never exceeds held. A holding may include a pre-authorized
+// amount: no more than this is ever spent without a committed opening, and
+// control counts it as spent when this incarnation dies.
 class Ledger {
  public:
   virtual ~Ledger() = default;
 
-  // The handle of a budget, made at the first call; the policy of its team is
-  // taken over at each call.
+  // Returns the handle of a budget, creating it on the first call. Each call
+  // updates the policy of the budget's team.
   virtual BudgetHandle Open(const BudgetId& budget,
                             const HoldingPolicy& policy) = 0;
-  // Asks for a first holding before anything is drawn on it.
+  // Requests a first holding before any token is reserved.
   virtual void Prepare(BudgetHandle budget, Instant now) = 0;
   virtual const BudgetId& IdOf(BudgetHandle budget) const = 0;
 
-  // Reserves the worst case of an attempt.
+  // Reserves the tokens that an attempt may consume at most.
   virtual ReserveResult Reserve(BudgetHandle budget, Tokens worst_case,
                                 Instant now) = 0;
 
-  // Ends a reservation: `spent` leaves the holding, the rest of `reserved` can
-  // be reserved again. spent <= reserved.
+  // Ends a reservation: `spent` is deducted from the holding, the rest of
+  // `reserved` can be reserved again. Requires spent <= reserved.
   virtual void Settle(BudgetHandle budget, Tokens reserved, Tokens spent,
                       Instant now) = 0;
 
-  // The same for a reservation out of the standing part.
+  // The same for a reservation from the pre-authorized amount.
   virtual void SettleStanding(BudgetHandle budget, Tokens reserved,
                               Tokens spent, Instant now) = 0;
 
-  // An opening whose commit is in doubt because the leader went out of reach:
-  // true when the attempt may be dispatched all the same, as one that was
-  // reserved from the standing part.
+  // For an opening whose commit is uncertain because the leader became
+  // unreachable. Returns true when the reservation could be moved to the
+  // pre-authorized amount, so that the attempt may be dispatched anyway.
   virtual bool MoveToStanding(BudgetHandle budget, Tokens reserved,
                               Instant now) = 0;
 
-  // Control refused the opening of an attempt: its reservation ends unspent,
-  // and what is not reserved leaves the holding, because control no longer
-  // counts it as this entry's.
+  // Control refused the opening of an attempt: the reservation ends with
+  // nothing spent, and all unreserved tokens are returned, because control no
+  // longer counts them as held by this entry.
   virtual void OnOpeningRefused(BudgetHandle budget, Tokens reserved,
                                 Instant now) = 0;
 
-  // Control's answer to an ask: tokens > 0 are held from now on.
+  // Control's answer to a request: adds the granted tokens, if any.
   virtual void OnGrant(BudgetHandle budget, const wire::GrantAnswerT& answer,
                        Instant now) = 0;
-  // The leader asks for idle tokens back; the return is among the next wishes.
+  // The leader recalls idle tokens; the next TakeWishes() returns them.
   virtual void OnRecall(const BudgetId& budget, Tokens tokens, Instant now) = 0;
 
-  // Hands tokens of the standing part to another entry: they have left the
-  // holding when this returns. Up to the other's share by demand, and beyond it
-  // what its waiting request lacks. Returns how many.
+  // Gives pre-authorized tokens to another entry and returns how many; they are
+  // deducted from the holding. Gives at most the other entry's share by demand,
+  // or the minimum that its waiting request needs if that is more.
   virtual Tokens Lend(BudgetHandle budget, Tokens wanted, Tokens minimum,
                       Tokens demand_of_other, Instant now) = 0;
-  // Tokens that another entry has handed over.
+  // Adds tokens that another entry has lent.
   virtual void Borrow(BudgetHandle budget, Tokens tokens, Instant now) = 0;
 
-  // Whether the leader is in reach: while it is not, nothing is asked and
-  // nothing flows back.
+  // Whether the leader is reachable. While it is not, no tokens are requested
+  // or returned.
   virtual void SetConnected(bool connected, Instant now) = 0;
 
-  // Asks and returns that are due. What is returned has left the holding when
-  // this returns.
+  // Returns the requests and returns that are due. Tokens to be returned are
+  // already deducted from the holding.
   virtual std::vector<GrantWish> TakeWishes(Instant now) = 0;
-  // All that is not reserved, for the shutdown.
+  // Returns all unreserved tokens, for shutdown.
   virtual std::vector<GrantWish> ReturnAll(Instant now) = 0;
 
   virtual Tokens Held(BudgetHandle budget) const = 0;
--- a/include/dotterelshift/budget/recall_core.h
+++ b/include/dotterelshift/budget/recall_core.h
@@ -12,44 +12,45 @@
 namespace dotterelshift::budget {
 
 struct RecallOptions {
-  Duration beat_memory = 3s;   // an entry's report of what it holds is believed
-                               // for so long
-  Duration repeat = 250ms;     // the same holder is not asked more often, nor
-                               // are holders for the same budget's top-ups
-  Duration sweep_every = 30s;  // reports on budgets that nobody lacks are
-                               // looked through so often
+  Duration beat_memory = 3s;   // lifetime of an entry's report of its holdings
+  Duration repeat = 250ms;     // minimum interval between two recalls from the
+                               // same holder, and between two evaluations of
+                               // top-ups for the same budget
+  Duration sweep_every = 30s;  // interval between removals of expired reports
+                               // on budgets without a shortage
 };
 
-// A recall, and the entry that it goes to.
+// A recall and the entry that receives it.
 struct RecallMessage {
   HostId host;
   wire::RecallT recall;
 };
 
-// Decides on the leader which holders give back idle tokens when a request for
-// a grant could not be satisfied. Each holder keeps its share of the budget by
-// demand; the largest surplus is asked for first, and shares are cut into only
-// for what a waiting request lacks. Soft state: a new leader
-// starts empty and learns from the beats.
+// Runs on the leader and decides which holders must return idle tokens when a
+// grant request could not be satisfied. Each holder keeps its share of the
+// budget by demand. The largest surplus is recalled first; tokens within a
+// holder's share are recalled only for what a waiting request is missing. Soft
+// state: a new leader starts empty and is filled by the entries' heartbeats.
 //
-// Where many entries are short of many budgets at a time, each shortage looks
-// at the holders of its own budget only, and top-ups are decided on once in
-// `repeat`: looking at all reports took 58% of a leader's processor time with
-// 86 entries and 24 budgets (perf, 12 s).
+// When many entries are short of many budgets at the same time, each shortage
+// examines only the holders of its own budget, and top-ups are evaluated at
+// most once per `repeat`: examining all reports took 58% of a leader's
+// processor time with 86 entries and 24 budgets (perf, 12 s).
 class RecallCore {
  public:
   explicit RecallCore(const RecallOptions& options = {}) : m_options(options) {}
 
-  // An entry's beat: `held` says what it holds of each budget and has not
-  // reserved.
+  // Processes an entry's heartbeat; `held` contains the unreserved tokens that
+  // it holds of each budget.
   void OnBeat(const HostId& entry, const wire::EntryBeatT& beat, Instant now);
 
-  // Whether a shortage is to be looked at now: always where a request waits; a
-  // top-up shortly after another one only for an asker with a larger claim.
+  // Whether to evaluate a shortage now: always when a request waits for tokens.
+  // A top-up within `repeat` after another one is evaluated only when its
+  // requester has a larger demand.
   bool IsDue(const wire::RequestGrantT& ask, Instant now) const;
 
-  // A grant came out smaller than its minimum, or empty, although others hold
-  // tokens; `holdings` are all of the budget's.
+  // To be called when a grant was empty or below its minimum although other
+  // entries hold tokens. `holdings` are all holdings of the budget.
   std::vector<RecallMessage> OnShortage(
       const HostRun& asker, const wire::RequestGrantT& ask,
       const std::vector<state::Holding>& holdings, Instant now);
@@ -59,16 +60,16 @@
     Tokens idle = 0;
     Instant heard;
   };
-  // What is known of one budget's holders.
+  // What is known about the holders of one budget.
   struct Budget {
     std::unordered_map<HostId, Report> reports;
     std::unordered_map<HostId, Instant> asked;
     Instant next_top_up{};
-    Tokens topped_up_demand = 0;  // of the asker that was looked at last
+    Tokens topped_up_demand = 0;  // of the last evaluated requester
   };
   struct Surplus {
     HostId host;
-    Tokens tokens = 0;  // idle beyond its share
+    Tokens tokens = 0;  // idle tokens above the holder's share
     Tokens idle = 0;
   };
 
--- a/include/dotterelshift/serving/command_book.h
+++ b/include/dotterelshift/serving/command_book.h
@@ -12,29 +12,29 @@
 
 namespace dotterelshift::serving {
 
-// What an answer from control will be for.
+// The purpose of a command that control has not answered yet.
 struct PendingCommand {
   enum class Kind { kAsk, kReturn, kOpen, kSettle, kClaim, kNote };
   Kind kind = Kind::kNote;
   RequestId request = 0;
   AttemptId attempt = 0;
   budget::BudgetHandle budget = 0;
-  // Of a claim: what undoes it when it is granted after its attempt was given
-  // up.
+  // For a claim: the settlement that releases it if it is granted after its
+  // attempt was abandoned.
   std::unique_ptr<wire::SettleT> undo;
-  // Of a settlement: itself, until it is answered, to be spooled.
+  // For a settlement: a copy, kept for spooling until it is answered.
   std::unique_ptr<wire::CommandT> command;
-  bool spooling = false;  // has been given to be spooled
-  bool spooled = false;   // and is on a replica's disk
+  bool spooling = false;  // handed over for spooling
+  bool spooled = false;   // stored on a replica's disk
 };
 
-// Numbers the commands of one run and remembers what each open one is for. A
-// command is proposed once; the adapter resends it until it is answered.
+// Numbers the commands of one incarnation and keeps the purpose of each pending
+// one. A command is proposed once; the adapter resends it until it is answered.
 class CommandBook {
  public:
   explicit CommandBook(HostRun self) : m_self(std::move(self)) {}
 
-  // Gives the body an id and notes what it is for.
+  // Returns a command with the body and a new id, and records its purpose.
   template <typename Body>
   wire::CommandT Add(Body body, PendingCommand pending) {
     wire::CommandT command;
@@ -47,14 +47,15 @@
     return command;
   }
 
-  // The pending command with this id; null when it is not ours or answered.
+  // The pending command with this id; null when the id belongs to another host
+  // or incarnation, or when the command was answered.
   PendingCommand* Find(const wire::CommandIdT& id);
   PendingCommand* Find(uint64_t sequence);
   void Erase(uint64_t sequence) { m_pending.erase(sequence); }
 
-  // Whether something is open that would be lost with this run. Settlements
-  // count until they are answered or spooled; the others only while control is
-  // in reach.
+  // Whether a pending command would be lost if this process ended. Settlements
+  // count until they are answered or spooled; other commands count only while
+  // control is reachable.
   bool Owes(bool control_in_reach) const;
   size_t size() const { return m_pending.size(); }
   uint64_t LastSequence() const { return m_last_sequence; }
--- a/include/dotterelshift/serving/core.h
+++ b/include/dotterelshift/serving/core.h
@@ -20,11 +20,11 @@
 
 namespace dotterelshift::serving {
 
-// The implementation of RequestCore. Its methods stand in files by what they
-// are about: request_core.cc (events, timers), arrival.cc (identity, queue,
-// choice), budget_wait.cc (reservations), dispatch.cc (claims, openings, start
-// of attempts), attempt_end.cc (pieces, ends, retries) and settlement.cc
-// (commands and their answers, ends of requests).
+// The implementation of RequestCore. Its methods are grouped by topic in these
+// files: request_core.cc (events, timers), arrival.cc (authorization, queue,
+// choice of endpoint), budget_wait.cc (reservations), dispatch.cc (claims,
+// openings, start of attempts), attempt_end.cc (chunks, end of attempts,
+// retries) and settlement.cc (commands and their answers, end of requests).
 class Core final : public RequestCore {
  public:
   Core(const RequestCoreOptions& options, const RequestCoreParts& parts);
@@ -58,19 +58,20 @@
   Request* FindByAttempt(AttemptId id);
   void SetDue(Request* request, std::optional<Instant> due);
   void OnDue(Request* request, Instant now);
-  // What every event ends with: starts what can start now, sends the ledger's
-  // wishes.
+  // Called at the end of every event: starts the requests that can start now
+  // and sends the ledger's requests and returns.
   void Finally(Instant now);
 
   // ---- arrival.cc
-  // The first reason against serving the request; kNone when there is none.
+  // Identifies the caller's team and checks whether the request may be served.
+  // Returns the first reason to refuse it, or kNone.
   ErrorKind Identify(Request* request);
   ErrorKind CheckReach(const Request& request) const;
   void Enqueue(Request* request, Instant now);
-  // Has the request queued (again) before this event ends: the queue takes
-  // nothing while it is offering.
+  // Queues the request (again) before this event ends, because the queue must
+  // not be modified while it offers requests.
   void EnqueueSoon(Request* request);
-  // Tries to start a queued request; false when it must stay in the queue.
+  // Tries to start a queued request. Returns false when it must stay queued.
   bool TryStart(RequestId id, Instant now);
   routing::RouteChoice Choose(const Request& request, Instant now);
   routing::RouteChoice ChooseFor(const Request& request,
@@ -82,26 +83,28 @@
   void OnNoChoice(Request* request, Instant now);
 
   // ---- budget_wait.cc
-  // True when the worst case of one attempt is reserved; else the request
-  // waits or has been refused.
+  // Returns true when the worst case of one attempt is reserved. Otherwise the
+  // request now waits for tokens or has been refused.
   bool ReserveOrWait(Request* request, Instant now);
   void WaitForTokens(Request* request, Instant now);
   void RetryWaiters(Instant now);
   void RefuseForBudget(Request* request, Instant now);
   bool MayStillCome(const Request& request) const;
-  // Whether anything of the budget is left anywhere, as far as is known.
+  // Whether any tokens of the budget are left, here or elsewhere, as far as
+  // this entry knows.
   bool BudgetRemained(const Request& request) const;
-  // Whether control said that all that is left is less than the worst case.
+  // Whether, by control's last answer, fewer tokens than the worst case are
+  // left in total.
   bool IsExhausted(const Request& request) const;
   void LeaveWaiters(const Request& request);
-  // What was reserved for an attempt, and whether from the standing part.
+  // Tokens reserved for an attempt, and whether they are pre-authorized.
   struct Reservation {
     Tokens tokens = 0;
     bool standing = false;
   };
   void GiveBack(const Request& request, const Reservation& reservation,
                 Tokens spent, Instant now);
-  // Whether the attempt may be dispatched although no opening of it can be
+  // Whether the attempt may be dispatched although its opening cannot be
   // committed now.
   bool MayGoUnwitnessed(Request* request, Instant now);
   void SendWishes(const std::vector<budget::GrantWish>& wishes);
@@ -125,18 +128,19 @@
   void AfterFailure(Request* request, const Attempt& attempt, AttemptEnd end,
                     Instant now);
   bool MayRetry(const Request& request, AttemptEnd end, Instant now);
-  // Reports the death; the sequence of the report.
+  // Reports to control that the endpoint died during the attempt. Returns the
+  // sequence of the command.
   uint64_t NoteDeath(const Request& request, const Attempt& attempt,
                      Instant now);
   void OnReported(Request* request, Instant now);
   void GoOnAfterFailure(Request* request, Instant now);
-  // Ends the running attempt by the entry's own will and fails the request.
+  // Cancels the running attempt and fails the request.
   void CancelAndFail(Request* request, ErrorKind kind, Instant now);
-  // Takes the attempt out of the router's and the suspects' books.
+  // Removes the attempt from the request, the router and the suspects.
   Attempt Detach(Request* request, bool failed, Instant now);
-  // Gives up an attempt that was never handed to an endpoint. An opening that
-  // is on its way is settled with nothing spent; a claim that is on its way is
-  // undone when its answer comes.
+  // Abandons an attempt that was never sent to an endpoint. A pending opening
+  // is settled with nothing spent; a pending claim is released when its answer
+  // arrives.
   void DropUnsentAttempt(Request* request, Instant now);
 
   // ---- settlement.cc
@@ -174,12 +178,12 @@
   void RecordRefusals();
   void ReturnGrants(Instant now);
 
-  // Ends a request: whole, or with an error.
+  // End a request: with a complete response, or with an error.
   void Finish(Request* request, Instant now);
   void Fail(Request* request, ErrorKind kind, Instant now,
             int retry_after_seconds = 0, std::string detail = {});
-  // The kind that is true of this request: none that says "not run" after an
-  // endpoint may have run it.
+  // The error kind to report: replaces a kind that means "not run" when an
+  // endpoint may have run the request.
   static ErrorKind Truthful(const Request& request, ErrorKind kind);
   void CountRefusal(const Request& request, ErrorKind kind, Instant now);
   void Summarize(const Request& request, ErrorKind kind, Instant now);
@@ -197,20 +201,21 @@
   std::set<std::pair<Instant, RequestId>> m_timers;
   std::vector<RequestId> m_apart;
   std::vector<RequestId> m_soon;  // to be queued before this event ends
-  // Who waits for tokens, in order of arrival, and where something was freed.
+  // Requests that wait for tokens, in order of arrival, and the budgets of
+  // which tokens were freed.
   std::unordered_map<budget::BudgetHandle, std::vector<RequestId>> m_waiters;
   std::set<budget::BudgetHandle> m_freed;
   Instant m_next_reserve{};
-  // Control's last word on each budget: free and elsewhere.
+  // Control's last grant answer per budget, for its `free` and `elsewhere`.
   std::unordered_map<budget::BudgetHandle, wire::GrantAnswerT> m_last_grant;
-  std::set<budget::BudgetHandle> m_asking;  // an ask is not answered yet
+  std::set<budget::BudgetHandle> m_asking;  // a grant request is pending
 
   CommandBook m_commands;
   RetryBudget m_retries;
   RefusalTally m_refusals;
   quarantine::Blocklist m_blocklist;
   quarantine::Suspects m_suspects;
-  size_t m_place = 0;  // of this entry among all
+  size_t m_place = 0;  // index of this entry among all entries
   size_t m_entries = 1;
 
   uint64_t m_directory_seen = 0;
--- a/include/dotterelshift/serving/refusal_tally.h
+++ b/include/dotterelshift/serving/refusal_tally.h
@@ -12,15 +12,15 @@
 
 namespace dotterelshift::serving {
 
-// Refusals since the last record of them, so that a flood of refusals costs
-// control one command a second for each team and kind.
+// Counts refusals since they were last recorded, so that any number of refusals
+// costs control at most one command per second for each team and kind.
 class RefusalTally {
  public:
   void Count(const TeamId& team, ErrorKind kind, bool budget_remained,
              Instant now);
   std::vector<wire::RecordRefusalsT> Take();
   bool empty() const { return m_counts.empty(); }
-  // When the oldest count should be recorded.
+  // The time at which the counts should be recorded.
   Instant Due() const { return m_due; }
 
  private:
--- a/include/dotterelshift/serving/request.h
+++ b/include/dotterelshift/serving/request.h
@@ -15,39 +15,39 @@
 
 namespace dotterelshift::serving {
 
-// Where a request stands on its way.
+// The processing state of a request.
 enum class Stage {
-  kArrived,    // being looked at; in no list
-  kQueued,     // in the fair queue, waits for an endpoint
-  kBudget,     // waits for tokens
-  kApart,      // a suspect that waits until it may run alone
-  kClaiming,   // waits for the commit of its claim
-  kOpening,    // waits for the commit of its attempt's opening
-  kRunning,    // handed to an endpoint
-  kReporting,  // its endpoint died; waits for the commit of the report
-  kSettling,   // the answer is whole, its bill is on the way
+  kArrived,    // being processed; not in any list
+  kQueued,     // in the fair queue, waiting for an endpoint
+  kBudget,     // waiting for tokens
+  kApart,      // suspect content, waiting until it may run alone
+  kClaiming,   // waiting for the commit of its claim
+  kOpening,    // waiting for the commit of its attempt's opening
+  kRunning,    // sent to an endpoint
+  kReporting,  // its endpoint died; waiting for the commit of the report
+  kSettling,   // the response is complete; waiting for its settlement
 };
 
-// One try of a request at one endpoint.
+// One attempt to run a request on one endpoint.
 struct Attempt {
   AttemptId id = 0;
   EndpointId endpoint;
   uint64_t incarnation = 0;
   std::string address;
   Tokens reserved = 0;
-  bool alone = false;       // of a suspect content
-  bool opening = false;     // its opening was proposed, and not refused
-  bool standing = false;    // reserved from the standing part: needs no opening
-  bool dispatched = false;  // given to the endpoint's side
-  Instant started{};        // when it was given
-  Tokens counted = 0;       // output tokens by the entry's own count
+  bool alone = false;       // runs alone because its content is suspect
+  bool opening = false;     // its opening was proposed and not refused
+  bool standing = false;    // uses pre-authorized tokens: needs no opening
+  bool dispatched = false;  // handed over for sending to the endpoint
+  Instant started{};        // time of the dispatch
+  Tokens counted = 0;       // output tokens counted by this entry
   bool has_piece = false;
   bool has_usage = false;
   Tokens usage_prompt = 0;
   Tokens usage_output = 0;
 };
 
-// One caller's request from arrival to its end.
+// A caller's request, from its arrival to its end.
 struct Request {
   RequestId id = 0;
   callers::CallerRequest caller;
@@ -57,24 +57,24 @@
   BudgetId budget_id;
   budget::BudgetHandle budget = 0;
   bool refusals_first = false;  // the team's policy
-  std::string key;              // of its bill
+  std::string key;              // identifies its bill
   Stage stage = Stage::kArrived;
   Instant arrived{};
   Instant deadline{};
-  std::optional<Instant> due;           // of its timer
-  std::optional<Instant> budget_until;  // how long it waits for tokens
-  Tokens reserved = 0;                  // held before an attempt takes it over
-  bool standing = false;                // of `reserved`: see Attempt
-  int refused_openings = 0;             // by control, each tried anew
+  std::optional<Instant> due;           // when its timer expires
+  std::optional<Instant> budget_until;  // end of its wait for tokens
+  Tokens reserved = 0;                  // until an attempt takes it over
+  bool standing = false;                // `reserved` is pre-authorized
+  int refused_openings = 0;             // openings refused by control so far
   std::optional<Attempt> attempt;
   int attempts = 0;
-  bool retry_wanted = false;         // of kReporting: what follows it
-  std::vector<EndpointId> excluded;  // tried before
-  bool handed = false;               // an endpoint may have run something of it
-  bool forwarded = false;            // a piece has gone to the caller
-  bool claim_open = false;           // its claim is granted and not finished
-  AttemptId claimed_by = 0;          // the attempt that the claim names
-  uint64_t awaited = 0;  // sequence of the command that it waits for
+  bool retry_wanted = false;         // whether a retry follows kReporting
+  std::vector<EndpointId> excluded;  // endpoints already tried
+  bool handed = false;               // an endpoint may have run part of it
+  bool forwarded = false;            // a chunk was forwarded to the caller
+  bool claim_open = false;           // its claim is granted and not settled
+  AttemptId claimed_by = 0;          // the attempt named in the claim
+  uint64_t awaited = 0;  // sequence of the command it is waiting for
   bool caller_gone = false;
   ErrorKind last_failure = ErrorKind::kNone;
   Duration queue_wait = 0s;
--- a/include/dotterelshift/serving/request_core.h
+++ b/include/dotterelshift/serving/request_core.h
@@ -21,7 +21,7 @@
 
 namespace dotterelshift::serving {
 
-// What the core wants done. The adapters carry actions out in order.
+// Actions requested by the core. The adapters execute them in order.
 struct StartAttempt {
   AttemptId attempt = 0;
   RequestId request = 0;
@@ -29,86 +29,87 @@
   std::string address;      // IP:port
   Duration time_left = 0s;  // until the deadline
 };
-// Close the attempt's connection; whatever still comes of it is dropped and
+// Close the attempt's connection. Chunks that still arrive are dropped and
 // counted.
 struct CancelAttempt {
   AttemptId attempt = 0;
 };
-// The answer is whole and its bill recorded: release its last piece.
+// The response is complete and its bill recorded: send the last chunk, which
+// was withheld until now.
 struct FinishAnswer {
   RequestId request = 0;
 };
-// Refuse; or, when pieces have gone out already, end the stream in a visible
-// error.
+// Refuse the request or, if chunks were already sent, end the stream with an
+// error that the caller can see.
 struct FailAnswer {
   RequestId request = 0;
   ErrorKind kind = ErrorKind::kInternal;
   std::string detail;
   int retry_after_seconds = 0;
 };
-// Have a command committed; the answer comes back by OnAnswer(). Its id's
-// sequence is set by the core.
+// Have a command committed. Its answer is delivered by OnAnswer(). The core
+// sets the sequence in the command's id.
 struct ProposeCommand {
   wire::CommandT command;
 };
-// Keep a settlement on any control replica in reach until it can be proposed;
-// the answer comes by OnSpooled().
+// Store a settlement on any reachable control replica until it can be proposed.
+// The confirmation is delivered by OnSpooled().
 struct SpoolCommand {
   wire::CommandT command;
 };
 using Action = std::variant<StartAttempt, CancelAttempt, FinishAnswer,
                             FailAnswer, ProposeCommand, SpoolCommand>;
 
-// What the endpoints' side saw in the bytes of one piece of an answer.
+// What the endpoint adapter found in the bytes of one chunk of a response.
 struct Piece {
-  Tokens tokens = 0;       // the entry's own count of output tokens in it
-  bool has_usage = false;  // the engine's own report, cumulative
+  Tokens tokens = 0;       // output tokens in it, counted by the entry
+  bool has_usage = false;  // contains the engine's usage report (cumulative)
   Tokens usage_prompt = 0;
   Tokens usage_output = 0;
 };
 enum class PieceVerdict {
   kForward,
-  kDrop,  // the attempt was given up, or the piece is not for the caller
-  kCut,   // over the output limit: the core has asked to cancel
+  kDrop,  // the attempt was abandoned, or the caller is gone
+  kCut,   // over the output limit; the core has requested a cancellation
 };
 enum class AttemptEnd {
-  kWhole,             // the protocol's end mark was seen
-  kNotSent,           // no byte left this host
-  kRefusedBeforeRun,  // the endpoint said that it did not run it (503 with
-                      // Dotterelshift-Ran: no, 429)
-  kCallerError,  // the endpoint answered 4xx: the answer goes to the caller as
-                 // it is
-  kDied,         // the connection broke, before or after the head
+  kWhole,             // the response ended with the protocol's end marker
+  kNotSent,           // no byte was sent
+  kRefusedBeforeRun,  // the endpoint reported that it did not run the request
+                      // (503 with Dotterelshift-Ran: no, 429)
+  kCallerError,       // the endpoint answered 4xx; its response is forwarded
+                      // unchanged
+  kDied,              // the connection broke, before or after the head
   kTimedOut,
 };
 
-// How far this entry can trust that control follows.
+// Whether control is reachable from this entry.
 enum class ControlReach {
-  kNever,      // no current configuration yet: refuse as not ready
-  kConnected,  // a leader that proved it leads answers
-  kCutOff,
+  kNever,      // no current configuration yet: requests are refused as not
+               // ready
+  kConnected,  // a leader that has proven its leadership answers
+  kCutOff,     // no leader is reachable
 };
 
 struct RequestCoreOptions {
   HostRun self;
   std::string default_class = "default";
   int max_attempts = 3;
-  double retry_ratio =
-      0.1;  // retries per answered request, over the last while
+  double retry_ratio = 0.1;  // retries allowed per answered request
   int retry_burst = 10;
-  Duration witness_patience =
-      1s;  // how long an opening may wait for its commit
-  Duration settle_patience =
-      2s;  // how long the last piece waits for its bill, then it is spooled
-  bool serve_when_cut_off =
-      true;  // setting: go on with standing grants, or refuse
-  // How long a request waits for tokens that may still come, by its team's
-  // policy, within its deadline.
+  Duration witness_patience = 1s;  // how long a claim, opening or report may
+                                   // wait for its commit
+  Duration settle_patience = 2s;   // how long the last chunk waits for its
+                                   // bill before the bill is spooled
+  bool serve_when_cut_off = true;  // setting: while cut off, serve with
+                                   // pre-authorized tokens or refuse
+  // How long a request waits for tokens that may still become available, by its
+  // team's policy and at most until its deadline.
   Duration budget_wait_overspend_first = 2s;
   Duration budget_wait_refusals_first = 15s;
 };
 
-// What the core works with; all outlive it.
+// Dependencies of the core; all must outlive it.
 struct RequestCoreParts {
   const state::Configuration* configuration = nullptr;
   const directory::Directory* directory = nullptr;
@@ -117,7 +118,7 @@
   admission::FairQueue* queue = nullptr;
 };
 
-// Times and counts of one finished request, for the metrics.
+// Durations and counts of one finished request, for the metrics.
 struct RequestSummary {
   RequestId request = 0;
   TeamId team;
@@ -127,24 +128,24 @@
   Duration first_token = 0s;
   Duration total = 0s;
   Tokens spent = 0;
-  Tokens usage_difference =
-      0;  // between the engine's report and the entry's own count
+  Tokens usage_difference = 0;  // between the engine's report and the entry's
+                                // own count
   int attempts = 0;
 };
 
-// Counts of what never reached a caller, and other rare things.
+// Counters of dropped chunks, retries and other rare events.
 struct ServingCounters {
   uint64_t late_pieces_dropped = 0;
   uint64_t retries = 0;
   uint64_t retries_denied = 0;
-  uint64_t false_refusals = 0;  // refused although budget remained somewhere
+  uint64_t false_refusals = 0;  // refused although some budget remained
   uint64_t unwitnessed_attempts = 0;
   uint64_t spooled_settlements = 0;
 };
 
-// All requests of one entry, from arrival to the last piece: identity and
-// reach, queue, reservation, claim, opening, choice of endpoint, attempts,
-// settlement. Knows no clock, socket or log.
+// Handles all requests of one entry from arrival to the last chunk:
+// authorization, queue, choice of endpoint, reservation, claim, opening,
+// attempts and settlement. Does no I/O and reads no clock.
 class RequestCore {
  public:
   virtual ~RequestCore() = default;
@@ -164,22 +165,22 @@
   virtual void OnControlReach(ControlReach reach, Instant now) = 0;
   virtual void OnRecall(const wire::RecallT& recall, Instant now) = 0;
   virtual void OnQuarantine(const wire::QuarantinePushT& push, Instant now) = 0;
-  // How many entries there are, and this one's place among them from 0.
+  // Sets the number of entries and the zero-based index of this one.
   virtual void OnEntries(size_t place, size_t count) = 0;
-  // The configuration or the directory has changed.
+  // The configuration or the directory may have changed.
   virtual void OnRefresh(Instant now) = 0;
 
-  // New requests are refused from now on; those taken go on to their end.
+  // Refuses new requests from now on; accepted requests continue to their end.
   virtual void StartDraining(Instant now) = 0;
-  // True when nothing is open and everything owed to control has been
+  // True when no request is open and all commands to control have been
   // acknowledged or spooled.
   virtual bool Drained() const = 0;
 
   virtual void OnTimer(Instant now) = 0;
   virtual std::optional<Instant> NextTimer() const = 0;
 
-  // The request behind an attempt, while it lasts; null when it was given up.
-  // For the adapters.
+  // The request of a current attempt; null when the attempt has ended. For the
+  // adapters.
   virtual const callers::CallerRequest* RequestOf(AttemptId attempt) const = 0;
 
   virtual std::vector<Action> TakeActions() = 0;
--- a/include/dotterelshift/serving/retry_budget.h
+++ b/include/dotterelshift/serving/retry_budget.h
@@ -3,16 +3,16 @@
 
 namespace dotterelshift::serving {
 
-// Bounds the retries of an entry to a part of its answered requests, so that a
-// failing fleet is not loaded with retries: a bucket that each answer fills by
-// `ratio`, up to `burst`.
+// Token bucket that limits the retries of an entry to a fraction of its
+// answered requests, so that retries do not overload a failing fleet. Each
+// response adds `ratio` retries, up to `burst`.
 class RetryBudget {
  public:
   RetryBudget(double ratio, int burst)
       : m_ratio(ratio), m_burst(burst), m_left(burst) {}
 
   void OnAnswered();
-  // Takes one retry; false when there is none left.
+  // Takes one retry. Returns false when none is left.
   bool TryTake();
 
  private:
--- a/include/dotterelshift/serving/spend.h
+++ b/include/dotterelshift/serving/spend.h
@@ -7,26 +7,26 @@
 
 namespace dotterelshift::serving {
 
-// What an attempt consumed.
+// The tokens that an attempt consumed.
 struct Spend {
   Tokens spent = 0;
-  Tokens difference = 0;  // between the engine's report and the own count
+  Tokens difference = 0;  // between the engine's report and the entry's count
 };
 
-// What an engine may write of one stream between the last piece that came here
-// and its hearing that the connection was closed.
+// Tokens that an engine may generate for a stream after the last received
+// chunk, until it notices that the connection was closed.
 inline constexpr Tokens kCancelAllowance = 256;
 
 // The consumption of an attempt that ended by `end`: the larger of the engine's
-// usage and the entry's own count, never above the reservation; where the
-// engine said nothing of the prompt, its bound. An attempt whose connection
-// broke or that timed out counts with its whole reservation: the engine may
-// have written all of it, to nobody. Nothing for an attempt that no endpoint
-// ran.
+// reported usage and the entry's own count, limited to the reservation. Without
+// a usage report, the prompt counts with its upper bound. An attempt whose
+// connection broke or that timed out counts with its whole reservation, because
+// the engine may have generated all of it unseen. An attempt that no endpoint
+// ran consumes nothing.
 Spend SpendOf(const Request& request, const Attempt& attempt, AttemptEnd end);
 
-// The consumption of an attempt that this entry cancelled over a connection
-// that held: what came, and the allowance.
+// The consumption of an attempt that this entry cancelled while its connection
+// was intact: the received tokens plus kCancelAllowance.
 Spend SpendOfCancelled(const Request& request, const Attempt& attempt);
 
 }  // namespace dotterelshift::serving
