--- a/src/dotterelshift/budget/ledger.cc
+++ b/src/dotterelshift/budget/ledger.cc
@@ -13,10 +13,10 @@
 
 constexpr Instant kNever = Instant::max();
 
-// The time over which demand is averaged.
+// Time constant of the demand average.
 constexpr Duration kDemandWindow = 10s;
 
-// A connected witnessed holder needs no more than its demand of this long.
+// The target holding covers at least the demand of this time.
 constexpr Duration kConnectedCover = 10s;
 
 double Seconds(Duration duration) {
@@ -29,7 +29,7 @@
   });
 }
 
-// Demand in tokens a second: an exponentially decaying average.
+// Measures demand in tokens per second as an exponentially decaying average.
 class DemandMeter {
  public:
   void Add(Tokens tokens, Instant now) {
@@ -42,7 +42,8 @@
   }
 
  private:
-  // The exponential is costly; a hundredth of the window is exact enough.
+  // The exponential is expensive; updating once per hundredth of the window is
+  // accurate enough.
   void Decay(Instant now) {
     if (m_rate != 0 && now - m_since < kDemandWindow / 100) return;
     m_rate = Rate(now);
@@ -52,25 +53,25 @@
   Instant m_since;
 };
 
-// What is held of one budget.
+// The holding of one budget.
 struct Position {
   BudgetId id;
   HoldingPolicy policy;
   Tokens held = 0;
   Tokens reserved = 0;
-  Tokens standing = 0;           // may be reserved without an opening
-  Tokens standing_reserved = 0;  // of reserved: taken out of `standing`
+  Tokens standing = 0;           // pre-authorized and not reserved
+  Tokens standing_reserved = 0;  // part of `reserved` that is pre-authorized
   DemandMeter demand;
   Instant last_draw;
   Tokens missing = 0;   // largest worst case that could not be reserved
-  Tokens recalled = 0;  // asked back by the leader
-  bool asking = false;  // an ask is under way
+  Tokens recalled = 0;  // amount that the leader wants returned
+  bool asking = false;  // a request is not answered yet
   Instant ask_again = kNever;
   Tokens asked_wanted = 0;
   Tokens asked_minimum = 0;
-  bool touched = false;      // to be looked at by the next TakeWishes()
-  Instant refused_until;     // "nothing free" is believed until then
-  bool refused_all = false;  // and nothing is held by others that could return
+  bool touched = false;      // to be examined by the next TakeWishes()
+  Instant refused_until;     // control is not asked again before this time
+  bool refused_all = false;  // nothing was free or held by other entries
 
   Tokens Idle() const { return held - reserved; }
 };
@@ -145,7 +146,8 @@
                         Instant) override {
     Position& position = m_positions[budget];
     position.reserved -= reserved;
-    // Returning it makes control's account agree, whatever it counts.
+    // Returning all idle tokens brings control's account and this ledger into
+    // agreement, whatever control counted.
     position.recalled = position.Idle();
     position.missing = std::max(position.missing, reserved);
     Touch(budget);
@@ -172,8 +174,7 @@
     Touch(found->second);
   }
 
-  // Both sides together hold what this one has idle; each should have its
-  // share by demand.
+  // Divides this entry's idle tokens between both entries by demand.
   Tokens Lend(BudgetHandle budget, Tokens wanted, Tokens minimum,
               Tokens demand_of_other, Instant now) override {
     Position& position = m_positions[budget];
@@ -204,7 +205,7 @@
     m_connected = connected;
     m_cut_off_since = now;
     m_scan_at = now;
-    // An ask that was under way is sent again, with its id, by its sender.
+    // The sender of a pending request sends it again, with the same id.
     for (Position& position : m_positions)
       if (position.asking) position.ask_again = now;
   }
@@ -271,15 +272,16 @@
     m_touched.push_back(budget);
   }
 
-  // Returns and asks of one budget, and when to look at it again.
+  // Adds the requests and returns that are due for one budget, and schedules
+  // its next examination.
   void Tend(BudgetHandle budget, Instant now, std::vector<GrantWish>* wishes) {
     ReturnIdle(budget, now, wishes);
     AskIfShort(budget, now, wishes);
     m_scan_at = std::min(m_scan_at, DueOf(m_positions[budget]));
   }
 
-  // Not enough is held: notes the lack, so that it is asked for, and tells the
-  // request whether waiting can help.
+  // Called when too few tokens are held: records the shortfall, so that tokens
+  // are requested, and returns whether waiting can help.
   ReserveResult Lacks(Position& position, Tokens worst_case, Instant now) {
     position.missing = std::max(position.missing, worst_case);
     const bool may_free_up = position.reserved > 0 || HealsSoon(position, now);
@@ -290,14 +292,15 @@
                                    : ReserveResult::kWait;
   }
 
-  // A short interruption is waited out where refusals weigh most.
+  // Teams with RefusalsFirst wait through a short disconnection instead of
+  // being refused.
   bool HealsSoon(const Position& position, Instant now) const {
     return !m_connected &&
            position.policy.policy == wire::TeamPolicy::RefusalsFirst &&
            now - m_cut_off_since < m_options.cut_off_patience;
   }
 
-  // What the entry would like to hold now.
+  // The target holding.
   Tokens Target(const Position& position, Instant now) const {
     const Duration cover = std::max(position.policy.partition, kConnectedCover);
     const auto demand =
@@ -336,7 +339,7 @@
     return !idle && position.Idle() < enough;
   }
 
-  // What is held far beyond the wanted holding.
+  // The tokens above the target when the holding exceeds it by return_above.
   Tokens Surplus(const Position& position, Instant now) const {
     if (m_options.return_above == 0) return 0;
     const Tokens target = Target(position, now);
@@ -356,7 +359,8 @@
     Return(budget, std::min(wanted, position.Idle()), now, wishes);
   }
 
-  // What stays must cover what the standing part may still spend.
+  // The remaining idle tokens must cover the pre-authorized amount, so that it
+  // shrinks when necessary.
   void Return(BudgetHandle budget, Tokens tokens, Instant now,
               std::vector<GrantWish>* wishes) {
     Position& position = m_positions[budget];
@@ -382,7 +386,7 @@
   Instant m_cut_off_since;
   std::vector<Position> m_positions;
   std::vector<BudgetHandle> m_touched;
-  Instant m_scan_at = kNever;  // when a budget is due by time alone
+  Instant m_scan_at = kNever;  // when the next budget is due by time
   std::unordered_map<BudgetId, BudgetHandle> m_handles;
 };
 
--- a/src/dotterelshift/budget/recall_core.cc
+++ b/src/dotterelshift/budget/recall_core.cc
@@ -6,8 +6,8 @@
 namespace dotterelshift::budget {
 namespace {
 
-// A holder without measured demand still counts a little, so that shares are
-// defined when nobody has any.
+// Demand counted for a holder in addition to the measured one, so that shares
+// are defined when no holder has any demand.
 constexpr double kLeastDemand = 1;
 
 }  // namespace
@@ -46,7 +46,7 @@
     wanted -= taken[i];
     needed -= taken[i];
   }
-  // A request that waits goes before shares that nobody draws on now.
+  // A waiting request takes precedence over the idle shares of other holders.
   for (size_t i = 0; i < surpluses.size(); ++i) {
     const Tokens more =
         std::clamp<Tokens>(needed, 0, surpluses[i].idle - taken[i]);
@@ -65,7 +65,8 @@
   return messages;
 }
 
-// What the holder could give: control's own count, or less by its last report.
+// The tokens that the holder could return: control's own count, or the holder's
+// last report if that is smaller.
 Tokens RecallCore::IdleOf(const Budget& budget, const state::Holding& holding,
                           Instant now) const {
   const Tokens unopened = holding.tokens - holding.opened;
@@ -120,7 +121,7 @@
   });
 }
 
-// Drops what is known of budgets that are held no more.
+// Removes expired reports, and the budgets that have no reports left.
 void RecallCore::Sweep(Instant now) {
   m_next_sweep = now + m_options.sweep_every;
   for (auto& [id, budget] : m_budgets) Forget(budget, now);
--- a/src/dotterelshift/serving/arrival.cc
+++ b/src/dotterelshift/serving/arrival.cc
@@ -7,13 +7,13 @@
 namespace dotterelshift::serving {
 namespace {
 
-// Work of this many tokens counts as one unit of a team's fair share.
+// Tokens per unit of cost in the fair queue.
 constexpr double kTokensPerUnit = 1024;
 
-// A request that was started before goes first within its team.
+// Requests that were started before go first within their team.
 constexpr int kRetryPriority = -100;
 
-// Whole seconds, rounded up, at least one: for Retry-After.
+// The value for Retry-After: whole seconds, rounded up, at least one.
 int WaitSeconds(Duration wait) {
   const int64_t seconds = (ToMs(wait) + 999) / 1000;
   return static_cast<int>(std::max<int64_t>(1, seconds));
@@ -152,8 +152,9 @@
 routing::RouteChoice Core::Choose(const Request& request, Instant now) {
   if (!m_suspects.IsSuspect(request.caller.content_hash))
     return ChooseFor(request, request.excluded, now);
-  // Another entry's suspect beside this one would be taken for guilty with it,
-  // so each entry has a share of the endpoints for its own.
+  // If suspects of two entries ran on the same endpoint and it died, both would
+  // be blamed. Each entry therefore prefers its own share of the endpoints for
+  // suspects.
   const std::vector<EndpointId> occupied = m_suspects.Occupied();
   std::vector<EndpointId> left_out = SharesOfOthers();
   left_out.insert(left_out.end(), request.excluded.begin(),
@@ -202,8 +203,7 @@
     StandApart(request, now);
     return;
   }
-  // An endpoint that refused for load may be asked again when there is no
-  // other.
+  // Retry endpoints that refused because of load when there is no other one.
   if (request->last_failure == ErrorKind::kEndpointRefused &&
       !request->excluded.empty()) {
     request->excluded.clear();
--- a/src/dotterelshift/serving/attempt_end.cc
+++ b/src/dotterelshift/serving/attempt_end.cc
@@ -6,7 +6,7 @@
 namespace dotterelshift::serving {
 namespace {
 
-// Whether no endpoint ran anything of an attempt with this end.
+// Whether an attempt with this end was not run by any endpoint.
 bool NotRun(AttemptEnd end) {
   return end == AttemptEnd::kNotSent || end == AttemptEnd::kRefusedBeforeRun;
 }
@@ -124,8 +124,8 @@
   const ErrorKind failure = FailureOf(end, request->forwarded);
   request->last_failure = failure;
   request->excluded.push_back(attempt.endpoint);
-  // What was not sent is no try; its endpoint is excluded from now on, so that
-  // a few dead ones do not use up the tries that a live one should get.
+  // An attempt that was not sent does not count, so that a few dead endpoints
+  // do not use up the attempts; its endpoint is excluded from now on.
   if (end == AttemptEnd::kNotSent) --request->attempts;
   const bool died = end == AttemptEnd::kDied;
   const uint64_t report = died ? NoteDeath(*request, attempt, now) : 0;
@@ -141,7 +141,7 @@
   request->retry_wanted = retry;
   if (died && m_reach == ControlReach::kConnected) {
     // Neither another endpoint nor the caller may try the content again before
-    // every entry can know of this death.
+    // the report is committed, so that every entry can learn of this death.
     request->stage = Stage::kReporting;
     request->awaited = report;
     SetDue(request,
@@ -174,7 +174,8 @@
   if (request.attempts >= m_options.max_attempts) return false;
   if (!NotRun(end) && !request.caller.idempotent) return false;
   if (m_blocklist.BlockedFor(request.caller.content_hash, now)) return false;
-  // What was not even sent has loaded nobody.
+  // An attempt that was not sent caused no load, so that its retry is not
+  // counted against the retry budget.
   if (end == AttemptEnd::kNotSent || m_retries.TryTake()) return true;
   ++m_counters.retries_denied;
   return false;
--- a/src/dotterelshift/serving/budget_wait.cc
+++ b/src/dotterelshift/serving/budget_wait.cc
@@ -5,7 +5,8 @@
 namespace dotterelshift::serving {
 namespace {
 
-// How often waiting requests look again although nothing was freed here.
+// Interval at which waiting requests try to reserve again, even when no tokens
+// were freed on this entry.
 constexpr Duration kLookAgain = 100ms;
 
 }  // namespace
@@ -34,7 +35,7 @@
 }
 
 bool Core::MayStillCome(const Request& request) const {
-  // What other requests of this entry have reserved and will not need.
+  // Other requests of this entry may return part of their reservations.
   const Tokens held = m_parts.ledger->Held(request.budget);
   const Tokens reserved = m_parts.ledger->Reserved(request.budget);
   return reserved > 0 && held >= request.WorstCase();
@@ -71,7 +72,8 @@
     if (it == m_waiters.end()) continue;
     const std::vector<RequestId> waiters = std::move(it->second);
     m_waiters.erase(it);
-    // In order of arrival; a smaller request may pass one that does not fit.
+    // In order of arrival; a small request may overtake one that needs more
+    // tokens than are free.
     for (const RequestId id : waiters) {
       Request* request = FindRequest(id);
       if (request == nullptr || request->stage != Stage::kBudget) continue;
@@ -136,7 +138,7 @@
       Propose(std::move(body), std::move(pending));
       continue;
     }
-    // The one that is under way is sent again, with its id, by the adapter.
+    // The adapter resends a pending request with the same id.
     if (!m_asking.insert(wish.budget).second) continue;
     pending.kind = PendingCommand::Kind::kAsk;
     wire::RequestGrantT body;
--- a/src/dotterelshift/serving/dispatch.cc
+++ b/src/dotterelshift/serving/dispatch.cc
@@ -6,11 +6,11 @@
 namespace dotterelshift::serving {
 namespace {
 
-// How often the opening of one request may be refused because control counts
-// less for this entry than the entry itself.
+// Maximum number of openings of one request that control may refuse because it
+// counts fewer tokens for this entry than the entry itself.
 constexpr int kMostRefusedOpenings = 3;
 
-// What a caller is told of a claim that was not granted to it.
+// The error reported to a caller whose claim was not granted.
 ErrorKind KindOf(wire::ClaimState state) {
   switch (state) {
     case wire::ClaimState::Granted:
@@ -156,8 +156,8 @@
     Fail(request, told ? error : ErrorKind::kNoQuorum, now);
     return;
   }
-  // Control counts less for this entry than the entry itself: what it holds
-  // flows back, and the request asks anew.
+  // Control counts fewer tokens for this entry than the entry itself. The
+  // unreserved tokens are returned, and the request reserves again.
   const Attempt attempt = Detach(request, false, now);
   m_parts.ledger->OnOpeningRefused(request->budget, attempt.reserved, now);
   m_wishes_due = true;
@@ -188,7 +188,7 @@
   const bool usable =
       endpoint != nullptr && endpoint->usable &&
       endpoint->record.incarnation == request->attempt->incarnation;
-  // It may have left while the opening was on its way.
+  // The endpoint may have left while the opening was being committed.
   if (!usable && !ChooseAgain(request, now)) {
     EndAttempt(request, AttemptEnd::kNotSent, now);
     return;
--- a/src/dotterelshift/serving/request_core.cc
+++ b/src/dotterelshift/serving/request_core.cc
@@ -41,8 +41,8 @@
   const bool run_on =
       request->stage == Stage::kSettling ||
       (request->stage == Stage::kRunning && !request->caller.idempotent);
-  // Work that may not be repeated goes on to its end, so that a resend of its
-  // key can be told what became of it.
+  // A request that is not idempotent runs to its end, so that its outcome can
+  // be reported when the caller resends its key.
   if (run_on) return;
   if (request->stage == Stage::kRunning) {
     CancelAndFail(request, ErrorKind::kCallerGone, now);
@@ -134,7 +134,7 @@
       CancelAndFail(request, ErrorKind::kDeadlineWhileRunning, now);
       break;
     case Stage::kReporting:
-      // Not known to the others: better not tried again from here.
+      // Other entries may not know of the death, so the content is not retried.
       request->retry_wanted = false;
       GoOnAfterFailure(request, now);
       break;
--- a/src/dotterelshift/serving/settlement.cc
+++ b/src/dotterelshift/serving/settlement.cc
@@ -5,7 +5,7 @@
 namespace dotterelshift::serving {
 namespace {
 
-// Refusals of a request that was in order, for want of tokens or of capacity.
+// Whether a valid request was refused for lack of tokens or of capacity.
 bool TurnedAway(ErrorKind kind) {
   return kind >= ErrorKind::kBudgetExhausted &&
          kind <= ErrorKind::kTooManyConnections;
@@ -36,7 +36,7 @@
   request->usage_difference += spend.difference;
   const bool ends_claim = request->claim_open && settlement.last;
   const bool answered = settlement.outcome == wire::Outcome::Answered;
-  // Control never heard of an attempt that was neither opened nor run.
+  // Control does not know of an attempt that was neither opened nor run.
   if (!attempt.opening && !attempt.dispatched && !ends_claim) return;
 
   wire::SettleT settle = SettleBody(*request, attempt.id);
@@ -59,7 +59,7 @@
 void Core::ReleaseClaim(Request* request) {
   if (!request->claim_open) return;
   request->claim_open = false;
-  // Under a number of its own: the claiming attempt may be settled already.
+  // Uses a new attempt id, because the claiming attempt may already be settled.
   wire::SettleT settle = SettleBody(*request, ++m_last_attempt);
   settle.outcome = wire::Outcome::Refused;
   settle.witnessed = false;
@@ -156,8 +156,8 @@
   const bool awaited = request != nullptr &&
                        request->stage == Stage::kOpening &&
                        request->attempt->id == pending.attempt;
-  // One that came too late: the attempt goes on unwitnessed, or its settlement
-  // has ended the opening.
+  // A late answer is ignored: the attempt was dispatched without a committed
+  // opening, or its settlement has already ended the opening.
   if (awaited) OnOpened(request, answer, now);
 }
 
@@ -191,7 +191,8 @@
 void Core::ReturnGrants(Instant now) {
   if (m_reach != ControlReach::kConnected) return;
   SendWishes(m_parts.ledger->ReturnAll(now));
-  // Nothing more is asked for: a grant would only go back again, and again.
+  // Disconnects the ledger so that it requests no more tokens: they would only
+  // be returned again.
   m_parts.ledger->SetConnected(false, now);
 }
 
