--- a/src/dotterelshift/budget/grant_property_test.cc
+++ b/src/dotterelshift/budget/grant_property_test.cc
@@ -1,6 +1,7 @@
-// Random schedules over the real State and Ledger cores: entries that die, are
-// cut off and come back; commands and answers that are lost, doubled and
-// reordered; spools, top-ups, retirements and changes of the grant way.
+// Random schedules over the real State and Ledger cores: entries die, are cut
+// off and reconnect; commands and answers are lost, duplicated and reordered;
+// settlements are spooled, budgets topped up, holders retired and grant modes
+// changed.
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include <algorithm>  // for min
@@ -24,18 +25,18 @@
 constexpr uint64_t kSchedules = 400;
 constexpr WallMs kStamp = 1'000'000;
 
-// The rule that a test compiles out: what a dead run may have spent unseen is
-// given out again.
+// Faulty rules: tokens that a dead incarnation may have spent without control
+// knowing are granted again.
 struct ReissuingRules {
   static constexpr bool kKeepStandingOfTheDead = false;
 };
 
-// One attempt of an entry, from its reservation to its end.
+// An attempt of an entry, from its reservation to its end.
 struct Attempt {
   std::string key;
   Tokens reserved = 0;
   bool standing = false;
-  bool running = false;  // dispatched; else it waits for its opening
+  bool running = false;  // dispatched; otherwise waiting for its opening
 };
 
 struct Entry {
@@ -44,7 +45,7 @@
   BudgetHandle budget = 0;
   bool connected = true;
   uint64_t sequence = 0;
-  uint64_t ask = 0;  // sequence of the ask under way
+  uint64_t ask = 0;  // sequence of the last grant request
   std::map<AttemptId, Attempt> attempts;
   std::map<uint64_t, wire::CommandT> outbox;  // not answered yet
 };
@@ -65,8 +66,8 @@
     }
   }
 
-  // Empty when every invariant held at every step and at the end, else the
-  // first one that did not.
+  // Runs the schedule. Returns the first violated invariant, or an empty string
+  // when all invariants held at every step and at the end.
   std::string Play() {
     for (int step = 0; step < kSteps && m_failure.empty(); ++step) Step();
     if (m_failure.empty()) Heal();
@@ -145,7 +146,7 @@
     }
   }
 
-  // ---- what an entry does
+  // ---- actions of an entry
 
   void Reserve(Entry& entry) {
     HoldingPolicy policy;
@@ -195,8 +196,9 @@
       m_spool.push_back(entry.outbox[sequence]);
   }
 
-  // An opening that is not answered in time: dispatched from the standing part,
-  // or given up. The settlement ends it in either case.
+  // Handles an opening that is not answered in time: the attempt is dispatched
+  // with pre-authorized tokens or abandoned. Its settlement ends the opening in
+  // both cases.
   void GiveUpOpening(Entry& entry) {
     for (auto& [id, attempt] : entry.attempts) {
       if (attempt.running) continue;
@@ -213,8 +215,8 @@
     }
   }
 
-  // The process dies: what its running attempts consumed until then stays
-  // consumed, and nobody can tell how much it was.
+  // The process dies. The tokens that its running attempts consumed until then
+  // remain consumed, but their number is unknown to control.
   void EndRun(Entry& entry) {
     if (Draw(3) != 0) return;
     for (const auto& [id, attempt] : entry.attempts)
@@ -256,8 +258,8 @@
 
   // ---- the network and control
 
-  // Carries one message, in any order; some are lost, some come twice. A
-  // command of a dead or cut-off run may still be under way.
+  // Delivers one message. Messages are reordered, some are lost or duplicated,
+  // and commands of dead or cut-off incarnations may still be in flight.
   void MoveMessage() {
     if (m_network.empty()) return;
     const size_t index = Draw(m_network.size());
@@ -279,7 +281,7 @@
   void OnAnswer(Entry& entry, const wire::CommandT& command,
                 const wire::CommandAnswerT& answer) {
     const bool first = entry.outbox.erase(command.id->sequence) > 0;
-    // Shut out by an operator: the daemon restarts.
+    // The incarnation was retired by an operator: the daemon restarts.
     if (static_cast<ErrorKind>(answer.error) == ErrorKind::kStaleIncarnation) {
       m_dead.push_back(entry.run);
       for (const auto& [id, attempt] : entry.attempts)
@@ -340,7 +342,7 @@
     changes.push_back(std::move(change));
     const uint64_t base = m_state->GetConfiguration().Version();
     Operate(state::PlanOf(id, base, "operator", std::move(changes)));
-    // Its answer may be lost: an operator confirms again.
+    // The answer may be lost, so that an operator confirms again.
     for (uint64_t times = 0; times <= Draw(2); ++times)
       Operate(state::ConfirmOf(id));
   }
@@ -368,8 +370,8 @@
     Accept(state::TeamChange("team", m_way, 20 + Draw(40)));
   }
 
-  // An operator retires a run only when all that it spent without an opening
-  // has been settled: this is what the plan's warning asks for.
+  // An operator retires an incarnation only when everything that it spent
+  // without a committed opening is settled, as the plan's warning requires.
   void Retire() {
     if (m_dead.empty()) return;
     const HostRun run = m_dead[Draw(m_dead.size())];
@@ -390,9 +392,9 @@
     const state::BudgetAccount* account = m_state->FindAccount("b");
     if (account == nullptr) return;
     for (const std::string& line : m_state->Disagreements()) Fail(line);
-    if (account->purchased > m_purchased) Fail("a top-up counted twice");
+    if (account->purchased > m_purchased) Fail("a top-up was counted twice");
     if (account->settled + account->granted + account->lost > m_purchased)
-      Fail("settled, granted and lost are more than was purchased");
+      Fail("settled, granted and lost tokens exceed the purchased tokens");
     if (m_consumed > m_purchased) Fail("consumed more than was purchased");
     if (m_consumed > account->settled + account->granted + account->lost)
       Fail("consumed tokens are free to be granted again");
@@ -405,7 +407,8 @@
     entry.attempts.erase(first);
   }
 
-  // Everything heals: what was spent and can be known is settled in the end.
+  // Ends all faults and attempts, and checks that the consumed tokens are
+  // settled or counted as lost.
   void Heal() {
     for (Entry& entry : m_entries) {
       if (!entry.connected) CutOrHeal(entry);
@@ -418,17 +421,18 @@
     if (account.settled + account.lost < m_consumed)
       Fail("consumed tokens are neither settled nor lost");
     if (m_state->Snapshot() != m_twin->Snapshot())
-      Fail("two states that were fed the same differ");
+      Fail("two states that applied the same batches differ");
   }
 
   std::mt19937_64 m_random;
   std::unique_ptr<state::State> m_state;
-  std::unique_ptr<state::State> m_twin;  // fed the same batches
+  std::unique_ptr<state::State> m_twin;  // applies the same batches
   wire::GrantWay m_way = wire::GrantWay::Witnessed;
   std::vector<Entry> m_entries;
   std::vector<wire::CommandT> m_network;
   std::vector<wire::CommandT> m_spool;  // on the replicas' disks
-  // Attempts without an opening that control has not heard of, by run.
+  // Attempts without a committed opening whose settlement has not reached
+  // control, by incarnation.
   std::map<HostRun, std::set<AttemptId>> m_unheard;
   std::vector<HostRun> m_dead;
   std::map<std::string, std::set<AttemptId>> m_billed;  // attempts by key
@@ -437,7 +441,7 @@
   uint64_t m_operator_sequence = 0;
   uint64_t m_plans = 0;
   Tokens m_purchased = 0;
-  Tokens m_consumed = 0;  // truly, by all runs
+  Tokens m_consumed = 0;  // actual consumption of all incarnations
   std::string m_failure;
 };
 
@@ -471,7 +475,7 @@
       World world(seed, &state::RecoverDead<ReissuingRules>);
       if (world.Play().starts_with("consumed")) ++caught;
     }
-    std::cout << "grants: reissue to be caught, seen in " << caught << " of "
+    std::cout << "grants: reissued grants detected in " << caught << " of "
               << kSchedules << " schedules\n";
     CPPUNIT_ASSERT(caught > 0);
   }
--- a/src/dotterelshift/budget/ledger_test.cc
+++ b/src/dotterelshift/budget/ledger_test.cc
@@ -111,7 +111,7 @@
     const auto again = m_ledger->TakeWishes(m_now);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, again.size());
     CPPUNIT_ASSERT_EQUAL(wishes[0].wanted, again[0].wanted);
-    // After the leader came back the ask goes out at once.
+    // After a reconnection the request is sent again at once.
     m_ledger->SetConnected(false, m_now);
     m_ledger->SetConnected(true, m_now);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_ledger->TakeWishes(m_now).size());
@@ -121,7 +121,7 @@
     Reserve(10);
     m_ledger->TakeWishes(m_now);
     Grant(AnswerOf(0, 0, 500));
-    CPPUNIT_ASSERT(Reserve(10) == ReserveResult::kWait);  // others hold some
+    CPPUNIT_ASSERT(Reserve(10) == ReserveResult::kWait);  // held elsewhere
     Grant(AnswerOf(0));
     CPPUNIT_ASSERT(Reserve(10) == ReserveResult::kExhausted);
     CPPUNIT_ASSERT(m_ledger->TakeWishes(m_now).empty());
@@ -137,7 +137,7 @@
     auto wishes = m_ledger->TakeWishes(m_now);
     CPPUNIT_ASSERT(wishes.at(0).kind == GrantWish::Kind::kReturn);
     CPPUNIT_ASSERT_EQUAL(Tokens{50'000}, wishes[0].wanted);
-    // The standing part never exceeds what is left.
+    // The pre-authorized amount never exceeds the remaining idle tokens.
     CPPUNIT_ASSERT_EQUAL(Tokens{30'000}, wishes[0].standing);
     m_now += LedgerOptions().idle_return;
     CPPUNIT_ASSERT(m_ledger->NextDue() && *m_ledger->NextDue() <= m_now);
--- a/src/dotterelshift/budget/recall_core_test.cc
+++ b/src/dotterelshift/budget/recall_core_test.cc
@@ -43,7 +43,7 @@
   void LargestSurplusIsAskedFirst() {
     const auto messages = Short(AskOf(900, 0), {HoldingOf("x", 400, 0, 0),
                                                 HoldingOf("y", 1000, 100, 0)});
-    // Shares are equal: 1300 idle of three hosts, 433 and a third each.
+    // Shares are equal: 1300 idle tokens among three hosts, 433 1/3 each.
     CPPUNIT_ASSERT_EQUAL(size_t{1}, messages.size());
     CPPUNIT_ASSERT_EQUAL(std::string("y"), messages[0].host);
     CPPUNIT_ASSERT_EQUAL(Tokens{900 - 434}, messages[0].recall.tokens);
@@ -95,8 +95,8 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, Short(AskOf(90, 0), holdings).size());
   }
 
-  // A fleet of 86 entries, all short of one budget: each asks to be topped up
-  // within the same moment, then one has a request that waits.
+  // 86 entries are short of one budget and request a top-up at the same time;
+  // then a request of one entry waits for tokens.
   void TopUpsOfManyEntriesAreLookedAtOnce() {
     constexpr int kEntries = 86;
     std::vector<state::Holding> holdings;
--- a/src/dotterelshift/serving/attempt_test.cc
+++ b/src/dotterelshift/serving/attempt_test.cc
@@ -5,19 +5,20 @@
 namespace dotterelshift::serving {
 namespace {
 
-// One attempt's failure and whether the request may be tried again elsewhere.
+// The failure of an attempt, and whether the request may then be retried on
+// another endpoint.
 struct RetryCase {
   const char* name;
   bool idempotent;
-  bool piece_before;  // one has gone to the caller
+  bool piece_before;  // a chunk was forwarded before the failure
   AttemptEnd end;
   bool retried;
-  ErrorKind kind;  // when it is not
+  ErrorKind kind;  // reported when it is not retried
 };
 
 constexpr RetryCase kRetryCases[] = {
-    {"died before a piece", true, false, AttemptEnd::kDied, true, {}},
-    {"died after a piece", true, true, AttemptEnd::kDied, false,
+    {"died before a chunk", true, false, AttemptEnd::kDied, true, {}},
+    {"died after a chunk", true, true, AttemptEnd::kDied, false,
      ErrorKind::kStreamCut},
     {"never sent", true, false, AttemptEnd::kNotSent, true, {}},
     {"refused before running",
@@ -219,7 +220,7 @@
     entry.Announce("b");
     const RequestId request = entry.Send(TestEntry::Chat());
     entry.End(AttemptEnd::kDied);
-    // What is left does not cover another attempt.
+    // The remaining tokens do not cover another attempt.
     entry.Pass(3s);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, entry.starts.size());
     CPPUNIT_ASSERT(RowOf(entry.EndOf(request)).ran != Ran::kNo);
--- a/src/dotterelshift/serving/budget_test.cc
+++ b/src/dotterelshift/serving/budget_test.cc
@@ -6,11 +6,11 @@
 namespace dotterelshift::serving {
 namespace {
 
-// How an attempt goes and what it then costs: prompt bound 100, output limit
-// 50.
+// The course of an attempt and its expected cost, with a prompt bound of 100
+// and an output limit of 50 tokens.
 struct SpendCase {
   const char* name;
-  Tokens counted;       // own count of output tokens
+  Tokens counted;       // output tokens counted by the entry
   Tokens usage_prompt;  // of the engine's report; -1: none
   Tokens usage_output;
   AttemptEnd end;
@@ -25,7 +25,7 @@
     {"no usage", 20, -1, 0, AttemptEnd::kWhole, 120, 120},
     {"usage above the reservation", 20, 500, 20, AttemptEnd::kWhole, 150, 150},
     {"dies after some tokens", 20, -1, 0, AttemptEnd::kDied, 150, 0},
-    {"dies before anything came", 0, -1, 0, AttemptEnd::kDied, 150, 0},
+    {"dies before any output", 0, -1, 0, AttemptEnd::kDied, 150, 0},
     {"times out", 20, -1, 0, AttemptEnd::kTimedOut, 150, 0},
     {"never sent", 0, -1, 0, AttemptEnd::kNotSent, 0, 0},
     {"refused before running", 0, -1, 0, AttemptEnd::kRefusedBeforeRun, 0, 0},
@@ -318,7 +318,8 @@
   }
 
  private:
-  // Runs requests until control lets the entry hold a part without openings.
+  // Runs requests until control has pre-authorized enough tokens for an
+  // attempt.
   static void GiveStandingPart(TestEntry* entry) {
     entry->Announce("engine");
     for (uint64_t content = 100; content < 160; ++content) {
--- a/src/dotterelshift/serving/claims_test.cc
+++ b/src/dotterelshift/serving/claims_test.cc
@@ -9,8 +9,8 @@
 namespace dotterelshift::serving {
 namespace {
 
-// What became of the first call of a key, and what a resend of it on another
-// entry is told. kNone: it runs.
+// The outcome of the first request with a key, and the error that a resend of
+// it to another entry gets. kNone: the resend runs.
 struct ResendCase {
   std::string name;
   std::function<void(TestEntry*, RequestId)> first;
@@ -37,7 +37,7 @@
     {"deadline while running",
      [](TestEntry* entry, RequestId) { entry->Pass(60s); }, kSame,
      ErrorKind::kOutcomeUnknown},
-    {"refused before running everywhere",
+    {"refused before running by all endpoints",
      [](TestEntry* entry, RequestId) {
        for (int i = 0; i < 3; ++i) entry->End(AttemptEnd::kRefusedBeforeRun);
      },
@@ -119,7 +119,8 @@
     TestEntry entry(&control, "entry");
     entry.Announce("a");
     const RequestId refused = entry.Send(TestEntry::Loan("book"));
-    // Retried after not being sent, but nothing else is there.
+    // The request was not sent and may be retried, but there is no other
+    // endpoint.
     entry.End(AttemptEnd::kNotSent);
     CPPUNIT_ASSERT(entry.EndOf(refused) == ErrorKind::kNoEndpoint);
     TestEntry other(&control, "other");
--- a/src/dotterelshift/serving/serving_property_test.cc
+++ b/src/dotterelshift/serving/serving_property_test.cc
@@ -14,12 +14,12 @@
 constexpr int kSteps = 250;
 constexpr Tokens kPurchased = 12'000;
 
-// What an attempt's endpoint has done, as only the test knows.
+// The actual state of an attempt on its endpoint, known only to the test.
 struct Trial {
   RequestId request = 0;
-  std::string loan;  // key of work that may not be repeated, or empty
+  std::string loan;  // key of a request that is not idempotent, or empty
   bool open = true;
-  bool ran = true;  // until it is known that nothing was run
+  bool ran = true;  // unless the endpoint is known not to have run it
   bool has_pieces = false;
   Tokens consumed = 100;
 };
@@ -29,7 +29,7 @@
   bool gone = false;
 };
 
-// Two entries under random events, with the promises checked after each.
+// Two entries under random events; the invariants are checked after each event.
 class RandomRun {
  public:
   explicit RandomRun(uint64_t seed)
@@ -128,12 +128,12 @@
 
   void Send(size_t at, callers::CallerRequest request,
             const std::string& loan) {
-    // Noted first: it may start, or end, before Send() returns.
+    // Recorded first, because it may start or end before Send() returns.
     m_sent[at][m_sent[at].size() + 1] = {loan};
     m_entries[at]->Send(std::move(request));
   }
 
-  // A random attempt of those ever started; often one that is over.
+  // A random attempt among all that were started; it may have ended.
   AttemptId AnyAttempt(size_t at) {
     const std::vector<StartAttempt>& starts = m_entries[at]->starts;
     if (starts.empty()) return 0;
@@ -150,13 +150,13 @@
     const bool was_open = trial.open;
     const PieceVerdict verdict = m_entries[at]->Piece(tokens, attempt);
     if (was_open) {
-      // The engine keeps to the limit that it was sent.
+      // The engine respects the output limit of the request.
       if (trial.loan.empty())
         trial.consumed = std::min<Tokens>(150, trial.consumed + tokens);
       trial.has_pieces = true;
     }
     const bool late = !was_open && verdict != PieceVerdict::kDrop;
-    CPPUNIT_ASSERT_MESSAGE(Where("late piece forwarded"), !late);
+    CPPUNIT_ASSERT_MESSAGE(Where("late chunk forwarded"), !late);
   }
 
   void EndAttempt(size_t at) {
@@ -169,7 +169,7 @@
     if (attempt == 0) return;
     Trial& trial = m_trials[at][attempt];
     AttemptEnd end = kEnds[Below(7)];
-    // Once pieces came it has run.
+    // An attempt that returned chunks has run.
     if (trial.has_pieces &&
         (end == AttemptEnd::kNotSent || end == AttemptEnd::kRefusedBeforeRun ||
          end == AttemptEnd::kCallerError))
@@ -185,7 +185,7 @@
     m_entries[at]->End(end, attempt);
   }
 
-  // The engine writes all that it may, to nobody.
+  // The engine generates output up to the limit, although nobody receives it.
   static void WriteOn(Trial* trial) {
     if (trial->loan.empty()) trial->consumed = 150;
   }
@@ -197,7 +197,7 @@
     m_entries[at]->Gone(request);
   }
 
-  // Another host proposes what this entry spooled.
+  // Another host proposes the settlements that this entry spooled.
   void MergeSpool(size_t at) {
     state::TestRun spooler(m_control.state.get(), "spooler", ++m_spools);
     wire::RegisterHostT registration;
@@ -207,7 +207,7 @@
     m_entries[at]->spooled.clear();
   }
 
-  // Takes note of new attempts and cancels.
+  // Records new attempts and cancellations.
   void Look(size_t at) {
     TestEntry& entry = *m_entries[at];
     for (; m_seen[at] < entry.starts.size(); ++m_seen[at]) {
@@ -246,7 +246,8 @@
                            m_control.Account().Free() >= 0);
   }
 
-  // Heals everything, lets all deadlines pass, drains, and checks the ends.
+  // Ends all faults, waits until all deadlines have passed, drains the entries
+  // and checks the final state.
   void Settle() {
     for (const auto& entry : m_entries) {
       entry->held = false;
@@ -277,7 +278,7 @@
     CPPUNIT_ASSERT_MESSAGE(Where("not drained"), entry.core->Drained());
     for (const auto& [request, sent] : m_sent[at]) {
       const int ends = entry.end_counts[request];
-      CPPUNIT_ASSERT_MESSAGE(Where("ends of a request"),
+      CPPUNIT_ASSERT_MESSAGE(Where("number of ends of a request"),
                              sent.gone ? ends <= 1 : ends == 1);
       if (ends == 1) CheckRan(at, request);
     }
@@ -288,8 +289,9 @@
     if (kind == ErrorKind::kNone || RowOf(kind).ran != Ran::kNo) return;
     for (const auto& [attempt, trial] : m_trials[at]) {
       const bool lie = trial.request == request && trial.ran;
-      CPPUNIT_ASSERT_MESSAGE(
-          Where(std::string(RowOf(kind).name) + " of what ran"), !lie);
+      CPPUNIT_ASSERT_MESSAGE(Where(std::string(RowOf(kind).name) +
+                                   " reported for a request that ran"),
+                             !lie);
     }
   }
 
--- a/src/dotterelshift/serving/serving_testing.h
+++ b/src/dotterelshift/serving/serving_testing.h
@@ -14,14 +14,14 @@
 #include "dotterelshift/serving/request_core.h"  // for RequestCore
 #include "dotterelshift/state/state_testing.h"   // for TestRun
 
-// A request core with the real ledger, queue, directory, router and state
-// around it; control, endpoints and callers are played by the test.
+// A test environment for the request core, with the real ledger, queue,
+// directory, router and state. The test plays control, endpoints and callers.
 namespace dotterelshift::serving {
 
 inline constexpr char kSecret[] = "secret";
 inline constexpr WallMs kStamp = 1'700'000'000'000;
 
-// Control as one state machine; what reaches it is committed at once.
+// Control as a single state machine that commits every command at once.
 class TestControl {
  public:
   explicit TestControl(Tokens purchased,
@@ -96,7 +96,7 @@
   int retry_after_seconds = 0;
 };
 
-// One entry.
+// One entry and its adapters.
 class TestEntry {
  public:
   TestEntry(TestControl* control, const HostId& host,
@@ -129,7 +129,7 @@
     Pump();
   }
 
-  // An endpoint announces itself, or its draining.
+  // An endpoint announces that it is available, or draining.
   void Announce(const EndpointId& id, bool draining = false) {
     wire::EndpointRecordT record;
     record.id = id;
@@ -157,7 +157,7 @@
     return request;
   }
 
-  // A call of a plain service that may not be repeated.
+  // A request to a service that is not idempotent.
   static callers::CallerRequest Loan(const std::string& key,
                                      uint64_t content = 7) {
     callers::CallerRequest request = Chat(content);
@@ -176,7 +176,8 @@
     return m_last_request;
   }
 
-  // The endpoint's side. Without an attempt: the last one started.
+  // Events of an endpoint. The default attempt is the last one that was
+  // started.
   PieceVerdict Piece(Tokens tokens, AttemptId attempt = 0) {
     serving::Piece piece;
     piece.tokens = tokens;
@@ -198,7 +199,7 @@
     Pump();
   }
 
-  // Moves the clock on, timer by timer.
+  // Advances the clock in steps of 50 ms and runs the timers.
   void Pass(Duration duration) {
     for (const Instant end = now + duration; now < end;) {
       now = std::min(end, now + 50ms);
@@ -209,7 +210,7 @@
     }
   }
 
-  // Carries actions out until none is left.
+  // Executes actions until none is left.
   void Pump() {
     for (;;) {
       std::vector<Action> actions = core->TakeActions();
@@ -220,7 +221,7 @@
     }
   }
 
-  // Commits the oldest unanswered command and hands its answer over.
+  // Commits the oldest unanswered command and delivers its answer.
   bool AnswerOldest() {
     if (proposals.empty()) return false;
     const wire::CommandT command = std::move(proposals.front());
@@ -229,7 +230,7 @@
     return true;
   }
 
-  // What was proposed and not yet committed, of one type.
+  // The number of proposed commands of one type that are not committed yet.
   template <typename Body>
   size_t CountProposed() const {
     size_t count = 0;
@@ -242,14 +243,15 @@
   bool HasEnded(RequestId request) const { return ends.contains(request); }
   ErrorKind EndOf(RequestId request) const { return ends.at(request).kind; }
   const StartAttempt& LastStart() const {
-    CPPUNIT_ASSERT_MESSAGE("nothing was started" + EndsText(), !starts.empty());
+    CPPUNIT_ASSERT_MESSAGE("no attempt was started" + EndsText(),
+                           !starts.empty());
     return starts.back();
   }
 
   Instant now = Instant{} + 1000s;
   bool connected = true;
-  bool held = false;  // control takes commands in and answers nothing
-  bool disks = true;  // control replicas that keep spools are in reach
+  bool held = false;  // control accepts commands but does not answer them
+  bool disks = true;  // control replicas that store spools are reachable
   directory::Directory directory;
   std::unique_ptr<budget::Ledger> ledger;
   std::unique_ptr<admission::FairQueue> queue;
--- a/src/dotterelshift/serving/suspects_test.cc
+++ b/src/dotterelshift/serving/suspects_test.cc
@@ -71,7 +71,8 @@
     for (uint64_t content = 1; content <= 3; ++content)
       entry.Send(TestEntry::Chat(content));
     Announce(&entry, 5);
-    // The endpoint dies under all three; each goes to an endpoint of its own.
+    // The endpoint dies while running all three; each is retried on a different
+    // endpoint.
     for (size_t i = 0; i < 3; ++i)
       entry.End(AttemptEnd::kDied, entry.starts[i].attempt);
     CPPUNIT_ASSERT_EQUAL(size_t{6}, entry.starts.size());
@@ -108,8 +109,8 @@
     CPPUNIT_ASSERT(entry.EndOf(1) == ErrorKind::kEndpointFailed);
   }
 
-  // One entry has the guilty content, the other an innocent one that it took
-  // along with the first endpoint.
+  // One entry runs the content that crashes endpoints, the other an innocent
+  // one that becomes suspect because both ran on the first endpoint.
   void SuspectsOfTwoEntriesRunApart() {
     constexpr uint64_t kInnocent = 1;
     TestControl control(100'000);
@@ -147,7 +148,8 @@
       entry->Announce("engine-" + std::to_string(i));
   }
 
-  // Sends the guilty content; each endpoint that runs it dies. The endpoints.
+  // Sends the content that crashes endpoints until the entry abandons it.
+  // Returns the endpoints that died.
   static std::set<EndpointId> KillUntilGivenUp(TestEntry* entry) {
     const RequestId request = entry->Send(TestEntry::Chat(kGuilty));
     std::set<EndpointId> killed;
@@ -158,7 +160,7 @@
     return killed;
   }
 
-  // What the leader tells all entries.
+  // Delivers the quarantine list that the leader pushes to all entries.
   static void Push(const TestControl& control, TestEntry* entry) {
     wire::QuarantinePushT push;
     for (const wire::SuspectAnswerT& suspect :
