--- a/include/dotterelshift/budget/ledger.h
+++ b/include/dotterelshift/budget/ledger.h
@@ -21,20 +21,25 @@
 struct HoldingPolicy {
   wire::TeamPolicy policy = wire::TeamPolicy::OverspendFirst;
   wire::GrantWay way = wire::GrantWay::Witnessed;
-  Duration partition = 60s;  // how long a cut-off entry should keep serving
-  Tokens least = 0;          // minimum holding while the budget is in use,
-                             // independent of the measured demand
+  // How long a cut-off entry should keep serving.
+  Duration partition = 60s;
+  // Minimum holding while the budget is in use, whatever the measured demand.
+  Tokens least = 0;
 };
 
 struct LedgerOptions {
+  // Minimum target holding of a budget in use.
   Tokens least_grant = 4096;
-  Duration idle_return = 10s;       // tokens unused for this long are returned
-  Duration ask_again = 250ms;       // an unanswered request is sent again after
-                                    // this time, with the same id
-  Duration refusal_memory = 500ms;  // after the answer "nothing free", the
-                                    // leader is not asked again for this long
-  Duration cut_off_patience = 2s;   // teams with RefusalsFirst: requests wait
-                                    // through a disconnection of this length
+  // Tokens unused for this long are returned.
+  Duration idle_return = 10s;
+  // An unanswered request is sent again after this time, with the same id.
+  Duration ask_again = 250ms;
+  // After the answer "nothing free", the leader is not asked again for this
+  // long.
+  Duration refusal_memory = 500ms;
+  // Requests of teams with RefusalsFirst wait through a disconnection of this
+  // length.
+  Duration cut_off_patience = 2s;
   // More tokens are requested when less than this fraction of the target
   // holding is left.
   double ask_below = 0.5;
@@ -44,16 +49,18 @@
 };
 
 enum class ReserveResult {
-  kReserved,          // commit an opening before dispatching the attempt; in
-                      // any case end it by Settle() and a wire::Settle with
-                      // the same attempt
-  kReservedStanding,  // from the pre-authorized amount: dispatch at once,
-                      // without an opening; end it by SettleStanding() and a
-                      // wire::Settle with witnessed = false
-  kWait,       // more tokens were requested; try again after OnGrant() or
-               // Settle()
-  kExhausted,  // control reported that nothing is free and that no tokens held
-               // elsewhere can be returned
+  // Reserved. Commit an opening before dispatching the attempt; in any case end
+  // it by Settle() and a wire::Settle with the same attempt.
+  kReserved,
+  // Reserved from the pre-authorized amount. Dispatch at once, without an
+  // opening; end it by SettleStanding() and a wire::Settle with witnessed =
+  // false.
+  kReservedStanding,
+  // More tokens were requested. Try again after OnGrant() or Settle().
+  kWait,
+  // Control reported that nothing is free and that no tokens held elsewhere can
+  // be returned.
+  kExhausted,
 };
 
 // A change to the holding of one budget that the entry has to send to control:
--- a/include/dotterelshift/budget/recall_core.h
+++ b/include/dotterelshift/budget/recall_core.h
@@ -12,12 +12,13 @@
 namespace dotterelshift::budget {
 
 struct RecallOptions {
-  Duration beat_memory = 3s;   // lifetime of an entry's report of its holdings
-  Duration repeat = 250ms;     // minimum interval between two recalls from the
-                               // same holder, and between two evaluations of
-                               // top-ups for the same budget
-  Duration sweep_every = 30s;  // interval between removals of expired reports
-                               // on budgets without a shortage
+  // Lifetime of an entry's report of its holdings.
+  Duration beat_memory = 3s;
+  // Minimum interval between two recalls from the same holder, and between two
+  // evaluations of top-ups for the same budget.
+  Duration repeat = 250ms;
+  // Interval between removals of expired reports on budgets without a shortage.
+  Duration sweep_every = 30s;
 };
 
 // A recall and the entry that receives it.
@@ -34,7 +35,7 @@
 //
 // When many entries are short of many budgets at the same time, each shortage
 // examines only the holders of its own budget, and top-ups are evaluated at
-// most once per `repeat`: examining all reports took 58% of a leader's
+// most once per repeat interval: examining all reports took 58% of a leader's
 // processor time with 86 entries and 24 budgets (perf, 12 s).
 class RecallCore {
  public:
@@ -45,8 +46,8 @@
   void OnBeat(const HostId& entry, const wire::EntryBeatT& beat, Instant now);
 
   // Whether to evaluate a shortage now: always when a request waits for tokens.
-  // A top-up within `repeat` after another one is evaluated only when its
-  // requester has a larger demand.
+  // A top-up within the repeat interval after another one is evaluated only
+  // when its requester has a larger demand.
   bool IsDue(const wire::RequestGrantT& ask, Instant now) const;
 
   // To be called when a grant was empty or below its minimum although other
--- a/include/dotterelshift/serving/core.h
+++ b/include/dotterelshift/serving/core.h
@@ -208,7 +208,8 @@
   Instant m_next_reserve{};
   // Control's last grant answer per budget, for its `free` and `elsewhere`.
   std::unordered_map<budget::BudgetHandle, wire::GrantAnswerT> m_last_grant;
-  std::set<budget::BudgetHandle> m_asking;  // a grant request is pending
+  // Budgets with a pending grant request.
+  std::set<budget::BudgetHandle> m_asking;
 
   CommandBook m_commands;
   RetryBudget m_retries;
--- a/include/dotterelshift/serving/request_core.h
+++ b/include/dotterelshift/serving/request_core.h
@@ -95,14 +95,16 @@
   HostRun self;
   std::string default_class = "default";
   int max_attempts = 3;
-  double retry_ratio = 0.1;  // retries allowed per answered request
+  // Retries allowed per answered request, with bursts of up to retry_burst.
+  double retry_ratio = 0.1;
   int retry_burst = 10;
-  Duration witness_patience = 1s;  // how long a claim, opening or report may
-                                   // wait for its commit
-  Duration settle_patience = 2s;   // how long the last chunk waits for its
-                                   // bill before the bill is spooled
-  bool serve_when_cut_off = true;  // setting: while cut off, serve with
-                                   // pre-authorized tokens or refuse
+  // How long a claim, an opening or a report of a death may wait for its
+  // commit.
+  Duration witness_patience = 1s;
+  // How long the last chunk waits for its bill; then the bill is spooled.
+  Duration settle_patience = 2s;
+  // Setting: serve with pre-authorized tokens while cut off, or refuse.
+  bool serve_when_cut_off = true;
   // How long a request waits for tokens that may still become available, by its
   // team's policy and at most until its deadline.
   Duration budget_wait_overspend_first = 2s;
