--- a/src/dotterelshift/serving/serving_testing.h
+++ b/src/dotterelshift/serving/serving_testing.h
@@ -250,8 +250,10 @@
 
   Instant now = Instant{} + 1000s;
   bool connected = true;
-  bool held = false;  // control accepts commands but does not answer them
-  bool disks = true;  // control replicas that store spools are reachable
+  // Control accepts commands but does not answer them.
+  bool held = false;
+  // Control replicas that store spools are reachable.
+  bool disks = true;
   directory::Directory directory;
   std::unique_ptr<budget::Ledger> ledger;
   std::unique_ptr<admission::FairQueue> queue;
