--- a/include/dotterelshift/orders/order_core.h
+++ b/include/dotterelshift/orders/order_core.h
@@ -14,32 +14,38 @@
 namespace dotterelshift::orders {
 
 struct OrderOptions {
-  int loads_at_once = 2;  // what the weight store carries
+  int loads_at_once = 2;  // limited by the weight store's bandwidth
   Duration longest_delivery =
-      10s;  // after which an order on its way cannot arrive any more
-  Duration resend = 5s;  // to an endpoint that checks fencing numbers
-  Duration lease = 3s;  // longest lease that a predecessor may still believe in
-  int max_sends = 20;   // then the order counts as lost
+      10s;  // after this time a sent order can no longer arrive
+  Duration resend =
+      5s;  // resend interval for endpoints that check fencing numbers
+  Duration lease = 3s;  // longest lease that a previous leader may still hold
+  int max_sends = 20;   // then the order is recorded as Lost
 };
 
 struct OrderAction {
   enum class Kind { kSend, kRecord } kind = Kind::kSend;
   wire::OrderT order;
-  std::string address;                                 // kSend: the endpoint's
-  wire::OrderState state = wire::OrderState::Planned;  // kRecord
+  std::string address;  // kSend: address of the endpoint
+  wire::OrderState state =
+      wire::OrderState::Planned;  // kRecord: state to record
   std::string detail;
 };
 
-// Decides on the leader which committed orders go out and when: staged under
-// the weight store's rate; to an endpoint that does not check fencing numbers
-// one at a time, only inside the lease, and after a new leader has waited out
-// its predecessor's lease and the longest delivery.
+// Decides on the leader which committed orders to send and when. Limits the
+// number of concurrent model loads, because the weight store has a limited
+// bandwidth, and sends the orders of one endpoint one at a time.
+//
+// An endpoint that does not check fencing numbers cannot reject an order of a
+// deposed leader. Orders are therefore sent to it only while the lease holds,
+// and a new leader first waits until its predecessor's lease has expired and
+// everything that the predecessor sent has been delivered or lost.
 class OrderCore {
  public:
   virtual ~OrderCore() = default;
   virtual void OnLeadership(bool leads, Instant now) = 0;
-  // What the endpoint said: Done or Refused end the order; Lost means that no
-  // answer came, and it may be sent again.
+  // The result of sending an order. Done and Refused end the order. Lost means
+  // that no answer came, so the order may be sent again.
   virtual void OnResult(const std::string& order, wire::OrderState state,
                         const std::string& detail, Instant now) = 0;
   virtual std::vector<OrderAction> Decide(const state::State& state,
--- a/include/dotterelshift/plan/intent.h
+++ b/include/dotterelshift/plan/intent.h
@@ -11,11 +11,11 @@
 
 namespace dotterelshift::plan {
 
-// What an operator wants to be so. Only what an intent names is touched;
-// removal is said under `remove`.
+// The desired configuration that an operator submits. Only the items that an
+// intent names are changed; items to remove are listed under `remove`.
 struct Intent {
   std::vector<wire::TeamT> teams;
-  std::vector<wire::ApiKeyT> keys;  // hashed while they are read
+  std::vector<wire::ApiKeyT> keys;  // hashed while parsing
   std::vector<wire::BudgetT> budgets;
   std::vector<wire::TopUpT> top_ups;
   std::vector<wire::EndpointSetT> endpoint_sets;
@@ -27,9 +27,10 @@
 
 using KeyHasher = std::function<state::KeyHash(std::string_view bearer_key)>;
 
-// Reads an intent from YAML. Throws Error(kBadIntent) whose text is "FILE:LINE:
-// what is wrong (expected form)" for unknown fields, wrong units, negative
-// amounts, overflow and duplicate names; `file` is only for that text.
+// Parses an intent from YAML. Throws Error(kBadIntent) for unknown fields,
+// wrong units, negative amounts, overflow and duplicate names. The error text
+// is "FILE:LINE: what is wrong (expected form)"; `file` is only used for that
+// text.
 Intent ParseIntent(std::string_view yaml, const std::string& file,
                    const KeyHasher& hash_key);
 
--- a/include/dotterelshift/plan/planner.h
+++ b/include/dotterelshift/plan/planner.h
@@ -9,11 +9,12 @@
 
 namespace dotterelshift::plan {
 
-// Works out what an intent changes: only differences become changes; the
-// effects say in words who gains or loses reach, which budgets grow, which
-// orders go out in which sequence; the warnings what an operator may regret.
-// Nothing is changed by it. Throws Error(kBadIntent) for a reference to
-// something that neither exists nor is made by the intent.
+// Computes the changes that an intent makes to the current state, without
+// applying them. The plan contains only differences. Its effects describe which
+// teams gain or lose access to models and services, which budgets grow, and
+// which orders are sent in which sequence; its warnings point out effects that
+// the operator may not intend. Throws Error(kBadIntent) for a reference to
+// something that neither exists nor is created by the intent.
 wire::PlanT MakePlan(const Intent& intent, const state::State& state,
                      const std::string& plan_id, const std::string& author);
 
--- a/include/dotterelshift/replication/node.h
+++ b/include/dotterelshift/replication/node.h
@@ -17,15 +17,16 @@
 
 struct NodeOptions {
   Duration heartbeat = 50ms;
-  Duration election_least = 300ms;  // drawn between this and twice this
-  Duration lease = 250ms;  // a leader leads for this long after a quorum's last
-                           // confirmation, less drift
+  Duration election_least =
+      300ms;               // the timeout is drawn from [this, 2 * this)
+  Duration lease = 250ms;  // validity of a leader's lease after a quorum's last
+                           // confirmation, with a margin for clock drift
   size_t max_append_bytes = 256 << 10;
   size_t snapshot_piece_bytes = 256 << 10;
   uint64_t seed = 1;
 };
 
-// What survives a restart besides the log's entries.
+// The state that must survive a restart, besides the log entries.
 struct HardState {
   uint64_t term = 0;
   ReplicaId voted_for = 0;
@@ -37,27 +38,28 @@
   wire::MembershipT membership;
 };
 
-// What a replica finds in its data folder.
+// The persistent state that a replica loads from its data folder.
 struct RestoredLog {
   ReplicaId self = 0;
   HardState hard_state;
-  SnapshotMeta snapshot;                 // last_index 0: none
+  SnapshotMeta snapshot;                 // last_index 0: no snapshot
   std::vector<wire::LogEntryT> entries;  // after the snapshot
 };
 
-// What must be done after an event, in this order: write (hard state,
-// truncation, entries) and sync, then tell OnSynced(); messages that promise
-// durability wait inside the node for that.
+// The work that an event has produced for the driver, to be done in this order:
+// write the hard state, the truncation and the entries, sync, then call
+// OnSynced(). Messages that promise durability are withheld inside the node
+// until then.
 struct Ready {
   std::optional<HardState> hard_state;
-  std::optional<uint64_t> truncate_from;  // drop the log from this index on
+  std::optional<uint64_t> truncate_from;  // drop this entry and all later ones
   std::vector<wire::LogEntryT> append;
   std::optional<std::pair<SnapshotMeta, std::string>>
-      install;  // replace log and state by this snapshot
+      install;  // replace the log and the state with this snapshot
   std::vector<std::pair<ReplicaId, wire::FrameT>> messages;
-  std::vector<wire::LogEntryT> committed;  // to be applied, in order
-  std::vector<uint64_t>
-      reads_confirmed;  // tokens of ConfirmLeadership that a quorum confirmed
+  std::vector<wire::LogEntryT> committed;  // to apply, in this order
+  std::vector<uint64_t> reads_confirmed;   // ConfirmLeadership() tokens that a
+                                           // quorum has confirmed
   bool leadership_changed = false;
   bool HasWrites() const {
     return hard_state.has_value() || truncate_from.has_value() ||
@@ -65,22 +67,23 @@
   }
 };
 
-// How many payload bytes of committed entries one Ready hands out to be
-// applied.
+// Maximum payload bytes of committed entries in one Ready. The last entry may
+// exceed it.
 inline constexpr size_t kMostCommittedBytes = 256 << 10;
 
 enum class NodeRole { kFollower, kPreCandidate, kCandidate, kLeader };
 
-// The role as logs and metrics name it.
+// The name of the role in logs and metrics.
 constexpr std::string_view NameOf(NodeRole role) {
   constexpr std::string_view kNames[] = {"follower", "pre_candidate",
                                          "candidate", "leader"};
   return kNames[static_cast<size_t>(role)];
 }
 
-// One replica of the log: terms, pre-vote, check-quorum, leadership confirmed
-// before reads, snapshots in pieces, members changed one at a time. A core: no
-// I/O, no clock, its random draws from the seed.
+// One replica of the Raft log, with pre-vote, check-quorum, leadership
+// confirmation before reads, snapshots sent in chunks, and membership changes
+// by one replica at a time. Does no I/O and reads no clock; random numbers come
+// from `NodeOptions::seed`.
 class Node {
  public:
   virtual ~Node() = default;
@@ -88,49 +91,52 @@
   virtual void OnMessage(const wire::FrameT& message, Instant now) = 0;
   virtual void OnTimer(Instant now) = 0;
   virtual Instant NextTimer() const = 0;
-  // Everything of the Ready taken last is on disk.
+  // To be called once everything in the last Ready is on disk.
   virtual void OnSynced(Instant now) = 0;
 
-  // The index the entry gets; empty when this replica does not lead.
+  // Returns the index of the new entry; empty when this replica does not lead.
   virtual std::optional<uint64_t> Propose(std::string payload, Instant now) = 0;
-  // Proposes a change of members by one replica; empty when not leading or
-  // another change is under way. A replica is added as a learner and made a
-  // voter by the node itself once it has caught up.
+  // Proposes to add or remove one replica. Empty when this replica does not
+  // lead or another change is in progress. A replica is added as a learner; the
+  // node promotes it to a voter once it has caught up.
   virtual std::optional<uint64_t> ProposeMember(const wire::ReplicaT& replica,
                                                 bool remove, Instant now) = 0;
-  // Asks a quorum whether this replica still leads; the token comes back in
-  // Ready::reads_confirmed.
+  // Asks a quorum whether this replica still leads. Returns a token that
+  // appears in Ready::reads_confirmed once the quorum has confirmed.
   virtual std::optional<uint64_t> ConfirmLeadership(Instant now) = 0;
 
-  // The driver has made a snapshot of the state as of `last_index`; the log
-  // before it may go.
+  // Reports that the driver has made a snapshot of the state as of
+  // `last_index`, so that the log up to it may be compacted.
   virtual void OnSnapshotMade(uint64_t last_index) = 0;
-  // The driver's bytes of the newest snapshot, for a follower that lags; asked
-  // by pieces.
+  // Sets the newest snapshot, which is sent in chunks to followers that need
+  // entries that are no longer in the log.
   virtual void SetSnapshotSource(const SnapshotMeta& meta,
                                  std::shared_ptr<const std::string> bytes) = 0;
 
-  // Hands out committed entries until they hold this many payload bytes or
-  // more; none for 0, while the driver still has some to apply.
+  // Returns the pending work. Committed entries are added until they reach
+  // `most_committed_bytes` of payload; 0 requests none, for a driver that still
+  // has entries to apply.
   virtual Ready TakeReady(size_t most_committed_bytes) = 0;
   Ready TakeReady() { return TakeReady(kMostCommittedBytes); }
 
   virtual NodeRole Role() const = 0;
   virtual uint64_t Term() const = 0;
-  virtual ReplicaId Leader() const = 0;  // 0: not known
+  virtual ReplicaId Leader() const = 0;  // 0: unknown
   virtual uint64_t Commit() const = 0;
-  virtual uint64_t LastIndex() const = 0;  // of the log, committed or not
-  // The first entry of the term that this replica leads: with it, all that was
-  // accepted in earlier terms is applied.
+  virtual uint64_t LastIndex() const = 0;  // last log entry, committed or not
+  // Index of the first entry of the term in which this replica leads. Once it
+  // is applied, so is every entry accepted in earlier terms.
   virtual uint64_t TermStart() const = 0;
   virtual const wire::MembershipT& Members() const = 0;
-  // Until when no other replica can be leader; in the past when not leading.
+  // The time until which no other replica can be leader; in the past when this
+  // replica does not lead.
   virtual Instant LeaseUntil() const = 0;
 };
 
-// `restored.snapshot.membership` (or the entries' newest one) says who the
-// members are; a new group is made by restoring with a membership and no
-// entries; a replica that joins is restored empty and only listens.
+// Creates a replica. Its members are those of the newest membership entry in
+// the log, or else of `restored.snapshot.membership`. To start a new group,
+// restore with a membership and no entries; a replica that joins a group is
+// restored empty and only listens.
 std::unique_ptr<Node> MakeNode(const NodeOptions& options, RestoredLog restored,
                                Instant now);
 
--- a/include/dotterelshift/replication/snapshot_policy.h
+++ b/include/dotterelshift/replication/snapshot_policy.h
@@ -9,29 +9,32 @@
 namespace dotterelshift::replication {
 
 struct SnapshotPolicyOptions {
-  // A snapshot is due after this many bytes of log, or as many times the last
-  // snapshot as `log_per_snapshot` says, whichever is more: the log stays in
-  // memory, while a snapshot costs a pause that grows with the state.
+  // A snapshot is due after `every_bytes` of log, or after `log_per_snapshot`
+  // times the size of the last snapshot, whichever is more. The log is kept in
+  // memory, while making a snapshot pauses the replica for a time that grows
+  // with the size of the state.
   uint64_t every_bytes = 4 << 20;
   uint64_t log_per_snapshot = 4;
-  // And after this much time spent on applying, or as many times the last
-  // snapshot's as `applying_per_snapshot` says, whichever is more: a start
-  // applies the same again before it can answer a read.
+  // A snapshot is also due once applying entries has taken `most_applying`, or
+  // `applying_per_snapshot` times as long as making the last snapshot,
+  // whichever is more. A restart must apply the same entries again before it
+  // can serve a read.
   Duration most_applying = 1s;
   int applying_per_snapshot = 8;
 };
 
-// When a replica makes a snapshot of its state, so that a start, also of all
-// replicas at once, takes a bounded time and a bounded memory however long the
-// group has run. Replicas of a group come to it at different times, so that a
-// majority goes on while one pauses; the leader waits for twice as much.
+// Decides when a replica makes a snapshot of its state. This bounds the time
+// and the memory that a start takes, also when all replicas start at once,
+// however long the group has been running. The thresholds differ between the
+// replicas of a group, so that a majority keeps running while one of them
+// pauses; the leader's threshold is twice the base value.
 class SnapshotPolicy {
  public:
   SnapshotPolicy(const SnapshotPolicyOptions& options, ReplicaId self)
       : m_options(options), m_self(self) {}
 
   void OnApplied(uint64_t bytes, Duration took);
-  // One was made or read.
+  // Reports that a snapshot was made or loaded.
   void OnSnapshot(uint64_t bytes, Duration took);
 
   bool IsDue(bool leads_others) const;
@@ -45,7 +48,7 @@
   // Since the last snapshot.
   uint64_t m_applied_bytes = 0;
   Duration m_applying{};
-  // Of the last snapshot.
+  // For the last snapshot.
   uint64_t m_snapshot_bytes = 0;
   Duration m_snapshot_took{};
 };
--- a/src/dotterelshift/orders/order_core.cc
+++ b/src/dotterelshift/orders/order_core.cc
@@ -25,7 +25,7 @@
   return nullptr;
 }
 
-// Whether the endpoint announces what the order wanted.
+// Whether the endpoint's announcement shows the effect of the order.
 bool IsObserved(const wire::OrderT& order,
                 const wire::EndpointRecordT& record) {
   const wire::ModelStateT* model = ModelOn(record, order.model);
@@ -44,12 +44,12 @@
   return record.role == order.argument;
 }
 
-// What this leader knows of an order beyond the log.
+// Volatile state of an open order, known only to this leader.
 struct OpenOrder {
   int sends = 0;
   Instant sent_at;
-  Instant not_before;        // of the next send
-  uint64_t incarnation = 0;  // of the endpoint when it was sent
+  Instant not_before;        // earliest time of the next send
+  uint64_t incarnation = 0;  // of the endpoint, at the time of sending
   std::optional<wire::OrderState> result;
   std::string detail;
 };
@@ -61,8 +61,8 @@
   void OnLeadership(bool leads, Instant now) override {
     m_leads = leads;
     m_open.clear();
-    // What a predecessor sent while it believed in its lease has arrived by
-    // then, or never will.
+    // By this time every order that the previous leader sent while it held its
+    // lease has arrived or is lost.
     m_quiet_until = now + m_options.lease + m_options.longest_delivery;
   }
 
@@ -91,7 +91,7 @@
     std::set<EndpointId> busy;
     for (const wire::OrderT& order : orders) {
       if (!IsOpen(order)) continue;
-      // An endpoint's orders go one after the other, as the plan gave them.
+      // The orders of one endpoint are sent one after another, in plan order.
       if (!busy.insert(order.endpoint).second) continue;
       const directory::Endpoint* endpoint = directory.Find(order.endpoint);
       if (RecordEnd(order, endpoint, now, &actions)) continue;
@@ -122,14 +122,15 @@
         m_open, [&](const auto& entry) { return !open.contains(entry.first); });
   }
 
-  // Records the end of an order once it is known; true when there is nothing
-  // more to send.
+  // Records the result of an order once it is known. Returns true when there is
+  // nothing more to send.
   bool RecordEnd(const wire::OrderT& order, const directory::Endpoint* endpoint,
                  Instant now, std::vector<OrderAction>* actions) {
     const auto found = m_open.find(order.id);
     if (found == m_open.end()) return false;
     OpenOrder& open = found->second;
-    // The answer was lost, but the endpoint has announced the effect since.
+    // The answer was lost, but a later announcement of the endpoint shows the
+    // effect.
     const bool observed = !open.result && endpoint != nullptr &&
                           endpoint->last_news > open.sent_at &&
                           IsObserved(order, endpoint->record);
@@ -164,7 +165,8 @@
       earliest = found->second.not_before;
     if (!endpoint.record.checks_fencing) {
       earliest = std::max(earliest, m_quiet_until);
-      // Not even a restart ends what is still on its way to this address.
+      // Without fencing, an earlier send may still reach this address even
+      // after the endpoint has restarted.
       if (found != m_open.end())
         earliest = std::max(earliest, found->second.not_before);
       if (now >= lease_until) return false;
--- a/src/dotterelshift/orders/order_core_test.cc
+++ b/src/dotterelshift/orders/order_core_test.cc
@@ -38,7 +38,7 @@
     m_core->OnResult("p1/1", wire::OrderState::Done, "", m_now);
     Step();
     CPPUNIT_ASSERT(StateOf("p1/1") == wire::OrderState::Done);
-    // The place of the first load is free once its end is recorded.
+    // The slot of the first load is released once its result is recorded.
     const auto sent = Step();
     CPPUNIT_ASSERT_EQUAL(size_t{1}, sent.size());
     CPPUNIT_ASSERT_EQUAL(std::string("e3"), sent[0]);
@@ -68,9 +68,9 @@
         {"checks", true, 0s, 1s, 1},
         {"checks, lease over", true, 0s, -1s, 1},
         {"new leader", false, 0s, 1s, 0},
-        {"still quiet", false, quiet - 1ms, 1s, 0},
-        {"quiet over", false, quiet, 1s, 1},
-        {"quiet over, lease over", false, quiet, 0s, 0},
+        {"predecessor's orders may still arrive", false, quiet - 1ms, 1s, 0},
+        {"predecessor's orders expired", false, quiet, 1s, 1},
+        {"predecessor's orders expired, lease over", false, quiet, 0s, 0},
     };
     for (const Row& row : rows) {
       setUp();
@@ -167,7 +167,8 @@
                   std::move(changes), 1);
   }
 
-  // Decides and records; the endpoints that orders were sent to.
+  // Runs Decide(), records the results, and returns the endpoints to which
+  // orders were sent.
   std::vector<EndpointId> Step(Duration lease_left = 1s) {
     std::vector<EndpointId> sent;
     for (const OrderAction& action :
--- a/src/dotterelshift/plan/effects.cc
+++ b/src/dotterelshift/plan/effects.cc
@@ -24,7 +24,8 @@
   return text;
 }
 
-// The part of a configuration that decides who reaches what.
+// Copies the teams and endpoint sets, which determine the models and services
+// that each team can access.
 Configuration CopyOfReach(const Configuration& from) {
   std::vector<wire::ChangeT> changes;
   for (const auto& [id, set] : from.EndpointSets()) {
@@ -88,7 +89,7 @@
   return text + " on " + order.endpoint;
 }
 
-// Says what the changes of one plan do.
+// Describes the effects of a plan's changes.
 class Describer {
  public:
   Describer(const state::State& state, wire::PlanT* plan)
@@ -145,7 +146,7 @@
                       std::to_string(body.AsRemoveReplica()->replica) +
                       " leaves");
       default:
-        return;  // endpoint sets show in the reach of teams
+        return;  // endpoint sets are covered by DescribeReach()
     }
   }
 
--- a/src/dotterelshift/plan/effects.h
+++ b/src/dotterelshift/plan/effects.h
@@ -6,7 +6,7 @@
 
 namespace dotterelshift::plan {
 
-// Fills in the effects and warnings of a plan's changes, in words.
+// Adds descriptions of the plan's changes to its effects and warnings.
 void DescribeEffects(const state::State& state, wire::PlanT* plan);
 
 }  // namespace dotterelshift::plan
--- a/src/dotterelshift/plan/intent.cc
+++ b/src/dotterelshift/plan/intent.cc
@@ -21,8 +21,9 @@
     "teams",      "keys",   "budgets",        "top_ups",     "endpoint_sets",
     "placements", "remove", "retire_holders", "add_replicas"};
 
-// How long a cut-off entry should be able to go on for a team that does not say
-// so; it gave the fewest false refusals (docs/decisions/grants.md).
+// Default of a team's `partition`, the time for which an entry that is cut off
+// from control should be able to keep serving the team. This value gave the
+// fewest false refusals; see docs/decisions/grants.md.
 constexpr uint32_t kDefaultPartitionSeconds = 15;
 
 constexpr std::array<std::string_view, 7> kTeamFields = {
@@ -48,7 +49,7 @@
 constexpr size_t kLeastKeySize = 16;
 constexpr size_t kMostKeySize = 512;
 
-// Reads one intent; each method one of its lists.
+// Reads an intent; each Read method handles one of its lists.
 class IntentReader {
  public:
   IntentReader(const YamlSource& source, const KeyHasher& hash_key)
@@ -69,7 +70,8 @@
   }
 
  private:
-  // Calls `read` with each item of the list `field`, as a map of `fields`.
+  // Calls `read` for each item of the list `field`, as a map with the given
+  // fields.
   template <typename Read>
   void ForEach(const YamlMap& map, std::string_view field, Fields fields,
                Read read) {
@@ -92,7 +94,7 @@
     return m_source.Names(map.At(field), map.Label(field));
   }
 
-  // The name of a new thing, which must be the first of its list.
+  // Reads the name of a new item. Names must be unique within their list.
   std::string NewName(const YamlMap& map, std::string_view list,
                       std::string_view field) {
     std::string name = NameAt(map, field);
@@ -149,7 +151,7 @@
     });
   }
 
-  // The text of a bearer key; it never stands in a refusal.
+  // Reads a bearer key. Error messages never contain the key.
   std::string BearerKey(const YamlMap& item) const {
     const YAML::Node node = item.At("key");
     std::string key = m_source.Text(node, item.Label("key"));
@@ -233,7 +235,8 @@
     }
   }
 
-  // What a list of `remove` names; none of it may be set by the same intent.
+  // Reads a list of names to remove. Rejects names that the same intent also
+  // sets.
   std::vector<std::string> RemovedNames(const YamlMap& remove,
                                         std::string_view field) {
     std::vector<std::string> names = NamesOr(remove, field);
--- a/src/dotterelshift/plan/intent_test.cc
+++ b/src/dotterelshift/plan/intent_test.cc
@@ -8,7 +8,7 @@
 namespace dotterelshift::plan {
 namespace {
 
-// Stands for the fleet's keyed hash.
+// A substitute for the fleet's keyed hash.
 state::KeyHash HashForTest(std::string_view key) {
   state::KeyHash hash{};
   for (size_t i = 0; i < key.size(); ++i) hash.at(i % hash.size()) += key[i];
--- a/src/dotterelshift/plan/planner.cc
+++ b/src/dotterelshift/plan/planner.cc
@@ -31,7 +31,7 @@
   return body;
 }
 
-// Turns an intent into the changes that are still to be made.
+// Adds the changes that are needed to fulfil an intent to a plan.
 class Differ {
  public:
   Differ(const Intent& intent, const state::State& state, wire::PlanT* plan)
@@ -137,7 +137,7 @@
     }
   }
 
-  // Fails for the removal of what is not there.
+  // Adds a removal. Fails if the item to remove does not exist.
   void AddRemoval(const wire::ChangeT& removal) {
     const wire::ChangeBodyUnion& body = removal.body;
     const state::Configuration& c = m_configuration;
