--- a/src/dotterelshift/replication/bootstrap.h
+++ b/src/dotterelshift/replication/bootstrap.h
@@ -12,27 +12,28 @@
 
 namespace dotterelshift::replication {
 
-// Makes the first membership of a new group. One of the first members, the one
-// whose name sorts first, composes it, and only while every one of them says in
-// the same round that it is in no group and names the same first members. So a
-// member that was wiped later never founds a second group: the others are in
-// one. See docs/decisions/replicated-log.md.
+// Composes the first membership of a new group. Only the first member whose
+// host name sorts first does so, and only if in one round every first member
+// reports that it is in no group and lists the same first members. A member
+// that loses its data folder later can therefore never bootstrap a second
+// group, since the others report that they are in one. See
+// docs/decisions/replicated-log.md.
 class Bootstrap {
  public:
   Bootstrap(HostId self, ReplicaId replica,
             std::vector<std::string> first_members);
 
-  // Whether this replica is the one that composes the membership.
+  // Whether this replica composes the membership.
   bool Coordinates() const;
 
-  // Begins a round: what was heard before no longer counts. Gives the hosts to
-  // be asked.
+  // Starts a round and discards the answers of the previous one. Returns the
+  // hosts to ask.
   std::vector<HostId> StartRound();
 
-  // What another host says of itself.
+  // Handles the hello of another host.
   void OnHello(const HostId& from, const wire::ReplicaHelloT& hello);
 
-  // The membership, once all have agreed in this round.
+  // The membership; empty until all first members have agreed in this round.
   std::optional<wire::MembershipT> Compose() const;
 
  private:
@@ -42,7 +43,7 @@
   std::map<HostId, ReplicaId> m_new_replicas;
 };
 
-// The log that a new group begins with: its membership as the first entry.
+// The initial log of a new group. Its only entry is the membership.
 RestoredLog FirstLog(ReplicaId self, const wire::MembershipT& members);
 
 }  // namespace dotterelshift::replication
--- a/src/dotterelshift/replication/healing_test.cc
+++ b/src/dotterelshift/replication/healing_test.cc
@@ -7,14 +7,14 @@
 namespace dotterelshift::replication {
 namespace {
 
-// By hand many more: see explore_membership.
+// explore_membership runs many more schedules.
 constexpr uint64_t kSchedules = 1500;
 constexpr int kSteps = 1500;
-// Seeds beyond these that showed a fault: a replica whose addition went with
-// its leader was never taken in.
+// Seeds above kSchedules that once failed: a replica never became a member if
+// its addition was lost together with the leader that had proposed it.
 constexpr uint64_t kFormerFaults[] = {7460, 9018, 14064};
 
-// Founds with whoever has answered, as if the others did not matter.
+// Bootstraps a group without waiting for the other first members.
 class FoundsWithoutAll : public MemberDiscovery {
  public:
   explicit FoundsWithoutAll(const MemberDiscoveryOptions& options)
@@ -30,7 +30,7 @@
   using Discovery = FoundsWithoutAll;
 };
 
-// Takes no notice that another host is in a group already.
+// Bootstraps a group although another host reports that it is already in one.
 class FoundsBesideAGroup : public MemberDiscovery {
  public:
   using MemberDiscovery::MemberDiscovery;
@@ -45,7 +45,7 @@
   using Discovery = FoundsBesideAGroup;
 };
 
-// Takes any member out that has been silent for a while.
+// Removes any member that has been silent for longer than the timeout.
 class RemovesTheSilent : public MemberKeeper {
  public:
   using MemberKeeper::MemberKeeper;
--- a/src/dotterelshift/replication/healing_world.h
+++ b/src/dotterelshift/replication/healing_world.h
@@ -1,8 +1,8 @@
 #ifndef DOTTERELSHIFT_REPLICATION_HEALING_WORLD_H_
 #define DOTTERELSHIFT_REPLICATION_HEALING_WORLD_H_
 
-// Control hosts that found, heal and replace their group by themselves, under a
-// seeded schedule of faults; for tests only.
+// Simulates control hosts that bootstrap, repair and replace their group
+// without an operator, under a seeded schedule of faults. For tests only.
 
 #include <algorithm>  // for find
 #include <array>      // for array
@@ -26,8 +26,8 @@
 
 namespace dotterelshift::replication {
 
-// What the schedules reached, so that tests can see that they were no idle
-// ones.
+// Counts of what the schedules exercised, so that a test can check that they
+// exercised enough.
 struct HealingCounts {
   uint64_t founded = 0;
   uint64_t committed = 0;
@@ -46,21 +46,24 @@
   }
 };
 
-// The rules under test; a broken copy replaces one of them.
+// The implementations under test. A test replaces one of them with a broken
+// version to check that the simulation detects it.
 struct HealingRules {
   using Keeper = MemberKeeper;
   using Discovery = MemberDiscovery;
 };
 
-// Five hosts, of which the first three found the group. Hosts crash, restart,
-// come back with an empty folder, and are cut off from some of the others. A
-// member's folder is lost only while the group is whole: three voters or more,
-// none of them lost. Checks, all along: one group, one leader a term, one
-// history, no accepted entry lost, no member taken out that is neither lost nor
-// surplus; and that after the faults every host is in the group.
+// Five hosts, the first three of which bootstrap the group. Hosts crash,
+// restart, come back with an empty data folder, and are cut off from some of
+// the others. A member's folder is lost only while the group has at least three
+// voters and no member has lost its folder.
 //
-// Messages between two hosts keep their order, as on one connection, and are
-// lost with it.
+// Checked throughout: there is one group, one leader per term and one history;
+// no accepted entry is lost; no member is removed that is neither lost nor
+// surplus. Checked after the faults have ended: every host joins the group.
+//
+// Messages between two hosts are delivered in order, as on a connection, and
+// are lost when either host crashes or the two are cut off from each other.
 template <typename Rules>
 class HealingWorld {
  public:
@@ -86,12 +89,12 @@
  private:
   static constexpr size_t kHosts = 5;
   static constexpr size_t kFounders = 3;
-  static constexpr uint64_t kEarlyStart = 70;  // percent
+  static constexpr uint64_t kEarlyStart = 70;  // in percent
   static constexpr Duration kHousekeeping = 200ms;
 
   struct Host {
     HostId name;
-    RestoredLog disk;            // what is synced
+    RestoredLog disk;            // what has been synced
     std::unique_ptr<Node> node;  // null: not running
     std::optional<typename Rules::Discovery> discovery;
     std::optional<typename Rules::Keeper> keeper;
@@ -113,7 +116,7 @@
   Host& HostNamed(const HostId& name) {
     for (Host& host : m_hosts)
       if (host.name == name) return host;
-    throw Violation("a message to a host that is none: " + name);
+    throw Violation("message to an unknown host: " + name);
   }
 
   void Step() {
@@ -121,7 +124,7 @@
     if (draw < 550) return DeliverSome();
     if (draw < 780) return SyncOne(AnyHost());
     if (draw < 900) return Tick(Draw(40) * 1ms);
-    // Long enough that a member counts as lost.
+    // Long enough for a member to count as lost.
     if (draw < 906) return Tick(Draw(6000) * 1ms);
     if (draw < 950) return ProposeSomewhere();
     if (draw < 960) return Crash(AnyHost());
@@ -131,7 +134,7 @@
     WipeIfAllowed(AnyHost());
   }
 
-  // ---- one host
+  // ---- One host.
 
   void Start(Host& host) {
     NodeOptions options;
@@ -157,7 +160,7 @@
 
   void Crash(Host& host) {
     if (!host.node) return;
-    // What was not synced may have reached the disk all the same.
+    // Unsynced writes may have reached the disk nevertheless.
     if (host.unsynced && Chance(30)) Persist(host, *host.unsynced);
     host.node.reset();
     host.unsynced.reset();
@@ -194,12 +197,14 @@
     ++(change->remove ? m_counts.removals : m_counts.additions);
   }
 
-  // Only what was lost may go while the group has no voter to spare.
+  // A group without a surplus voter may only remove a member that has lost its
+  // folder.
   void CheckChange(const Host& host, const KeptMember& change) const {
     if (!change.remove || m_lost.contains(change.replica.id)) return;
     if (VoterCount(host.node->Members()) <= kFounders)
       throw Violation(
-          "a member that holds its log is taken out of a group of " +
+          "removal of a member that has its log, from a group with this many "
+          "voters: " +
           std::to_string(VoterCount(host.node->Members())));
   }
 
@@ -236,7 +241,7 @@
     Pump(host);
   }
 
-  // Takes what a node wants done; files are synced by a later step.
+  // Processes a node's pending work. Writes are synced in a later step.
   void Pump(Host& host) {
     while (host.node && !host.unsynced) {
       Ready ready = host.node->TakeReady();
@@ -263,8 +268,8 @@
   void NoteLeader(const Host& host) {
     if (host.node->Role() != NodeRole::kLeader) return;
     const uint64_t term = host.node->Term();
-    // A group whose founder was lost before anything was accepted, and the one
-    // founded after it, may use the same term.
+    // A group that was lost together with its first member before it had
+    // accepted anything may use the same term as the group that replaces it.
     const wire::LogEntryT& first = host.disk.entries.front();
     const std::string group(first.payload.begin(), first.payload.end());
     const auto [leader, fresh] =
@@ -277,14 +282,16 @@
     for (const wire::LogEntryT& entry : ready.committed) {
       const std::string content(entry.payload.begin(), entry.payload.end());
       const std::string of_term = std::to_string(entry.term) + ":" + content;
-      if (entry.index != ++host.applied) throw Violation("an entry is skipped");
+      if (entry.index != ++host.applied)
+        throw Violation("an entry was skipped");
       if (entry.index > m_history.size()) {
         m_history.push_back(of_term);
         if (entry.kind == wire::LogEntryKind::Membership)
           m_members = DecodeMembership(entry.payload);
       }
       if (m_history[entry.index - 1] != of_term)
-        throw Violation("two histories at " + std::to_string(entry.index));
+        throw Violation("replicas applied different entries at index " +
+                        std::to_string(entry.index));
     }
   }
 
@@ -306,7 +313,7 @@
       disk.entries.push_back(entry);
   }
 
-  // ---- the world
+  // ---- The group and its network.
 
   void Tick(Duration step) {
     m_now += step;
@@ -319,8 +326,8 @@
     }
   }
 
-  // Takes the first message of any two hosts, so that each connection keeps its
-  // order.
+  // Delivers the oldest message of a randomly chosen pair of hosts, so that the
+  // order on each connection is kept.
   void DeliverOne() {
     if (m_sent.empty()) return;
     size_t chosen = Draw(m_sent.size());
@@ -357,8 +364,9 @@
     }
   }
 
-  // Whether the group bears the loss of one more folder: every membership that
-  // is on a disk or under way is whole.
+  // Whether this replica's folder may be lost: it is not a member, or every
+  // membership that is stored or proposed tolerates the loss of one more
+  // folder.
   bool MayLose(ReplicaId replica) const {
     bool member = FindMember(m_members, replica) != nullptr;
     bool whole = BearsLoss(m_members);
@@ -376,13 +384,13 @@
   }
 
   bool BearsLoss(const wire::MembershipT& members) const {
-    if (members.replicas.empty()) return true;  // in no group
+    if (members.replicas.empty()) return true;  // not in a group
     for (const auto& member : members.replicas)
       if (m_lost.contains(member->id)) return false;
     return VoterCount(members) >= kFounders;
   }
 
-  // The host comes back with an empty folder, at once or later.
+  // The host loses its data folder and restarts now or later.
   void WipeIfAllowed(Host& host) {
     if (!MayLose(host.disk.self)) return;
     ++m_counts.wipes;
@@ -393,8 +401,8 @@
     if (Chance(50)) Start(host);
   }
 
-  // Ends all faults; every host must then come into the group, and the group
-  // commit again.
+  // Ends all faults. Every host must then become a member, and the group must
+  // commit entries again.
   void Settle() {
     Heal();
     for (Host& host : m_hosts) StartIfDown(host);
@@ -406,7 +414,7 @@
       if (round % 20 == 0) ProposeSomewhere();
       if (IsWhole(accepted)) return;
     }
-    throw Stall("the group does not become whole: " + Describe());
+    throw Stall("the group does not recover: " + Describe());
   }
 
   std::string Describe() const {
@@ -434,8 +442,8 @@
     return true;
   }
 
-  // 60 seconds: several times what electing, founding and replacing all five
-  // one after the other take.
+  // 60 simulated seconds, which is several times what it takes to elect a
+  // leader, bootstrap a group and replace all five members one after another.
   static constexpr int kSettleRounds = 6000;
 
   std::mt19937_64 m_random;
@@ -445,10 +453,10 @@
   ReplicaId m_last_id = 0;
   uint64_t m_last_payload = 0;
   std::deque<SentFrame> m_sent;
-  std::set<ReplicaId> m_lost;          // whose folder is gone
-  wire::MembershipT m_members;         // committed last
-  std::vector<std::string> m_history;  // what any replica has applied
-  // By the first entry of the group and the term.
+  std::set<ReplicaId> m_lost;          // replicas whose data folder was lost
+  wire::MembershipT m_members;         // the last one committed
+  std::vector<std::string> m_history;  // entries that any replica has applied
+  // By the first entry of the group's log and the term.
   std::map<std::pair<std::string, uint64_t>, ReplicaId> m_leaders;
   HealingCounts m_counts;
 };
--- a/src/dotterelshift/replication/member_discovery.cc
+++ b/src/dotterelshift/replication/member_discovery.cc
@@ -5,7 +5,7 @@
 namespace dotterelshift::replication {
 namespace {
 
-// The replica that the membership lists for a host; 0: none.
+// The replica that the membership lists for a host; 0 if there is none.
 ReplicaId ListedFor(const HostId& host, const wire::MembershipT& members) {
   for (const auto& member : members.replicas)
     if (member->host == host) return member->id;
@@ -41,16 +41,16 @@
 bool MemberDiscovery::OnHello(const HostId& from,
                               const wire::ReplicaHelloT& hello,
                               const GroupView& view) {
-  // One in a group that hears no leader may have been removed meanwhile.
+  // A member that has no contact with a leader may have been removed meanwhile.
   const bool waits = !hello.in_group || (m_options.self_healing && hello.lost);
   if (waits)
     m_waiting[from] = {hello.replica, ListedFor(from, *view.members)};
   else
     m_waiting.erase(from);
   if (m_bootstrap) m_bootstrap->OnHello(from, hello);
-  // Who waits learns from the answer where the group is. A member that hears no
-  // leader knows no more than another one: two that answered each other would
-  // go on for as long as there is none.
+  // The answer tells a waiting replica where the group is. A member without
+  // contact with a leader knows no more than another such member; if two of
+  // them answered each other, they would continue until there is a leader.
   const bool knows_more = !hello.in_group || view.hears_leader;
   const bool helps =
       m_options.self_healing && waits && view.in_group && knows_more;
--- a/src/dotterelshift/replication/member_discovery.h
+++ b/src/dotterelshift/replication/member_discovery.h
@@ -15,47 +15,52 @@
 struct MemberDiscoveryOptions {
   HostId self;
   ReplicaId replica = 0;
-  std::vector<HostId> first_members;  // empty: never founds a group
+  std::vector<HostId> first_members;  // empty: never bootstraps a group
   bool self_healing = false;
 };
 
-// What a replica knows of its own group at the moment.
+// A replica's current view of its own group.
 struct GroupView {
   bool in_group = false;
   bool hears_leader = false;
   const wire::MembershipT* members = nullptr;
 };
 
-// A replica is in a group from the first entry of its log on. One that voted in
-// a group whose founder lost its folder before anyone else held an entry is in
-// none: else the rest would wait for that group for good.
+// Returns the view of a node. A replica counts as in a group once its log holds
+// an entry. Having voted is not enough: if the first member loses its data
+// folder before any other member has received an entry, the others would wait
+// for that group forever.
 GroupView ViewOf(const Node& node);
 
-// What replicas tell each other before and beside the log: who is in a group,
-// who waits to be taken into one, and whether all first members agree to found
-// one. Sends nothing itself.
+// Handles the hellos that replicas exchange outside the log. They tell which
+// replicas are in a group, which wait to be added to one, and whether all first
+// members agree to bootstrap one. Does no I/O.
 class MemberDiscovery {
  public:
   explicit MemberDiscovery(const MemberDiscoveryOptions& options);
 
-  // What this replica says of itself; `answer_wanted` asks for the other's.
+  // The hello of this replica. `answer_wanted` asks the receiver for its own.
   wire::ReplicaHelloT Hello(const GroupView& view, bool answer_wanted) const;
 
-  // Takes another host's; whether it is to be answered with ours.
+  // Handles the hello of another host. Returns whether to answer with this
+  // replica's hello.
   bool OnHello(const HostId& from, const wire::ReplicaHelloT& hello,
                const GroupView& view);
 
-  // Begins a round of founding: the hosts to be asked. None after EndFounding.
+  // Starts a bootstrap round and returns the hosts to ask; none after
+  // EndFounding().
   std::vector<HostId> StartRound();
-  // Whether this replica is the one that composes the first group.
+  // Whether this replica composes the first membership.
   bool Coordinates() const;
-  // The first group, once all have agreed in this round.
+  // The first membership; empty until all first members have agreed in this
+  // round.
   std::optional<wire::MembershipT> Compose() const;
   void EndFounding() { m_bootstrap.reset(); }
 
-  // The replicas that wait and are not among these members. A host whose
-  // listed replica has changed since it was heard does not count: a leader that
-  // missed its later hellos would replace a whole replica by one that is gone.
+  // The waiting replicas that are not in `members`. A host is skipped if the
+  // membership lists another replica for it than at the time of its last hello.
+  // A leader that missed the later hellos would otherwise replace a working
+  // replica with one that no longer exists.
   std::vector<wire::ReplicaT> Waiting(const wire::MembershipT& members) const;
 
  private:
@@ -63,7 +68,7 @@
   std::optional<Bootstrap> m_bootstrap;
   struct Waiter {
     ReplicaId replica = 0;
-    ReplicaId listed = 0;  // as its host's, when it was heard; 0: none
+    ReplicaId listed = 0;  // of its host, at the time of the hello; 0: none
   };
   std::map<HostId, Waiter> m_waiting;
 };
--- a/src/dotterelshift/replication/member_discovery_test.cc
+++ b/src/dotterelshift/replication/member_discovery_test.cc
@@ -67,7 +67,8 @@
     CPPUNIT_ASSERT(discovery.Waiting(m_members).empty());
   }
 
-  // One replaced while it was away holds a membership, and hears nobody.
+  // A replica that was replaced while it was offline still has a membership,
+  // but no contact with a leader.
   void OneThatLostItsGroupWaitsOnlyInAHealingGroup() {
     for (const bool self_healing : {false, true}) {
       MemberDiscovery discovery = Make(self_healing);
@@ -84,8 +85,8 @@
     CPPUNIT_ASSERT(discovery.Waiting(m_members).empty());
   }
 
-  // Host core-2 waited with replica 2, was wiped again and taken in with
-  // replica 3, of which this one learned by the log alone.
+  // Host core-2 waited with replica 2, then lost its data folder and was added
+  // with replica 3, which this replica knows only from the log.
   void AHostThatWasReplacedSinceItWasHeardDoesNotWait() {
     MemberDiscovery discovery = Make(true);
     discovery.OnHello("core-2", HelloOf(2, false, true), InGroup());
@@ -99,7 +100,7 @@
     CPPUNIT_ASSERT_EQUAL(ReplicaId{4}, discovery.Waiting(later).at(0).id);
   }
 
-  // Two that wait would answer each other without end.
+  // Two waiting replicas would otherwise answer each other forever.
   void AReplicaOutsideAGroupDoesNotAnswerUnasked() {
     MemberDiscovery discovery = Make(true);
     wire::ReplicaHelloT hello = HelloOf(2, false, true);
@@ -108,7 +109,7 @@
     CPPUNIT_ASSERT(discovery.OnHello("core-2", hello, Outside()));
   }
 
-  // Each would go on answering the other until there is a leader.
+  // Otherwise they would answer each other until there is a leader.
   void MembersWithoutALeaderDoNotAnswerEachOther() {
     MemberDiscovery discovery = Make(true);
     const GroupView lost = {true, false, &m_members};
@@ -130,8 +131,8 @@
     CPPUNIT_ASSERT(discovery.StartRound().empty());
   }
 
-  // The founder lost its folder after the vote and before its first entry
-  // reached anyone: the voter must be free to found again.
+  // The first member lost its data folder after the vote, before any other
+  // member received its first entry. The voter must be able to bootstrap again.
   void AVoterWithoutAnyEntryIsInNoGroup() {
     RestoredLog voted;
     voted.self = 2;
--- a/src/dotterelshift/replication/member_keeper.cc
+++ b/src/dotterelshift/replication/member_keeper.cc
@@ -5,7 +5,7 @@
 namespace dotterelshift::replication {
 namespace {
 
-// A group of fewer voters bears no loss.
+// A group with fewer voters does not tolerate the loss of one.
 constexpr size_t kLeastVoters = 3;
 
 }  // namespace
@@ -19,7 +19,8 @@
   return Surplus(members, now);
 }
 
-// A new leader has heard nobody yet; silence counts from its election on.
+// A new leader has not received any messages yet, so silence is counted from
+// its election at the earliest.
 bool MemberKeeper::IsLost(ReplicaId replica, Instant now) const {
   if (replica == m_self) return false;
   const auto heard = m_heard.find(replica);
@@ -29,7 +30,8 @@
   return now - last >= m_options.lost_after;
 }
 
-// A host that waits with a new replica has lost the folder of its former one.
+// A member whose host waits with another replica: the host has lost the
+// member's data folder.
 std::optional<KeptMember> MemberKeeper::SupersededBy(
     const wire::MembershipT& members,
     const std::vector<wire::ReplicaT>& waiting, Instant) const {
@@ -48,7 +50,7 @@
   size_t lost = 0;
   const wire::ReplicaT* silent = nullptr;
   for (const auto& member : members.replicas) {
-    if (!member->voter) return std::nullopt;  // one is still catching up
+    if (!member->voter) return std::nullopt;  // a learner is still catching up
     ++voters;
     if (!IsLost(member->id, now)) continue;
     ++lost;
--- a/src/dotterelshift/replication/member_keeper.h
+++ b/src/dotterelshift/replication/member_keeper.h
@@ -12,33 +12,40 @@
 namespace dotterelshift::replication {
 
 struct MemberKeeperOptions {
-  // A member silent for so long counts as lost: well above an election and a
-  // restart, so that a short pause replaces nobody.
+  // A member from which nothing was received for this long counts as lost. Must
+  // be well above the time of an election and of a restart, so that a short
+  // pause does not cause a replacement.
   Duration lost_after = 4s;
 };
 
-// A change of members by one replica.
+// The addition or removal of one replica.
 struct KeptMember {
   wire::ReplicaT replica;
   bool remove = false;
 };
 
-// What a leader changes of its group by itself, one replica at a time: a
-// replica that waits is added; one whose host came back with an empty folder
-// is taken out first; one that stays silent is taken out only while the rest
-// is still a group of three or more and all of it is heard, and only when
-// there is one voter more than an odd number needs. So a group never shrinks
-// for a cut alone, and what a majority holds stays held by a majority.
+// Decides which membership changes a leader proposes without an operator, one
+// replica at a time:
+//
+//   - A waiting replica is added.
+//   - If a member's host waits with a new replica, because it lost its data
+//     folder, the old replica is removed first.
+//   - A silent member is removed only if no replica waits and the group has an
+//     even number of voters greater than three, no learner, and no other silent
+//     member.
+//
+// A partition alone therefore never reduces the number of failures that a group
+// tolerates, and an entry that a majority holds stays on a majority.
 class MemberKeeper {
  public:
   explicit MemberKeeper(ReplicaId self, const MemberKeeperOptions& options = {})
       : m_self(self), m_options(options) {}
 
-  // A message of a replica came in.
+  // Records that a message of a replica was received.
   void OnHeard(ReplicaId replica, Instant now) { m_heard[replica] = now; }
   void StopLeading() { m_leads_since.reset(); }
 
-  // The change to be proposed now, by the leader.
+  // The change that the leader should propose now; empty if none is needed.
   std::optional<KeptMember> Next(const wire::MembershipT& members,
                                  const std::vector<wire::ReplicaT>& waiting,
                                  Instant now);
--- a/src/dotterelshift/replication/member_keeper_test.cc
+++ b/src/dotterelshift/replication/member_keeper_test.cc
@@ -54,7 +54,7 @@
     CPPUNIT_ASSERT_EQUAL(ReplicaId{3}, change->replica.id);
   }
 
-  // A cut alone never shrinks a group of three or five.
+  // A partition alone never shrinks a group of three or five.
   void ASilentMemberGoesOnlyOnceItIsReplaced() {
     const auto three =
         GroupOf({ReplicaOf(1, "a"), ReplicaOf(2, "b"), ReplicaOf(3, "c")});
@@ -68,7 +68,7 @@
     const auto change = Next(four, {});
     CPPUNIT_ASSERT(change && change->remove);
     CPPUNIT_ASSERT_EQUAL(ReplicaId{3}, change->replica.id);
-    // Two silent ones are a cut, not a loss.
+    // Two silent members indicate a partition, not a lost member.
     m_now += 60s;
     HearAll({2});
     CPPUNIT_ASSERT(!Next(four, {}));
--- a/src/dotterelshift/replication/membership.h
+++ b/src/dotterelshift/replication/membership.h
@@ -9,23 +9,23 @@
 
 namespace dotterelshift::replication {
 
-// A membership as the payload of a log entry, and back. Decoding throws
-// Error(kStorageDamaged) on bytes that are no membership.
+// Converts a membership to and from the payload of a log entry. Decoding throws
+// Error(kStorageDamaged) if the bytes are not a valid membership.
 std::vector<uint8_t> EncodeMembership(const wire::MembershipT& members);
 wire::MembershipT DecodeMembership(const std::vector<uint8_t>& bytes);
 
-// The member with this id; null when there is none.
+// The member with this id; null if there is none.
 const wire::ReplicaT* FindMember(const wire::MembershipT& members,
                                  ReplicaId id);
 
-// Whether the replica votes.
+// Whether the replica is a member that votes.
 bool IsVoter(const wire::MembershipT& members, ReplicaId id);
 
-// The number of voters, and how many of them are a majority.
+// The number of voters, and the size of a majority of them.
 size_t VoterCount(const wire::MembershipT& members);
 size_t Majority(const wire::MembershipT& members);
 
-// The membership after one replica was added, made a voter or removed.
+// The membership after adding or updating a replica, or after removing one.
 wire::MembershipT WithMember(const wire::MembershipT& members,
                              const wire::ReplicaT& replica);
 wire::MembershipT WithoutMember(const wire::MembershipT& members, ReplicaId id);
--- a/src/dotterelshift/replication/messages.h
+++ b/src/dotterelshift/replication/messages.h
@@ -6,7 +6,7 @@
 
 namespace dotterelshift::replication {
 
-// The sender's id in a message between replicas; 0 in any other frame.
+// The sender's id in a message between replicas; 0 for any other frame.
 ReplicaId SenderOf(const wire::FrameT& frame);
 
 }  // namespace dotterelshift::replication
--- a/src/dotterelshift/replication/node_test.cc
+++ b/src/dotterelshift/replication/node_test.cc
@@ -66,14 +66,15 @@
       node->OnTimer(now);
       const Ready ready = node->TakeReady();
       CPPUNIT_ASSERT_EQUAL(size_t{2}, ready.messages.size());
-      CPPUNIT_ASSERT(!ready.HasWrites());  // a pre-vote raises no term
+      CPPUNIT_ASSERT(
+          !ready.HasWrites());  // a pre-vote does not increase the term
       CPPUNIT_ASSERT(!node->Propose("payload", now).has_value());
     }
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, node->Term());
   }
 
-  // A busy leader's timer comes late again and again; whatever it asked was
-  // answered.
+  // A busy leader's timer fires late repeatedly, but every round that it
+  // started has been acknowledged.
   void ALeaderThatAskedNothingIsNotDeposed() {
     Instant now{};
     const auto node = MakeLeader(now);
@@ -85,7 +86,8 @@
       AnswerAll(*node, now);
       CPPUNIT_ASSERT(node->LeaseUntil() > now);
     }
-    // Silence after a question counts, however many questions follow.
+    // A round that stays unacknowledged counts, no matter how many rounds are
+    // started after it.
     const Instant silent_from = now;
     while (node->Role() == NodeRole::kLeader) {
       now += 1ms;
@@ -99,17 +101,17 @@
   void LeaderThatStoodStillIsJudgedLater() {
     Instant now{};
     const auto node = MakeLeader(now);
-    now += 1s;  // the answers of this time wait to be read
+    now += 1s;  // replies that arrived meanwhile are still unread
     node->OnTimer(now);
     CPPUNIT_ASSERT(node->Role() == NodeRole::kLeader);
     CPPUNIT_ASSERT(node->LeaseUntil() < now);
     now = node->NextTimer();
-    node->OnTimer(now);  // there were none
+    node->OnTimer(now);  // there were no replies
     CPPUNIT_ASSERT(node->Role() == NodeRole::kFollower);
   }
 
-  // Its addition may be lost with the leader; it must be able to say that it
-  // hears none.
+  // The addition of a new replica may be lost together with the leader that
+  // proposed it. The replica must then be able to report that it has no leader.
   void OneWithoutAVoteForgetsASilentLeader() {
     Instant now{};
     RestoredLog fresh;
@@ -130,7 +132,7 @@
   }
 
  private:
-  // The first of three, just elected.
+  // The first of three voters, just elected.
   static std::unique_ptr<Node> MakeLeader(Instant& now) {
     auto node = MakeNode({}, NewGroup(1, {1, 2, 3}), now);
     now = node->NextTimer();
@@ -143,7 +145,7 @@
     return node;
   }
 
-  // Both others acknowledge what the leader has sent.
+  // Both followers acknowledge what the leader has sent.
   static void AnswerAll(Node& node, Instant now) {
     Ready ready = node.TakeReady();
     node.OnSynced(now);
--- a/src/dotterelshift/replication/raft.h
+++ b/src/dotterelshift/replication/raft.h
@@ -18,48 +18,50 @@
 
 namespace dotterelshift::replication {
 
-// The rules whose breach the property tests must notice.
+// Safety rules that the property tests disable one at a time, to check that the
+// simulation detects the violation.
 struct StandardRules {
-  // A voter refuses a candidate whose log is behind its own.
+  // A voter rejects a candidate whose log is less up to date than its own.
   static constexpr bool kCheckLogOnVote = true;
-  // Nothing is acknowledged before it is on disk.
+  // Entries and votes are acknowledged only once they are on disk.
   static constexpr bool kAcknowledgeAfterSync = true;
 };
 
-// Bytes of appended entries that may be under way to one follower. A leader
-// hands as much to a connection in one turn of its loop; a few followers that
-// need the whole log must not keep it from its heartbeats.
+// Maximum bytes of appended entries in flight to one follower. The leader
+// passes this much to a connection in one iteration of its event loop. The
+// limit keeps a few followers that need the whole log from delaying its
+// heartbeats.
 inline constexpr size_t kMaxBytesInFlight = 512 << 10;
 
-// Entries before a snapshot that stay in memory for followers that are a little
-// behind.
+// Number of entries before a snapshot that are kept in memory for followers
+// that are slightly behind.
 inline constexpr uint64_t kEntriesKeptForFollowers = 4096;
 
-// A snapshot that is sent to followers.
+// A snapshot to send to followers.
 struct SnapshotSource {
   SnapshotMeta meta;
   std::shared_ptr<const std::string> bytes;
   uint64_t checksum = 0;
 };
 
-// What the leader knows of one other replica.
+// The leader's replication state for one other replica.
 struct Progress {
   enum class Mode { kProbe, kReplicate, kSnapshot };
   Mode mode = Mode::kProbe;
-  uint64_t match = 0;  // known to be on the follower's disk
+  uint64_t match = 0;  // highest entry known to be on the follower's disk
   uint64_t next = 1;
   bool probe_sent = false;
   uint64_t acked_round = 0;
-  Instant acked_sent{};  // when the round acknowledged last was started
-  std::deque<std::pair<uint64_t, size_t>> in_flight;  // last index, bytes
+  Instant acked_sent{};  // start of the last acknowledged round
+  std::deque<std::pair<uint64_t, size_t>> in_flight;  // last index and bytes
   size_t bytes_in_flight = 0;
-  std::shared_ptr<const SnapshotSource> snapshot;  // being sent
+  std::shared_ptr<const SnapshotSource> snapshot;  // snapshot being sent
   uint64_t snapshot_offset = 0;
   bool piece_sent = false;
 };
 
-// The replica of the log behind MakeNode(). Its definitions are spread over
-// raft_events.h, raft_election.h, raft_append.h and raft_snapshot.h.
+// The implementation of Node behind MakeNode(). The member functions are
+// defined in raft_events.h, raft_election.h, raft_append.h and raft_snapshot.h.
 template <typename Rules>
 class Raft final : public Node {
  public:
@@ -142,8 +144,8 @@
                     bool installed);
   void Install();
 
-  // Of the voters' values (own included), the largest that a majority has
-  // reached.
+  // Of the voters' values (this replica's included), the largest that a
+  // majority has reached.
   template <typename Value, typename ValueOf>
   Value MajorityValue(Value own, ValueOf value_of) const;
 
@@ -151,7 +153,7 @@
   void Send(ReplicaId to, Body body) {
     m_messages.emplace_back(to, MakeMessage(to, std::move(body)));
   }
-  // Sends once all that was written up to now is on disk.
+  // Sends the message once everything written so far is on disk.
   template <typename Body>
   void SendAfterSync(ReplicaId to, Body body) {
     auto& queue = Rules::kAcknowledgeAfterSync ? m_after_sync : m_messages;
@@ -185,20 +187,20 @@
   Instant m_heard_leader;
   Instant m_election_deadline;
   Instant m_next_heartbeat;
-  bool m_timer_late = false;  // the last one came late
+  bool m_timer_late = false;  // the last timer fired late
   std::set<ReplicaId> m_votes;
 
   uint64_t m_commit = 0;
-  uint64_t m_handed_out = 0;  // committed entries given to the driver
-  uint64_t m_written = 0;     // entries given to the driver to be written
-  uint64_t m_synced = 0;      // entries on this replica's disk
+  uint64_t m_handed_out = 0;  // last committed entry given to the driver
+  uint64_t m_written = 0;     // last entry given to the driver for writing
+  uint64_t m_synced = 0;      // last entry on this replica's disk
   bool m_sync_under_way = false;
 
   std::map<ReplicaId, Progress> m_progress;
   uint64_t m_term_start = 0;  // index of the first entry of this leader's term
   uint64_t m_round = 0;
   std::deque<std::pair<uint64_t, Instant>> m_rounds;
-  // A leader's oldest round that a majority has not answered.
+  // The leader's oldest round that a majority has not yet acknowledged.
   std::optional<std::pair<uint64_t, Instant>> m_oldest_open;
   bool m_round_unsent = false;
   std::vector<PendingRead> m_reads;
@@ -207,7 +209,7 @@
   std::shared_ptr<const SnapshotSource> m_snapshot;
   std::optional<IncomingSnapshot> m_incoming;
 
-  // What the next Ready carries.
+  // The contents of the next Ready.
   bool m_hard_state_changed = false;
   std::optional<uint64_t> m_truncate_from;
   std::optional<std::pair<SnapshotMeta, std::string>> m_install;
--- a/src/dotterelshift/replication/raft_append.h
+++ b/src/dotterelshift/replication/raft_append.h
@@ -1,7 +1,8 @@
 #ifndef DOTTERELSHIFT_REPLICATION_RAFT_APPEND_H_
 #define DOTTERELSHIFT_REPLICATION_RAFT_APPEND_H_
 
-// Log replication: appending, acknowledging, committing, changes of members.
+// Log replication: appending, acknowledging and committing entries, and
+// membership changes.
 
 #include <algorithm>  // for min, max
 
@@ -24,7 +25,7 @@
 template <typename Rules>
 void Raft<Rules>::TruncateFrom(uint64_t index) {
   m_log.TruncateFrom(index);
-  if (index > m_written) return;  // the driver has not seen these entries
+  if (index > m_written) return;  // the driver has not received these entries
   m_truncate_from = std::min(m_truncate_from.value_or(index), index);
   m_written = index - 1;
   m_synced = std::min(m_synced, index - 1);
@@ -54,7 +55,8 @@
     m_commit = std::max(m_commit, std::min(request.commit, reply.match_index));
   } else {
     const uint64_t end = m_log.LastIndex();
-    // Past a conflict the leader goes back by a whole term at a time.
+    // On a conflict the leader backs up by one term at a time instead of one
+    // entry.
     reply.hint_index = request.previous_index > end
                            ? end
                            : m_log.FirstOfTerm(request.previous_index) - 1;
@@ -62,10 +64,11 @@
   SendAfterSync(request.from, reply);
 }
 
-// False when the log does not hold the entry before the new ones.
+// Returns false if the log does not contain the entry that precedes the new
+// ones.
 template <typename Rules>
 bool Raft<Rules>::StoreEntries(const wire::AppendRequestT& request) {
-  // What is before the base is committed, so it is what the leader has.
+  // Entries before the base are committed and thus identical on the leader.
   const bool known =
       request.previous_index < m_log.BaseIndex() ||
       m_log.TermAt(request.previous_index) == request.previous_term;
@@ -93,7 +96,7 @@
     OnAcknowledged(progress, reply.match_index);
     return AdvanceCommit(now);
   }
-  // A refusal of something sent before what is known to match is old news.
+  // Ignores a stale rejection of an earlier append.
   if (progress.mode == Progress::Mode::kSnapshot ||
       reply.hint_index + 1 > progress.next)
     return;
@@ -130,8 +133,9 @@
     if (number == round) progress.acked_sent = sent;
 }
 
-// Every message of a round says that this replica leads; its acknowledgement
-// proves it as of the round's start.
+// Starts a round. Every append message carries the current round. A follower's
+// acknowledgement of it confirms that this replica was the leader when the
+// round started.
 template <typename Rules>
 void Raft<Rules>::StartRound(Instant now) {
   constexpr size_t kRoundsKept = 256;
@@ -150,7 +154,8 @@
   }
 }
 
-// Sends one message; false when there was nothing to send.
+// Sends one append message. Returns whether it contains entries, in which case
+// there may be more to send.
 template <typename Rules>
 bool Raft<Rules>::SendAppend(ReplicaId to, Progress& progress,
                              bool even_if_empty) {
@@ -201,13 +206,14 @@
 void Raft<Rules>::AdvanceCommit(Instant now) {
   const uint64_t reached = MajorityValue(
       OwnMatch(), [](const Progress& peer) { return peer.match; });
-  // Only an entry of the own term proves that the ones before it stay.
+  // Only an entry of the current term proves that the entries before it are
+  // never overwritten.
   if (reached <= m_commit || m_log.TermAt(reached) != m_hard_state.term) return;
   m_commit = reached;
   const bool members_committed = m_log.MembersIndex() <= m_commit;
   if (!members_committed) return;
   if (!IsVoter(Members(), m_self)) {
-    StartRound(now);  // the others learn that the entry is committed
+    StartRound(now);  // notifies the others that the entry is committed
     SendAppends();
     return BecomeFollower(m_hard_state.term, 0, now);
   }
@@ -228,15 +234,16 @@
   });
 }
 
-// One change at a time: the last one is committed, and so is an entry of this
-// leader's term, without which an older change might still come to light.
+// Only one membership change may be in progress: the last one must be
+// committed, and so must an entry of this leader's term, since an older change
+// might otherwise still become committed.
 template <typename Rules>
 bool Raft<Rules>::MayChangeMembers() const {
   return m_role == NodeRole::kLeader && m_commit >= m_term_start &&
          m_log.MembersIndex() <= m_commit;
 }
 
-// A learner that holds all that is committed becomes a voter.
+// Promotes a learner that has all committed entries to a voter.
 template <typename Rules>
 void Raft<Rules>::PromoteLearners(Instant now) {
   if (!MayChangeMembers()) return;
--- a/src/dotterelshift/replication/raft_election.h
+++ b/src/dotterelshift/replication/raft_election.h
@@ -57,11 +57,11 @@
     if (pre_vote)
       Send(replica->id, request);
     else
-      SendAfterSync(replica->id, request);  // the own vote is on disk first
+      SendAfterSync(replica->id, request);  // after its own vote is on disk
   }
   m_votes.insert(m_self);
-  // The own vote counts in a pre-vote at once, in an election once it is on
-  // disk (see OnSynced).
+  // The candidate's own vote counts immediately in a pre-vote; in an election
+  // it counts once it is on disk (see OnSynced).
   if (pre_vote) CountVotes(now);
 }
 
@@ -113,7 +113,8 @@
 template <typename Rules>
 void Raft<Rules>::OnVoteRequest(const wire::VoteRequestT& request,
                                 Instant now) {
-  // The lease: a replica that hears its leader helps nobody to depose it.
+  // Leader lease: a replica that has recent contact with its leader does not
+  // help to depose it.
   if (HearsLeader(now) && request.term > m_hard_state.term) return;
   wire::VoteReplyT reply;
   reply.from = m_self;
@@ -149,9 +150,10 @@
   CountVotes(now);
 }
 
-// A leader is cut off once a majority has not answered for an election's time
-// what it asked. While it asked nothing, because it stood still itself, the
-// others' silence tells nothing.
+// A leader steps down once its oldest open round, which no majority has
+// acknowledged, is older than the minimum election timeout. If it has no open
+// round, for example because its own process was stalled, the silence of the
+// others means nothing.
 template <typename Rules>
 void Raft<Rules>::CheckQuorum(Instant now) {
   FindOldestOpenRound();
@@ -160,8 +162,8 @@
   if (cut_off) BecomeFollower(m_hard_state.term, 0, now);
 }
 
-// Older rounds than are kept may be open: the oldest one is remembered until it
-// is answered.
+// The oldest open round may be older than the rounds in m_rounds, so it is
+// remembered until it is acknowledged.
 template <typename Rules>
 void Raft<Rules>::FindOldestOpenRound() {
   const uint64_t confirmed = ConfirmedRound();
--- a/src/dotterelshift/replication/raft_events.h
+++ b/src/dotterelshift/replication/raft_events.h
@@ -1,7 +1,7 @@
 #ifndef DOTTERELSHIFT_REPLICATION_RAFT_EVENTS_H_
 #define DOTTERELSHIFT_REPLICATION_RAFT_EVENTS_H_
 
-// The events of a replica and what they leave for the driver to do.
+// Event handlers of a replica, and the work that they produce for the driver.
 
 #include <algorithm>   // for sort
 #include <functional>  // for greater
@@ -17,8 +17,9 @@
       m_random(options.seed ^ restored.self),
       m_hard_state(restored.hard_state),
       m_log(restored.snapshot, std::move(restored.entries)),
-      // A replica that has just started may have promised its leader not to
-      // vote for another; it keeps that promise from now on.
+      // Before the restart, this replica may have promised its leader not to
+      // vote for another candidate. It keeps that promise for one minimum
+      // election timeout from now.
       m_heard_leader(now),
       m_next_heartbeat(now),
       m_commit(restored.snapshot.last_index),
@@ -30,8 +31,8 @@
   if (alone) Campaign(now, false);
 }
 
-// A message meant for another replica is dropped: a wiped folder's host still
-// gets what its former replica was sent.
+// Drops messages that are addressed to another replica: a host that has lost
+// its data folder may still receive messages for its previous replica.
 template <typename Rules>
 void Raft<Rules>::OnMessage(const wire::FrameT& message, Instant now) {
   const auto mine = [this](const auto* body) {
@@ -49,9 +50,9 @@
     OnSnapshotReply(*body.AsSnapshotReply(), now);
 }
 
-// A timer that comes late by more than a heartbeat says that this process stood
-// still; what the others sent meanwhile is still to be read, so they are judged
-// a heartbeat later, once.
+// A timer that fires late by more than a heartbeat means that this process was
+// stalled. Messages from the others may still be unread, so the quorum check or
+// election is postponed by one heartbeat, once.
 template <typename Rules>
 void Raft<Rules>::OnTimer(Instant now) {
   if (now < NextTimer()) return;
@@ -63,7 +64,7 @@
     if (m_role != NodeRole::kLeader) return;
     m_next_heartbeat = now + m_options.heartbeat;
     for (auto& [id, progress] : m_progress) {
-      progress.probe_sent = false;  // what was sent may be lost
+      progress.probe_sent = false;  // the message may have been lost
       progress.piece_sent = false;
     }
     PromoteLearners(now);
@@ -74,8 +75,9 @@
     return;
   }
   if (IsVoter(Members(), m_self)) return Campaign(now, true);
-  // The addition of this replica may have gone with the leader that proposed
-  // it: who believed in that leader for good would never ask to be taken in.
+  // The addition of this replica may have been lost together with the leader
+  // that proposed it. If the replica kept that leader forever, it would never
+  // ask to be added again.
   ForgetLeader(now);
 }
 
@@ -169,7 +171,8 @@
 
 template <typename Rules>
 void Raft<Rules>::TakeCommitted(Ready& ready, size_t most_bytes) {
-  // A snapshot that is being installed is applied by this Ready itself.
+  // Excludes what a snapshot to install covers: `install` in the same Ready
+  // applies it.
   size_t bytes = 0;
   const uint64_t end = std::min(m_commit, OwnMatch());
   while (m_handed_out < end && bytes < most_bytes) {
@@ -190,7 +193,7 @@
   });
 }
 
-// The newest round that a majority has answered.
+// The newest round that a majority has acknowledged.
 template <typename Rules>
 uint64_t Raft<Rules>::ConfirmedRound() const {
   return MajorityValue(m_round,
--- a/src/dotterelshift/replication/raft_log.h
+++ b/src/dotterelshift/replication/raft_log.h
@@ -12,9 +12,9 @@
 
 namespace dotterelshift::replication {
 
-// The entries a replica holds in memory: those after a base, which a snapshot
-// covers. Keeps the membership that each prefix makes, so that dropping a tail
-// brings the older membership back.
+// The log entries that a replica keeps in memory: those after the base index,
+// up to which a snapshot covers the log. Also keeps the membership as of each
+// membership entry, so that truncating the log restores the previous one.
 class RaftLog {
  public:
   RaftLog(const SnapshotMeta& snapshot, std::vector<wire::LogEntryT> entries);
@@ -23,28 +23,29 @@
   uint64_t LastIndex() const { return m_base_index + m_entries.size(); }
   uint64_t LastTerm() const { return *TermAt(LastIndex()); }
 
-  // Empty when the entry is before the base or after the end.
+  // Empty if the index is before the base or after the last entry.
   std::optional<uint64_t> TermAt(uint64_t index) const;
 
-  // An entry after the base.
+  // The entry at `index`, which must be after the base.
   const wire::LogEntryT& At(uint64_t index) const {
     return m_entries[index - m_base_index - 1];
   }
 
-  // The first index of the run of entries of one term that ends at `index`, but
-  // not before the base.
+  // The first index of the sequence of entries of the same term that ends at
+  // `index`; never before the base.
   uint64_t FirstOfTerm(uint64_t index) const;
 
   void Append(wire::LogEntryT entry);
   void TruncateFrom(uint64_t index);
 
-  // Moves the base up to `index`.
+  // Moves the base forward to `index`.
   void CompactTo(uint64_t index);
 
-  // Drops all entries; the base becomes the snapshot.
+  // Drops all entries and moves the base to the snapshot's last index.
   void Reset(const SnapshotMeta& snapshot);
 
-  // The membership that the newest entry of that kind makes, and its index.
+  // The membership as of the newest membership entry, and the index of that
+  // entry.
   const wire::MembershipT& Members() const { return m_members.back().second; }
   uint64_t MembersIndex() const { return m_members.back().first; }
 
--- a/src/dotterelshift/replication/raft_snapshot.h
+++ b/src/dotterelshift/replication/raft_snapshot.h
@@ -1,7 +1,7 @@
 #ifndef DOTTERELSHIFT_REPLICATION_RAFT_SNAPSHOT_H_
 #define DOTTERELSHIFT_REPLICATION_RAFT_SNAPSHOT_H_
 
-// Snapshots: cutting the log after one, sending it in pieces, installing it.
+// Snapshots: compacting the log, sending a snapshot in chunks, installing it.
 
 #include <xxhash.h>  // for XXH3_64bits
 
@@ -68,8 +68,8 @@
   if (!follows) BecomeFollower(piece.term, piece.from, now);
   m_heard_leader = now;
   ResetElectionDeadline(now);
-  // Entries after the snapshot may count as acknowledged: a log that holds the
-  // snapshot's last entry is kept.
+  // Entries after the snapshot may have been acknowledged, so a log that
+  // contains the snapshot's last entry is kept.
   const bool holds_last = m_log.TermAt(piece.last_index) == piece.last_term &&
                           piece.last_index <= m_synced;
   if (holds_last) m_commit = std::max(m_commit, piece.last_index);
@@ -80,8 +80,8 @@
                          m_incoming->meta.last_term == piece.last_term &&
                          m_incoming->total == piece.total &&
                          m_incoming->checksum == piece.checksum;
-  // The same state makes the same bytes on every replica, so that a piece of a
-  // new leader can carry on with what an older one began.
+  // A snapshot of the same state is byte-identical on every replica, so chunks
+  // from a new leader can continue a transfer that the previous one started.
   if (!continues) {
     m_incoming.emplace();
     m_incoming->meta = {piece.last_index, piece.last_term, *piece.membership};
@@ -97,7 +97,7 @@
   const bool whole = received == piece.total &&
                      XXH3_64bits(bytes.data(), received) == piece.checksum;
   if (!whole) {
-    m_incoming.reset();  // begin again
+    m_incoming.reset();  // restart the transfer
     return ReplyToPiece(piece.from, piece.last_index, 0, false);
   }
   Install();
@@ -107,8 +107,8 @@
 template <typename Rules>
 void Raft<Rules>::Install() {
   const SnapshotMeta& meta = m_incoming->meta;
-  // The log is replaced as a whole; what followed the snapshot's last entry is
-  // sent again.
+  // The snapshot replaces the whole log. The leader sends the entries that
+  // follow its last entry again.
   m_log.Reset(meta);
   m_commit = meta.last_index;
   m_handed_out = m_commit;
--- a/src/dotterelshift/replication/schedule_test.cc
+++ b/src/dotterelshift/replication/schedule_test.cc
@@ -18,15 +18,15 @@
   static constexpr bool kAcknowledgeAfterSync = false;
 };
 
-// The first violation of safety that the schedules find under the rules; empty
-// when they find none.
+// The first safety violation that the schedules find under the given rules;
+// empty if they find none.
 template <typename Rules>
 std::string FirstViolation() {
   for (uint64_t seed = 1; seed <= kSchedules; ++seed) {
     try {
       ScheduleWorld<Rules>(seed).Run(kSteps);
     } catch (const Stall&) {
-      continue;  // wrong too, but not what the rule is there for
+      continue;  // a failure as well, but of liveness, not of safety
     } catch (const Violation& violation) {
       return "seed " + std::to_string(seed) + ": " + violation.what();
     }
--- a/src/dotterelshift/replication/schedule_world.h
+++ b/src/dotterelshift/replication/schedule_world.h
@@ -1,7 +1,8 @@
 #ifndef DOTTERELSHIFT_REPLICATION_SCHEDULE_WORLD_H_
 #define DOTTERELSHIFT_REPLICATION_SCHEDULE_WORLD_H_
 
-// A group of replicas under a seeded schedule of faults; for tests only.
+// Simulates a group of replicas under a seeded schedule of faults. For tests
+// only.
 
 #include <algorithm>  // for max
 #include <array>      // for array
@@ -18,19 +19,21 @@
 
 namespace dotterelshift::replication {
 
-// A property that did not hold.
+// Thrown when a checked property does not hold.
 class Violation : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// The group did not commit again after all faults were gone.
+// Thrown when the group does not commit entries again after all faults have
+// ended.
 class Stall : public Violation {
  public:
   using Violation::Violation;
 };
 
-// What a schedule reached, so that tests can see that it was no idle one.
+// Counts of what a schedule exercised, so that a test can check that it
+// exercised enough.
 struct ScheduleCounts {
   uint64_t committed = 0;
   uint64_t reads = 0;
@@ -40,10 +43,11 @@
   uint64_t installs = 0;
 };
 
-// Three replicas on places; a place's replica may crash (losing what is not
-// synced), restart, or be wiped and replaced. Messages are lost, doubled,
-// reordered and cut. Checks, all along: one leader a term, one history, no
-// accepted entry lost, no stale confirmed read, one lease at a time.
+// Three places, each of which runs one replica at a time. A replica may crash,
+// which loses unsynced writes, restart, or lose its data folder and be replaced
+// by a new one. Messages are lost, duplicated, reordered and blocked by
+// partitions. Checked throughout: one leader per term, one history, no accepted
+// entry lost, no stale confirmed read, at most one lease at a time.
 template <typename Rules>
 class ScheduleWorld {
  public:
@@ -61,8 +65,8 @@
     }
   }
 
-  // Runs the schedule, then lets the group settle and checks that everything
-  // accepted is there.
+  // Runs the schedule, then ends all faults and checks that the group has every
+  // accepted entry.
   ScheduleCounts Run(int steps) {
     for (int step = 0; step < steps; ++step) {
       Step();
@@ -76,15 +80,16 @@
 
  private:
   static constexpr size_t kPlaces = 3;
-  using State = std::vector<std::string>;  // payload by index, from 1
+  using State = std::vector<std::string>;  // payloads by index, starting at 1
 
   struct Place {
-    RestoredLog disk;  // what is synced
+    RestoredLog disk;  // what has been synced
     std::string disk_state;
     std::unique_ptr<Raft<Rules>> node;  // null: crashed
     std::optional<Ready> unsynced;
     State applied;
-    std::map<uint64_t, uint64_t> reads;  // token to the index to be reached
+    std::map<uint64_t, uint64_t>
+        reads;  // by token, the index that the read must reflect
   };
   struct SentFrame {
     ReplicaId from = 0;
@@ -137,7 +142,7 @@
     }
   }
 
-  // Takes what a node wants done; files are synced by a later step.
+  // Processes a node's pending work. Writes are synced in a later step.
   void Pump(Place& place) {
     while (place.node && !place.unsynced) {
       Ready ready = place.node->TakeReady();
@@ -175,11 +180,12 @@
           std::to_string(entry.term) + ":" +
           std::string(entry.payload.begin(), entry.payload.end());
       if (entry.index != place.applied.size() + 1)
-        throw Violation("an entry is skipped");
+        throw Violation("an entry was skipped");
       place.applied.push_back(content);
       if (entry.index > m_history.size()) m_history.push_back(content);
       if (m_history[entry.index - 1] != content)
-        throw Violation("two histories at " + std::to_string(entry.index));
+        throw Violation("replicas applied different entries at index " +
+                        std::to_string(entry.index));
     }
     for (const uint64_t token : ready.reads_confirmed) {
       ++m_counts.reads;
@@ -228,7 +234,7 @@
   void Crash(Place& place) {
     if (!place.node) return;
     ++m_counts.crashes;
-    // What was not synced may have reached the disk all the same.
+    // Unsynced writes may have reached the disk nevertheless.
     if (place.unsynced && Chance(30)) Persist(place, *place.unsynced);
     place.node.reset();
     place.unsynced.reset();
@@ -236,10 +242,10 @@
 
   void DeliverOne() {
     if (m_sent.empty()) return;
-    // Mostly in order, now and then any.
+    // Messages are mostly delivered in order, and sometimes at random.
     const size_t chosen = Chance(70) ? 0 : Draw(m_sent.size());
     const SentFrame sent = m_sent[chosen];
-    if (!Chance(3)) {  // else it comes once more
+    if (!Chance(3)) {  // otherwise it is delivered again
       m_sent.erase(m_sent.begin() + static_cast<std::ptrdiff_t>(chosen));
     }
     if (Chance(m_lossy ? 10 : 0) || IsCut(sent)) return;
@@ -298,8 +304,9 @@
     place.node->OnSnapshotMade(index);
   }
 
-  // Wipes a replica, or goes on with replacing the one wiped last: the old id
-  // is removed, the new one added, and only when it votes may the next be lost.
+  // Makes a replica lose its data folder, or continues the replacement of the
+  // last one that did: its old id is removed and a new one is added. The next
+  // replica may be lost only once the new one is a voter.
   void ReplaceOrRepair() {
     if (!m_lost) {
       Place& place = AnyPlace();
@@ -327,7 +334,8 @@
     Pump(place);
   }
 
-  // Whether the entry that makes the replica a voter is in the history.
+  // Whether the history contains the membership entry that makes the replica a
+  // voter.
   bool CommittedMembersHaveVoter(const Place& place, ReplicaId id) const {
     if (!IsVoter(place.node->Members(), id)) return false;
     const auto payload = EncodeMembership(place.node->Members());
@@ -337,8 +345,8 @@
     return false;
   }
 
-  // Heals everything; the group must then commit again and hold all that was
-  // accepted.
+  // Ends all faults. The group must then commit entries again and have every
+  // accepted entry.
   void Settle() {
     m_cut_off.reset();
     m_lossy = false;
@@ -363,7 +371,7 @@
   void CheckPrefix(const State& state) const {
     for (size_t i = 0; i < state.size(); ++i)
       if (i >= m_history.size() || m_history[i] != state[i])
-        throw Violation("a snapshot holds another history");
+        throw Violation("a snapshot differs from the committed history");
   }
 
   static std::string Encode(const State& state) {
@@ -395,7 +403,7 @@
   bool m_lossy = true;
   std::optional<ReplicaId> m_lost;
   ReplicaId m_replacement = 0;
-  State m_history;  // what any replica has applied
+  State m_history;  // entries that any replica has applied
   std::map<uint64_t, ReplicaId> m_leaders;
   ScheduleCounts m_counts;
 };
--- a/src/dotterelshift/replication/snapshot_policy.cc
+++ b/src/dotterelshift/replication/snapshot_policy.cc
@@ -5,10 +5,11 @@
 namespace dotterelshift::replication {
 namespace {
 
-// How many times more the leader waits for than the first follower.
+// The leader's threshold relative to that of the first follower.
 constexpr uint64_t kLeaderFactor = 2;
 
-// Followers wait for up to twice as much, in steps by their ids.
+// The followers' thresholds are spread from one to just under two times the
+// base value, in this many steps by replica id.
 constexpr uint64_t kSteps = 4;
 
 }  // namespace
--- a/src/dotterelshift/replication/snapshot_policy_test.cc
+++ b/src/dotterelshift/replication/snapshot_policy_test.cc
@@ -29,7 +29,7 @@
     CPPUNIT_ASSERT(!policy.IsDue(false));
   }
 
-  // On a slow host a small log may take long to apply.
+  // On a slow host, applying even a small log may take a long time.
   void TimeSpentOnApplyingMakesOneDue() {
     SnapshotPolicy policy({}, 4);
     policy.OnApplied(1, 999ms);
@@ -41,7 +41,7 @@
     CPPUNIT_ASSERT(policy.IsDue(true));
   }
 
-  // Else a large state would be written all the time.
+  // Otherwise a large state would be written continually.
   void ALargeStateIsWrittenMoreRarely() {
     SnapshotPolicy policy({}, 4);
     policy.OnSnapshot(10 * kMiB, 500ms);
