--- a/include/dotterelshift/orders/order_core.h
+++ b/include/dotterelshift/orders/order_core.h
@@ -14,21 +14,26 @@
 namespace dotterelshift::orders {
 
 struct OrderOptions {
-  int loads_at_once = 2;  // limited by the weight store's bandwidth
-  Duration longest_delivery =
-      10s;  // after this time a sent order can no longer arrive
-  Duration resend =
-      5s;  // resend interval for endpoints that check fencing numbers
-  Duration lease = 3s;  // longest lease that a previous leader may still hold
-  int max_sends = 20;   // then the order is recorded as Lost
+  // Limited by the weight store's bandwidth.
+  int loads_at_once = 2;
+  // After this time a sent order can no longer arrive.
+  Duration longest_delivery = 10s;
+  // Resend interval for endpoints that check fencing numbers. Orders for other
+  // endpoints are resent after `longest_delivery`.
+  Duration resend = 5s;
+  // Longest lease that a previous leader may still hold.
+  Duration lease = 3s;
+  // After this many sends without a result the order is recorded as Lost.
+  int max_sends = 20;
 };
 
 struct OrderAction {
   enum class Kind { kSend, kRecord } kind = Kind::kSend;
   wire::OrderT order;
-  std::string address;  // kSend: address of the endpoint
-  wire::OrderState state =
-      wire::OrderState::Planned;  // kRecord: state to record
+  // For kSend: the address of the endpoint.
+  std::string address;
+  // For kRecord: the state to record.
+  wire::OrderState state = wire::OrderState::Planned;
   std::string detail;
 };
 
--- a/include/dotterelshift/plan/intent.h
+++ b/include/dotterelshift/plan/intent.h
@@ -20,8 +20,8 @@
   std::vector<wire::TopUpT> top_ups;
   std::vector<wire::EndpointSetT> endpoint_sets;
   std::vector<wire::ModelPlacementT> placements;
-  std::vector<wire::ChangeT>
-      removals;  // Remove..., RetireHolder, RemoveReplica
+  // Changes of type Remove..., RetireHolder and RemoveReplica.
+  std::vector<wire::ChangeT> removals;
   std::vector<wire::AddReplicaT> add_replicas;
 };
 
--- a/include/dotterelshift/replication/node.h
+++ b/include/dotterelshift/replication/node.h
@@ -17,10 +17,11 @@
 
 struct NodeOptions {
   Duration heartbeat = 50ms;
-  Duration election_least =
-      300ms;               // the timeout is drawn from [this, 2 * this)
-  Duration lease = 250ms;  // validity of a leader's lease after a quorum's last
-                           // confirmation, with a margin for clock drift
+  // Election timeouts are drawn from [election_least, 2 * election_least).
+  Duration election_least = 300ms;
+  // How long a leader's lease is valid after a quorum's last confirmation.
+  // Shorter than `election_least`, which leaves a margin for clock drift.
+  Duration lease = 250ms;
   size_t max_append_bytes = 256 << 10;
   size_t snapshot_piece_bytes = 256 << 10;
   uint64_t seed = 1;
@@ -54,12 +55,12 @@
   std::optional<HardState> hard_state;
   std::optional<uint64_t> truncate_from;  // drop this entry and all later ones
   std::vector<wire::LogEntryT> append;
-  std::optional<std::pair<SnapshotMeta, std::string>>
-      install;  // replace the log and the state with this snapshot
+  // Snapshot that replaces the log and the state.
+  std::optional<std::pair<SnapshotMeta, std::string>> install;
   std::vector<std::pair<ReplicaId, wire::FrameT>> messages;
   std::vector<wire::LogEntryT> committed;  // to apply, in this order
-  std::vector<uint64_t> reads_confirmed;   // ConfirmLeadership() tokens that a
-                                           // quorum has confirmed
+  // ConfirmLeadership() tokens that a quorum has confirmed.
+  std::vector<uint64_t> reads_confirmed;
   bool leadership_changed = false;
   bool HasWrites() const {
     return hard_state.has_value() || truncate_from.has_value() ||
--- a/src/dotterelshift/replication/node_test.cc
+++ b/src/dotterelshift/replication/node_test.cc
@@ -66,8 +66,8 @@
       node->OnTimer(now);
       const Ready ready = node->TakeReady();
       CPPUNIT_ASSERT_EQUAL(size_t{2}, ready.messages.size());
-      CPPUNIT_ASSERT(
-          !ready.HasWrites());  // a pre-vote does not increase the term
+      // A pre-vote does not increase the term.
+      CPPUNIT_ASSERT(!ready.HasWrites());
       CPPUNIT_ASSERT(!node->Propose("payload", now).has_value());
     }
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, node->Term());
--- a/src/dotterelshift/replication/schedule_world.h
+++ b/src/dotterelshift/replication/schedule_world.h
@@ -88,8 +88,8 @@
     std::unique_ptr<Raft<Rules>> node;  // null: crashed
     std::optional<Ready> unsynced;
     State applied;
-    std::map<uint64_t, uint64_t>
-        reads;  // by token, the index that the read must reflect
+    // By token, the index that the read must reflect.
+    std::map<uint64_t, uint64_t> reads;
   };
   struct SentFrame {
     ReplicaId from = 0;
