--- a/bench/grant_simulation.h
+++ b/bench/grant_simulation.h
@@ -205,7 +205,7 @@
     const budget::BudgetHandle handle = entry.budgets[request.team];
     const ReserveResult result =
         entry.ledger->Reserve(handle, request.worst_case, m_now);
-    const bool late = m_now - request.arrived >= m_deployment.patience;
+    const bool late = m_now - request.arrived >= m_deployment.timeout;
     if (result == ReserveResult::kExhausted ||
         (result == ReserveResult::kWait && late)) {
       Refuse(entry, request);
--- a/bench/grant_simulation_types.h
+++ b/bench/grant_simulation_types.h
@@ -27,7 +27,7 @@
   double small_rate;
   Tokens least_worst_case;
   Tokens most_worst_case;
-  Duration patience;  // how long a request waits for tokens
+  Duration timeout;  // how long a request waits for tokens
 };
 
 // What is varied.
--- a/include/dotterelshift/app/control_link.h
+++ b/include/dotterelshift/app/control_link.h
@@ -110,8 +110,8 @@
  private:
   struct PendingCommand {
     wire::CommandT command;
-    Instant sent{};     // the epoch: not yet
-    Duration patience;  // from then until it is sent again
+    Instant sent{};    // the epoch: not yet
+    Duration timeout;  // from then until it is sent again
   };
   void OnLeaderBeat(const HostId& from, const wire::LeaderBeatT& beat,
                     Instant now);
--- a/include/dotterelshift/gateway/core.h
+++ b/include/dotterelshift/gateway/core.h
@@ -12,7 +12,7 @@
 #include "dotterelshift/base/error.h"            // for ErrorKind
 #include "dotterelshift/base/ids.h"              // for RequestId, AttemptId
 #include "dotterelshift/base/time.h"             // for Instant
-#include "dotterelshift/gateway/drain.h"         // for DrainTimes
+#include "dotterelshift/gateway/drain.h"         // for DrainSchedule
 #include "dotterelshift/gateway/fleet_load.h"    // for FleetLoad
 #include "dotterelshift/gateway/held_grants.h"   // for HeldGrants
 #include "dotterelshift/gateway/request.h"       // for RequestInfo
@@ -28,7 +28,7 @@
 struct CoreOptions {
   // A request is sent this long before its prefill start, to cover the network
   // latency to the endpoint.
-  Duration lead = 2ms;
+  Duration send_lead = 2ms;
   // Time to a stream's first event besides waiting and prefill: the first
   // decoding step and the network round trip. 15 to 30 ms without load.
   Duration first_event_overhead = 30ms;
@@ -40,23 +40,23 @@
   // to 600 ms in a fleet of 86 entries.
   Duration grant_wait = 600ms;
   // `grant_wait` is capped at the caller's timeout divided by this.
-  int grant_wait_part = 8;
+  int grant_wait_divisor = 8;
   // How often the tokens are requested again meanwhile, each time from other
   // entries.
-  Duration budget_again = 20ms;
+  Duration budget_retry_interval = 20ms;
   // A request whose first event would miss its target is still accepted when
   // the event would come within this fraction of the caller's timeout.
-  double late_part = 0.35;
+  double max_wait_fraction = 0.35;
   // Timeout of a caller that gives none.
-  Duration default_patience = 60s;
+  Duration default_caller_timeout = 60s;
   // Idle timeout of a response: an attempt is abandoned when its endpoint has
   // sent nothing for this long and the request may run again elsewhere.
-  Duration silence_borne = 1500ms;
+  Duration response_idle_timeout = 1500ms;
   // Minimum retry delay told to a caller when this entry's outbound link is
   // saturated. Short, as the links of other entries are free.
-  Duration link_retry_after = 50ms;
+  Duration min_link_retry_after = 50ms;
   // Minimum retry delay told to a caller when the whole fleet is full.
-  Duration least_retry_after = 500ms;
+  Duration min_retry_after = 500ms;
   uint64_t seed = 1;  // of the split by weight and the jitter of retry delays
 };
 
@@ -87,7 +87,7 @@
   Duration retry_after = 0s;  // 0: the default of the kind
 };
 // The response of an attempt is complete and is passed on to the caller.
-struct RelayWhole {
+struct RelayResponse {
   RequestId request = 0;
   AttemptId attempt = 0;
 };
@@ -96,7 +96,7 @@
   RequestId request = 0;
   AttemptId attempt = 0;
 };
-struct RelayPiece {
+struct RelayChunk {
   RequestId request = 0;
   std::string bytes;
 };
@@ -117,13 +117,13 @@
 };
 
 using Action = std::variant<StartAttempt, CancelAttempt, WithdrawAttempt,
-                            Refuse, RelayWhole, RelayHead, RelayPiece,
+                            Refuse, RelayResponse, RelayHead, RelayChunk,
                             FinishStream, AbortStream, Decision>;
 
 // Report to control, which counts over the whole fleet: an endpoint broke off
 // while it ran a content, or a content that was suspected before got a complete
 // response.
-struct Suspicion {
+struct SuspectReport {
   uint64_t content_hash = 0;
   EndpointId endpoint;  // empty: the content is cleared of suspicion
   uint64_t incarnation = 0;
@@ -150,17 +150,17 @@
   virtual void OnEndpointsChanged(const directory::Directory& directory,
                                   Instant now) = 0;
   // The entry is shutting down at the given times.
-  virtual void StartDraining(const DrainTimes& times) = 0;
+  virtual void StartDraining(const DrainSchedule& times) = 0;
   // The process exits: ends all open requests, telling each caller whether its
   // request may have run, and refuses new ones.
-  virtual void CutOpen(Instant now) = 0;
+  virtual void AbortOpenRequests(Instant now) = 0;
 
   virtual void OnRequest(RequestId request, RequestInfo info, Instant now) = 0;
   virtual void OnCallerGone(RequestId request, Instant now) = 0;
 
-  virtual void OnHead(AttemptId attempt, int status, const AnswerMarks& marks,
-                      Instant now) = 0;
-  virtual void OnPiece(AttemptId attempt, std::string_view bytes,
+  virtual void OnHead(AttemptId attempt, int status,
+                      const ResponseInfo& response_info, Instant now) = 0;
+  virtual void OnChunk(AttemptId attempt, std::string_view bytes,
                        Instant now) = 0;
   virtual void OnEnd(AttemptId attempt, http::TransferEnd end, Instant now) = 0;
   // No byte of the attempt has left this host or will leave it.
@@ -174,12 +174,12 @@
   virtual std::vector<Action> TakeActions() = 0;
   // Requests that ended since the last call, for the metrics.
   virtual std::vector<serving::RequestSummary> TakeFinished() = 0;
-  virtual std::vector<Suspicion> TakeSuspicions() = 0;
+  virtual std::vector<SuspectReport> TakeSuspectReports() = 0;
   virtual size_t OpenRequests() const = 0;
   virtual LinkQueue WaitingForLink() const = 0;
 };
 
-struct CoreParts {
+struct CoreDependencies {
   FleetLoad* load = nullptr;
   HeldGrants* budgets = nullptr;
   RetryShare* retries = nullptr;
@@ -188,7 +188,7 @@
 };
 
 std::unique_ptr<Core> MakeCore(const CoreOptions& options,
-                               const CoreParts& parts);
+                               const CoreDependencies& parts);
 
 }  // namespace dotterelshift::gateway
 
--- a/include/dotterelshift/gateway/dialect.h
+++ b/include/dotterelshift/gateway/dialect.h
@@ -25,8 +25,8 @@
   // headers itself.
   virtual http::Headers OnwardHeaders(const http::Request& request,
                                       const StartAttempt& start) const = 0;
-  virtual AnswerMarks ReadMarks(int status,
-                                const http::Headers& headers) const = 0;
+  virtual ResponseInfo ReadResponseInfo(int status,
+                                        const http::Headers& headers) const = 0;
 
   // Parses the routes in a published document. Returns nullopt and sets `why`
   // to the reason if the document is not valid.
--- a/include/dotterelshift/gateway/event_scanner.h
+++ b/include/dotterelshift/gateway/event_scanner.h
@@ -17,10 +17,10 @@
 
   // The stream resumes at another endpoint: drops the partial event. Events
   // that were passed on before are skipped when they come again.
-  void Reset() { m_rest.clear(); }
+  void Reset() { m_partial_event.clear(); }
 
   // The bytes of the last, still incomplete event.
-  const std::string& Rest() const { return m_rest; }
+  const std::string& PartialEvent() const { return m_partial_event; }
   // The id of the last event passed on; nullopt if no event had one.
   std::optional<uint64_t> LastId() const { return m_last_id; }
   uint64_t Events() const { return m_events; }
@@ -30,9 +30,9 @@
  private:
   // Records the event. Returns whether it is to be passed on, that is, whether
   // it is not a duplicate.
-  bool Note(std::string_view event);
+  bool Accept(std::string_view event);
 
-  std::string m_rest;
+  std::string m_partial_event;
   std::optional<uint64_t> m_last_id;
   uint64_t m_events = 0;
   bool m_gap = false;
--- a/include/dotterelshift/gateway/fleet_load.h
+++ b/include/dotterelshift/gateway/fleet_load.h
@@ -158,7 +158,7 @@
   bool m_sees_all = true;
   std::unordered_map<EndpointKey, Load> m_loads;
   std::unordered_map<ServiceName, std::vector<EndpointKey>> m_by_service;
-  std::unordered_map<ServiceName, EngineSize> m_engines;
+  std::unordered_map<ServiceName, EngineCapacity> m_engines;
   // Not yet sent to the other entries: sums per endpoint, and prompt segments
   // that are now cached there.
   struct Change {
--- a/include/dotterelshift/gateway/part_cache.h
+++ b/include/dotterelshift/gateway/part_cache.h
@@ -7,7 +7,7 @@
 #include <vector>         // for vector
 
 #include "dotterelshift/base/tokens.h"      // for Tokens
-#include "dotterelshift/gateway/request.h"  // for PromptPart
+#include "dotterelshift/gateway/request.h"  // for PromptSegment
 
 namespace dotterelshift::gateway {
 
@@ -22,7 +22,7 @@
   void Touch(uint64_t part, Tokens tokens);
   // Number of tokens at the front of a prompt that need no prefill: a segment
   // counts only if all segments before it are cached as well.
-  Tokens Held(const std::vector<PromptPart>& parts) const;
+  Tokens Held(const std::vector<PromptSegment>& parts) const;
   void Clear();
 
  private:
--- a/include/dotterelshift/gateway/request.h
+++ b/include/dotterelshift/gateway/request.h
@@ -14,7 +14,7 @@
 
 // A segment of a prompt that other requests may share. An engine that still has
 // it and all segments before it cached does not prefill it again.
-struct PromptPart {
+struct PromptSegment {
   uint64_t hash = 0;
   Tokens tokens = 0;
 };
@@ -23,7 +23,7 @@
 struct Prompt {
   Tokens prompt_tokens = 0;
   Tokens output_limit = 0;
-  std::vector<PromptPart> parts;  // in order; the last one is not shared
+  std::vector<PromptSegment> parts;  // in order; the last one is not shared
 };
 
 // What the gateway reads from a caller's request; the rest is passed on
@@ -34,12 +34,12 @@
   std::string host;
   std::string path;
   std::string key;
-  std::optional<Duration> patience;  // how long the caller waits
+  std::optional<Duration> timeout;  // how long the caller waits
   // When the request's head was received. The epoch: unknown; the time at which
   // the request is handed to the core counts instead.
   Instant begun{};
-  bool kept_connection = false;  // came on a connection that was used before
-  std::string last_event_id;     // of a stream that the caller resumes
+  bool reused_connection = false;  // came on a connection that was used before
+  std::string last_event_id;       // of a stream that the caller resumes
   Prompt prompt;
   uint64_t content_hash = 0;  // of path, key and body
   size_t body_bytes = 0;
@@ -47,11 +47,12 @@
 };
 
 // What the gateway reads from the head of an endpoint's response.
-struct AnswerMarks {
-  std::string echoed_id;  // id of the request that it responds to
-  bool genuine = false;   // carries the endpoint's proof of origin of the body
-  bool not_run = false;   // the endpoint states that it did not run the request
-  bool other_endpoint = false;  // the address belongs to another endpoint now
+struct ResponseInfo {
+  std::string echoed_id;   // id of the request that it responds to
+  bool has_proof = false;  // carries the endpoint's proof of origin of the body
+  bool not_run = false;  // the endpoint states that it did not run the request
+  bool address_reassigned =
+      false;  // the address belongs to another endpoint now
   bool event_stream = false;
   bool encoded = false;  // has a content encoding that was not requested
 };
--- a/include/dotterelshift/gateway/routes.h
+++ b/include/dotterelshift/gateway/routes.h
@@ -27,7 +27,7 @@
 };
 
 // One of the services over which a route's requests are distributed by weight.
-struct ServiceShare {
+struct WeightedService {
   ServiceName service;
   uint32_t weight = 1;
 };
@@ -37,7 +37,7 @@
   std::string host;
   std::string path_prefix;  // starts and ends with a slash
   RouteKind kind = RouteKind::kIdempotent;
-  std::vector<ServiceShare> services;
+  std::vector<WeightedService> services;
   Duration timeout = 0s;     // maximum time to the complete response
   Duration target = 0s;      // to the response, or to a stream's first event
   int priority = 0;          // 0 is the most urgent
@@ -47,7 +47,7 @@
 };
 
 // Capacity of a model engine of a service.
-struct EngineSize {
+struct EngineCapacity {
   uint32_t slots = 1;
   Tokens cache_tokens = 0;
   uint32_t tokens_per_event = 1;  // maximum in one event of a stream
@@ -55,8 +55,8 @@
 
 struct Service {
   ServiceName name;
-  uint32_t max_connections = 0;      // to one endpoint, for all callers
-  std::optional<EngineSize> engine;  // nullopt: a plain service
+  uint32_t max_connections = 0;          // to one endpoint, for all callers
+  std::optional<EngineCapacity> engine;  // nullopt: a plain service
 };
 
 struct TeamAccess {
--- a/include/dotterelshift/routing/seat.h
+++ b/include/dotterelshift/routing/endpoint_state.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHIFT_ROUTING_SEAT_H_
-#define DOTTERELSHIFT_ROUTING_SEAT_H_
+#ifndef DOTTERELSHIFT_ROUTING_ENDPOINT_STATE_H_
+#define DOTTERELSHIFT_ROUTING_ENDPOINT_STATE_H_
 
 #include <cstdint>  // for uint32_t
 #include <string>   // for string
@@ -13,7 +13,7 @@
 
 // Estimates how long a request stays at an endpoint: the time that requests
 // were in flight there divided by the number that ended.
-class HoldMeter {
+class ServiceTimeMeter {
  public:
   // To be called before the count of requests in flight changes from
   // `in_flight`.
@@ -31,7 +31,7 @@
 
 // What an entry knows of one endpoint: its announcement, its lagged load
 // report, and the entry's own measurements.
-struct Seat {
+struct EndpointState {
   EndpointId id;
   uint32_t number = 0;  // unique within one router, never reused
   uint64_t incarnation = 0;
@@ -41,11 +41,11 @@
   double slots = 1;    // requests that it processes concurrently
 
   int in_flight = 0;  // requests of this entry
-  HoldMeter hold;
+  ServiceTimeMeter service_time;
   admission::ConcurrencyLimit limit;
 
   // Requests of other entries, by the last report at the time of its receipt.
-  double others = 0;
+  double other_load = 0;
   Instant reported{};
 
   double first_token_ms = 0;  // moving average of the entry's own requests
@@ -58,14 +58,14 @@
   void TakeReport(const directory::Endpoint& endpoint);
   // Estimated requests of other entries now: the report's weight decays with
   // its age.
-  double OthersNow(Instant now) const;
+  double OtherLoadAt(Instant now) const;
   // Estimated number of all requests at the endpoint.
   double Load(Instant now) const;
   // Whether it may be given one more of this entry's requests.
-  bool HasRoom() const { return in_flight < limit.Current(); }
+  bool HasCapacity() const { return in_flight < limit.Current(); }
   bool IsEjected(Instant now) const { return now < ejected_until; }
 };
 
 }  // namespace dotterelshift::routing
 
-#endif  // DOTTERELSHIFT_ROUTING_SEAT_H_
+#endif  // DOTTERELSHIFT_ROUTING_ENDPOINT_STATE_H_
--- a/include/dotterelshift/routing/outliers.h
+++ b/include/dotterelshift/routing/outliers.h
@@ -3,33 +3,34 @@
 
 #include <vector>  // for vector
 
-#include "dotterelshift/routing/seat.h"  // for Seat
+#include "dotterelshift/routing/endpoint_state.h"  // for EndpointState
 
 namespace dotterelshift::routing {
 
 struct OutlierOptions {
   double slow_factor = 3;      // times the median first-token time of its peers
   double slow_margin_ms = 50;  // and slower than it by at least this
-  int enough_samples = 8;      // before a first-token time is judged
+  int min_samples = 8;         // before a first-token time is judged
   int failures = 3;            // in a row
   Duration first_ejection = 2s;  // doubled with each consecutive ejection
-  Duration longest_ejection = 60s;
-  double most_ejected = 0.34;  // of the endpoints that serve the same target
+  Duration max_ejection = 60s;
+  double max_ejected_fraction =
+      0.34;  // of the endpoints that serve the same target
 };
 
 // Records the time to a response's first token.
-void NoteFirstToken(Seat* seat, double milliseconds);
+void RecordFirstToken(EndpointState* state, double milliseconds);
 
 // Records the end of an attempt. Consecutive failures eject the endpoint.
-void NoteEnd(Seat* seat, bool failed, const OutlierOptions& options,
-             Instant now);
+void RecordAttemptEnd(EndpointState* state, bool failed,
+                      const OutlierOptions& options, Instant now);
 
 // Ejects for a time the slow ones among the endpoints that serve the same
-// target, never more of them than OutlierOptions::most_ejected, so that the
-// others can carry the load. After an ejection an endpoint starts without
+// target, never more of them than OutlierOptions::max_ejected_fraction, so that
+// the others can carry the load. After an ejection an endpoint starts without
 // measurements.
-void EjectSlow(const std::vector<Seat*>& kin, const OutlierOptions& options,
-               Instant now);
+void EjectSlow(const std::vector<EndpointState*>& peers,
+               const OutlierOptions& options, Instant now);
 
 }  // namespace dotterelshift::routing
 
--- a/include/dotterelshift/routing/policy.h
+++ b/include/dotterelshift/routing/policy.h
@@ -7,9 +7,9 @@
 #include <cstdint>    // for uint64_t
 #include <vector>     // for vector
 
-#include "dotterelshift/routing/prefix_index.h"  // for PrefixMatch
-#include "dotterelshift/routing/router.h"        // for RouteQuery
-#include "dotterelshift/routing/seat.h"          // for Seat
+#include "dotterelshift/routing/endpoint_state.h"  // for EndpointState
+#include "dotterelshift/routing/prefix_index.h"    // for PrefixMatch
+#include "dotterelshift/routing/router.h"          // for RouteQuery
 
 namespace dotterelshift::routing {
 
@@ -32,50 +32,53 @@
 };
 
 // Input of one selection: the candidate endpoints and the request to route.
-struct Slate {
-  const std::vector<Seat*>* seats = nullptr;  // all that serve the target
+struct SelectionContext {
+  const std::vector<EndpointState*>* endpoints =
+      nullptr;  // all that serve the target
   const RouteQuery* query = nullptr;
   const directory::Directory* directory = nullptr;
-  // The candidates that are believed to have `cached_part` of the prompt
+  // The candidates that are believed to have `cached_fraction` of the prompt
   // cached.
-  std::array<Seat*, PrefixMatch::kMost> holders{};
+  std::array<EndpointState*, PrefixMatch::kMax> holders{};
   size_t holder_count = 0;
-  double cached_part = 0;
-  Duration far_penalty = 0s;
+  double cached_fraction = 0;
+  Duration remote_penalty = 0s;
   double first_token_ms = 0;  // moving average over all endpoints
   Instant now{};
 
   // Whether the endpoint may be chosen now.
-  bool Admits(const Seat& seat) const {
-    if (!seat.usable || seat.IsEjected(now) || !seat.HasRoom()) return false;
+  bool Admits(const EndpointState& state) const {
+    if (!state.usable || state.IsEjected(now) || !state.HasCapacity())
+      return false;
     if (query->exclude == nullptr) return true;
     const std::vector<EndpointId>& exclude = *query->exclude;
-    return std::find(exclude.begin(), exclude.end(), seat.id) == exclude.end();
+    return std::find(exclude.begin(), exclude.end(), state.id) == exclude.end();
   }
 
   // Returns a random endpoint that may be chosen. After a few rejected draws it
   // takes the next admissible one in order. Null if there is none.
-  Seat* Sample(Random* random) const;
+  EndpointState* Sample(Random* random) const;
 
   // The fraction of the prompt that the endpoint is believed to have cached.
-  double CachedPart(const Seat& seat) const;
+  double CachedFraction(const EndpointState& state) const;
 
   // The expected time to the first token at the endpoint, in milliseconds: the
   // wait for a slot, the prefill concurrent with the other requests there, and
   // the network latency.
-  double Estimate(Seat* seat) const;
+  double Estimate(EndpointState* state) const;
 };
 
 // A policy picks one of the admitted endpoints; null if none is admitted.
 template <typename T>
-concept Policy = requires(T policy, const Slate& slate, Random* random) {
-  { policy.Pick(slate, random) } -> std::same_as<Seat*>;
+concept Policy = requires(T policy, const SelectionContext& context,
+                          Random* random) {
+  { policy.Pick(context, random) } -> std::same_as<EndpointState*>;
 };
 
 // Picks each endpoint in turn, regardless of its load.
 class RoundRobin {
  public:
-  Seat* Pick(const Slate& slate, Random* random);
+  EndpointState* Pick(const SelectionContext& context, Random* random);
 
  private:
   size_t m_next = 0;
@@ -84,7 +87,7 @@
 // Picks the endpoint with the fewest of this entry's requests in flight.
 class LeastInFlight {
  public:
-  Seat* Pick(const Slate& slate, Random* random);
+  EndpointState* Pick(const SelectionContext& context, Random* random);
 };
 
 // Picks the endpoint with the shortest expected time to the first token among
@@ -92,17 +95,17 @@
 template <int kSamples>
 class BestOf {
  public:
-  Seat* Pick(const Slate& slate, Random* random) {
-    Seat* best = slate.Sample(random);
+  EndpointState* Pick(const SelectionContext& context, Random* random) {
+    EndpointState* best = context.Sample(random);
     if (best == nullptr) return nullptr;
-    double least = slate.Estimate(best);
+    double minimum = context.Estimate(best);
     for (int i = 1; i < kSamples; ++i) {
-      Seat* seat = slate.Sample(random);
-      if (seat == best) continue;
-      const double estimate = slate.Estimate(seat);
-      if (estimate >= least) continue;
-      least = estimate;
-      best = seat;
+      EndpointState* state = context.Sample(random);
+      if (state == best) continue;
+      const double estimate = context.Estimate(state);
+      if (estimate >= minimum) continue;
+      minimum = estimate;
+      best = state;
     }
     return best;
   }
@@ -116,7 +119,7 @@
 // of the fallback's choice.
 class PrefixAffinity {
  public:
-  Seat* Pick(const Slate& slate, Random* random);
+  EndpointState* Pick(const SelectionContext& context, Random* random);
 
  private:
   SixChoices m_fallback;
@@ -127,21 +130,21 @@
 template <Policy Inner>
 class LocalFirst {
  public:
-  Seat* Pick(const Slate& slate, Random* random) {
+  EndpointState* Pick(const SelectionContext& context, Random* random) {
     m_local.clear();
-    for (Seat* seat : *slate.seats) {
-      const bool free = seat->local && seat->Load(slate.now) < seat->slots;
-      if (free && slate.Admits(*seat)) m_local.push_back(seat);
+    for (EndpointState* state : *context.endpoints) {
+      const bool free = state->local && state->Load(context.now) < state->slots;
+      if (free && context.Admits(*state)) m_local.push_back(state);
     }
-    if (m_local.empty()) return m_inner.Pick(slate, random);
-    Slate local = slate;
-    local.seats = &m_local;
+    if (m_local.empty()) return m_inner.Pick(context, random);
+    SelectionContext local = context;
+    local.endpoints = &m_local;
     return m_inner.Pick(local, random);
   }
 
  private:
   Inner m_inner;
-  std::vector<Seat*> m_local;
+  std::vector<EndpointState*> m_local;
 };
 
 static_assert(Policy<RoundRobin>);
--- a/include/dotterelshift/routing/router.h
+++ b/include/dotterelshift/routing/router.h
@@ -60,7 +60,7 @@
   bool eject_outliers = true;
   DataCentreId data_centre;  // of this entry
   uint64_t seed = 1;
-  Duration far_penalty = 3ms;  // extra latency of another data centre
+  Duration remote_penalty = 3ms;  // extra latency of another data centre
 };
 
 // Chooses endpoints and tracks the state of each: this entry's requests in
--- a/include/dotterelshift/serving/core.h
+++ b/include/dotterelshift/serving/core.h
@@ -33,7 +33,7 @@
                  Instant now) override;
   void OnCallerGone(RequestId id, Instant now) override;
   void OnAttemptHead(AttemptId attempt, int status, Instant now) override;
-  PieceVerdict OnPiece(AttemptId id, const Piece& piece, Instant now) override;
+  PieceVerdict OnChunk(AttemptId id, const Piece& piece, Instant now) override;
   void OnAttemptEnd(AttemptId id, AttemptEnd end, Instant now) override;
   void OnAnswer(const wire::CommandAnswerT& answer, Instant now) override;
   void OnSpooled(const wire::CommandIdT& id, Instant now) override;
--- a/include/dotterelshift/serving/request_core.h
+++ b/include/dotterelshift/serving/request_core.h
@@ -158,7 +158,7 @@
   virtual void OnCallerGone(RequestId request, Instant now) = 0;
 
   virtual void OnAttemptHead(AttemptId attempt, int status, Instant now) = 0;
-  virtual PieceVerdict OnPiece(AttemptId attempt, const Piece& piece,
+  virtual PieceVerdict OnChunk(AttemptId attempt, const Piece& piece,
                                Instant now) = 0;
   virtual void OnAttemptEnd(AttemptId attempt, AttemptEnd end, Instant now) = 0;
 
--- a/src/dotterelshift/app/control_link.cc
+++ b/src/dotterelshift/app/control_link.cc
@@ -86,7 +86,7 @@
   m_leader = from;
   m_unsent.clear();
   for (auto& [sequence, waiting] : m_unanswered) {
-    waiting.patience = m_options.resend_after;
+    waiting.timeout = m_options.resend_after;
     m_unsent.push_back(sequence);
   }
 }
@@ -212,11 +212,11 @@
                                 Instant now) const {
   for (auto& [sequence, waiting] : commands) {
     const bool overdue =
-        waiting.sent != Instant{} && now - waiting.sent >= waiting.patience;
+        waiting.sent != Instant{} && now - waiting.sent >= waiting.timeout;
     if (!overdue) continue;
     // Not marked once more before it has left.
     waiting.sent = {};
-    waiting.patience = std::min(waiting.patience * 2, m_options.resend_most);
+    waiting.timeout = std::min(waiting.timeout * 2, m_options.resend_most);
     unsent->push_back(sequence);
   }
 }
--- a/src/dotterelshift/app/gateway_entry.cc
+++ b/src/dotterelshift/app/gateway_entry.cc
@@ -15,7 +15,7 @@
 #include "dotterelshift/app/other_entries.h"       // for OtherEntries
 #include "dotterelshift/app/registration.h"        // for Registration
 #include "dotterelshift/callers/front.h"           // for AnswerError
-#include "dotterelshift/gateway/drain.h"           // for PlanDrain
+#include "dotterelshift/gateway/drain.h"           // for MakeDrainSchedule
 #include "dotterelshift/telemetry/log.h"           // for Log
 
 namespace dotterelshift::app {
@@ -41,7 +41,7 @@
  private:
   void StartServers();
   peers::HubCallbacks HubCallbacks();
-  gateway::CoreParts Parts();
+  gateway::CoreDependencies Parts();
   void OnExchange(std::shared_ptr<http::Exchange> exchange);
   void OnHealth(http::Exchange& exchange);
   void OnPeerFrame(const peers::PeerInfo& peer, const wire::FrameT& frame);
@@ -58,7 +58,7 @@
   bool MayKeep(size_t silent) const;
   LinkGuard::Traffic LinkTraffic() const;
   void SendToPeers();
-  void ProposeSuspicion(const gateway::Suspicion& suspicion);
+  void ProposeSuspicion(const gateway::SuspectReport& suspicion);
   void CheckDrained();
   void EndAnswers(bool drained);
   void ReturnHoldings();
@@ -96,7 +96,7 @@
   uint64_t m_seen_version = 0;  // of the newest that came, readable or not
   std::shared_ptr<const gateway::RouteTable> m_routes;
   size_t m_entries = 1;
-  std::optional<gateway::DrainTimes> m_drain;
+  std::optional<gateway::DrainSchedule> m_drain;
   std::optional<Instant> m_returning_since;
   loop::Timer m_tick;
   loop::PrepareWatcher m_prepare;
@@ -142,7 +142,7 @@
   m_tick.ArmIn(0ms);
 }
 
-gateway::CoreParts GatewayEntry::Parts() {
+gateway::CoreDependencies GatewayEntry::Parts() {
   return {&m_load, &m_budgets, &m_retries, &m_blocklist, &m_pacer};
 }
 
@@ -351,7 +351,7 @@
     for (wire::CommandT& command : m_budgets.TakeCommands(now))
       m_link.Propose(std::move(command));
   }
-  for (const gateway::Suspicion& suspicion : m_core->TakeSuspicions())
+  for (const gateway::SuspectReport& suspicion : m_core->TakeSuspectReports())
     ProposeSuspicion(suspicion);
   for (const auto& [host, frame] : m_link.TakeFrames(now))
     m_hub->Send(host, frame);
@@ -360,7 +360,7 @@
   m_others->SendNotes(m_load, now);
 }
 
-void GatewayEntry::ProposeSuspicion(const gateway::Suspicion& suspicion) {
+void GatewayEntry::ProposeSuspicion(const gateway::SuspectReport& suspicion) {
   wire::CommandT command;
   command.id = NextId();
   if (suspicion.endpoint.empty()) {
@@ -428,8 +428,8 @@
   if (m_drain) return;
   telemetry::Log(telemetry::LogLevel::kInfo, "shutdown_begun",
                  {{"open", std::to_string(m_core->OpenRequests())}});
-  m_drain = gateway::PlanDrain(m_loop.Now(), m_settings.shutdown_notice,
-                               m_settings.shutdown_limit);
+  m_drain = gateway::MakeDrainSchedule(m_loop.Now(), m_settings.shutdown_notice,
+                                       m_settings.shutdown_limit);
   m_core->StartDraining(*m_drain);
 }
 
@@ -438,13 +438,13 @@
   const Instant now = m_loop.Now();
   if (!m_returning_since) {
     const bool drained = now > m_drain->notice_end && !HasOpen();
-    if (drained || now >= m_drain->last_answer) EndAnswers(drained);
+    if (drained || now >= m_drain->response_deadline) EndAnswers(drained);
     return;
   }
   // What control does not take back now is lost with this run, and a caller
   // that has not taken its refusal does not know that it may ask again.
   const bool returned = m_link.Idle();
-  const Duration reporting = m_drain->exit - m_drain->last_answer;
+  const Duration reporting = m_drain->exit - m_drain->response_deadline;
   const Instant last = std::min(m_drain->exit, *m_returning_since + reporting);
   if ((!returned || HasOpen()) && now < last) return;
   telemetry::Log(telemetry::LogLevel::kInfo, "shutdown_done",
@@ -472,7 +472,7 @@
                   {"open", std::to_string(m_core->OpenRequests())},
                   {"answers", std::to_string(answers)},
                   {"exchanges", std::to_string(exchanges)}});
-  m_core->CutOpen(m_loop.Now());
+  m_core->AbortOpenRequests(m_loop.Now());
   m_traffic->Pump();
   ReturnHoldings();
 }
--- a/src/dotterelshift/app/gateway_traffic.cc
+++ b/src/dotterelshift/app/gateway_traffic.cc
@@ -73,7 +73,7 @@
   const RequestId id = ++m_last_request;
   gateway::RequestInfo info = m_dialect.ReadRequestInfo(exchange->GetRequest());
   info.begun = exchange->GetRequest().begun;
-  info.kept_connection = exchange->GetRequest().kept;
+  info.reused_connection = exchange->GetRequest().kept;
   info.onward_bytes = OnwardBytes(exchange->GetRequest());
   exchange->OnGone([this, id] { OnGone(id); });
   exchange->OnDrained([this, id] { OnDrained(id); });
@@ -142,7 +142,7 @@
     OnHead(attempt, status, headers);
   };
   callbacks.on_piece = [this, attempt](std::string_view piece) {
-    return OnPiece(attempt, piece);
+    return OnChunk(attempt, piece);
   };
   callbacks.on_end = [this, attempt](http::TransferEnd end) {
     OnEnd(attempt, end);
@@ -178,19 +178,19 @@
   transfer.status = status;
   transfer.headers = headers;
   m_answer_bytes += http::BytesOf(headers) + gateway::kPacketHeadBytes;
-  m_core.OnHead(attempt, status, m_dialect.ReadMarks(status, headers),
+  m_core.OnHead(attempt, status, m_dialect.ReadResponseInfo(status, headers),
                 m_loop.Now());
   Pump();
 }
 
-bool GatewayTraffic::OnPiece(AttemptId attempt, std::string_view piece) {
+bool GatewayTraffic::OnChunk(AttemptId attempt, std::string_view piece) {
   // An event of a stream is a packet of its own.
   m_answer_bytes += piece.size() + gateway::kPacketHeadBytes;
   const auto transfer = m_transfers.find(attempt);
   if (transfer == m_transfers.end()) return true;
   if (!transfer->second.streamed) transfer->second.body.append(piece);
   const RequestId request = transfer->second.request;
-  m_core.OnPiece(attempt, piece, m_loop.Now());
+  m_core.OnChunk(attempt, piece, m_loop.Now());
   Pump();
   const auto open = m_open.find(request);
   if (open == m_open.end() || open->second.streaming != attempt) return true;
@@ -282,7 +282,7 @@
   exchange->Answer(status, headers, std::move(body));
 }
 
-void GatewayTraffic::CarryOut(const gateway::RelayWhole& relay) {
+void GatewayTraffic::CarryOut(const gateway::RelayResponse& relay) {
   const auto exchange = Take(relay.request);
   const auto transfer = m_transfers.find(relay.attempt);
   if (exchange == nullptr || transfer == m_transfers.end()) return;
@@ -304,7 +304,7 @@
       answer.status, AnswerHeaders(answer.headers, open->second.keeps));
 }
 
-void GatewayTraffic::CarryOut(const gateway::RelayPiece& relay) {
+void GatewayTraffic::CarryOut(const gateway::RelayChunk& relay) {
   const auto open = m_open.find(relay.request);
   if (open != m_open.end()) open->second.exchange->SendPiece(relay.bytes);
 }
--- a/src/dotterelshift/app/gateway_traffic.h
+++ b/src/dotterelshift/app/gateway_traffic.h
@@ -79,7 +79,7 @@
   void OnGone(RequestId request);
   void OnDrained(RequestId request);
   void OnHead(AttemptId attempt, int status, const http::Headers& headers);
-  bool OnPiece(AttemptId attempt, std::string_view piece);
+  bool OnChunk(AttemptId attempt, std::string_view piece);
   void OnEnd(AttemptId attempt, http::TransferEnd end);
   void OnHandedOver(AttemptId attempt, const http::HandOver& what);
   SendKind NextSendOf(const Transfer& transfer);
@@ -91,9 +91,9 @@
   void CarryOut(const gateway::CancelAttempt& cancel);
   void CarryOut(const gateway::WithdrawAttempt& withdraw);
   void CarryOut(const gateway::Refuse& refuse);
-  void CarryOut(const gateway::RelayWhole& relay);
+  void CarryOut(const gateway::RelayResponse& relay);
   void CarryOut(const gateway::RelayHead& relay);
-  void CarryOut(const gateway::RelayPiece& relay);
+  void CarryOut(const gateway::RelayChunk& relay);
   void CarryOut(const gateway::FinishStream& finish);
   void CarryOut(const gateway::AbortStream& abort);
   void CarryOut(const gateway::Decision& decision) const;
--- a/src/dotterelshift/app/gateway_traffic_test.cc
+++ b/src/dotterelshift/app/gateway_traffic_test.cc
@@ -93,15 +93,15 @@
     ++m_attempts;
     return {{"host", "h"}};
   }
-  gateway::AnswerMarks ReadMarks(int,
-                                 const http::Headers& headers) const override {
-    gateway::AnswerMarks marks;
-    marks.genuine = true;
+  gateway::ResponseInfo ReadResponseInfo(
+      int, const http::Headers& headers) const override {
+    gateway::ResponseInfo response_info;
+    response_info.has_proof = true;
     for (const auto& [name, value] : headers) {
-      if (name == "x-id") marks.echoed_id = value;
-      if (name == "content-type") marks.event_stream = true;
+      if (name == "x-id") response_info.echoed_id = value;
+      if (name == "content-type") response_info.event_stream = true;
     }
-    return marks;
+    return response_info;
   }
   std::optional<gateway::Routes> ReadRoutes(std::string_view,
                                             std::string*) const override {
--- a/src/dotterelshift/app/request_traffic.cc
+++ b/src/dotterelshift/app/request_traffic.cc
@@ -60,7 +60,7 @@
   };
   events.on_piece = [this](AttemptId attempt, const serving::Piece& piece,
                            std::string_view bytes) {
-    return OnPiece(attempt, piece, bytes);
+    return OnChunk(attempt, piece, bytes);
   };
   events.on_end = [this](AttemptId attempt, serving::AttemptEnd end) {
     m_core.OnAttemptEnd(attempt, end, m_loop.Now());
@@ -69,10 +69,10 @@
   return events;
 }
 
-bool RequestTraffic::OnPiece(AttemptId attempt, const serving::Piece& piece,
+bool RequestTraffic::OnChunk(AttemptId attempt, const serving::Piece& piece,
                              std::string_view bytes) {
   const Instant now = m_loop.Now();
-  const serving::PieceVerdict verdict = m_core.OnPiece(attempt, piece, now);
+  const serving::PieceVerdict verdict = m_core.OnChunk(attempt, piece, now);
   bool go_on = true;
   const auto found = m_active.find(attempt);
   if (verdict == serving::PieceVerdict::kForward && found != m_active.end()) {
--- a/src/dotterelshift/app/request_traffic.h
+++ b/src/dotterelshift/app/request_traffic.h
@@ -53,7 +53,7 @@
 
   callers::FrontEvents MakeFrontEvents();
   endpoints::AttemptEvents MakeAttemptEvents();
-  bool OnPiece(AttemptId attempt, const serving::Piece& piece,
+  bool OnChunk(AttemptId attempt, const serving::Piece& piece,
                std::string_view bytes);
   void OnDrained(RequestId request);
   void SendHead(ActiveRequest& flight);
--- a/src/dotterelshift/gateway/active_request.h
+++ b/src/dotterelshift/gateway/active_request.h
@@ -12,15 +12,15 @@
 
 // Maximum number of times that one request is sent to an endpoint, including
 // attempts that were refused, withdrawn or failed to connect.
-inline constexpr uint32_t kMostSends = 4;
+inline constexpr uint32_t kMaxSends = 4;
 
 enum class Stage : uint8_t {
   kWaitsForBudget,
-  kWaitsForPlace,  // all endpoints are full
-  kWaitsForLink,   // an endpoint is free, but the outbound link is saturated
-  kBooked,         // has a slot reserved; is sent at its prefill start, once
-                   // the outbound link has capacity
-  kRunning,        // sent; the response has not begun to be relayed
+  kWaitsForEndpoint,  // all endpoints are full
+  kWaitsForLink,      // an endpoint is free, but the outbound link is saturated
+  kSlotReserved,      // has a slot reserved; is sent at its prefill start, once
+                      // the outbound link has capacity
+  kRunning,           // sent; the response has not begun to be relayed
   kAnswering,
 };
 
@@ -30,10 +30,10 @@
   Placement placement;
   EndpointContact endpoint;
   Instant sent{};
-  Instant heard{};  // when bytes were last received
-  bool head_seen = false;
+  Instant last_received{};  // when bytes were last received
+  bool head_received = false;
   int status = 0;
-  AnswerMarks marks;
+  ResponseInfo response_info;
   uint64_t events = 0;  // passed on to the caller
 };
 
@@ -55,19 +55,19 @@
   TeamId team;
   int priority = 0;
   Instant arrived{};
-  Instant deadline{};    // the earlier one of the caller's and the route's
-  Instant target{};      // for a stream's first event, or for the response
-  Instant wait_until{};  // end of the wait for tokens or for an endpoint
-  Instant
-      link_since{};  // queued for the link since then; the epoch: not queued
-  Instant link_until{};  // end of this attempt's wait for the outbound link
-  Duration link_waited = 0s;  // wait for the link so far, of this attempt
-  Instant due{};              // when its timer expires
+  Instant deadline{};        // the earlier one of the caller's and the route's
+  Instant target{};          // for a stream's first event, or for the response
+  Instant wait_until{};      // end of the wait for tokens or for an endpoint
+  Instant link_queued_at{};  // queued for the link since then; the epoch: not
+                             // queued
+  Instant link_deadline{};   // end of this attempt's wait for the outbound link
+  Duration link_wait = 0s;   // wait for the link so far, of this attempt
+  Instant due{};             // when its timer expires
   Stage stage = Stage::kWaitsForBudget;
   Tokens reserved = 0;
   bool has_reservation = false;
   bool may_have_run = false;  // an endpoint may have run it
-  bool prompt_read = false;   // an endpoint has prefilled its prompt
+  bool prefilled = false;     // an endpoint has prefilled its prompt
   uint32_t sends = 0;
   uint32_t runs = 0;  // attempts that may have run
   Instant send_at{};
--- a/src/dotterelshift/gateway/core.cc
+++ b/src/dotterelshift/gateway/core.cc
@@ -11,24 +11,26 @@
 void CoreImpl::OnRoutes(std::shared_ptr<const RouteTable> routes,
                         size_t entries, Instant now) {
   m_routes = std::move(routes);
-  m_parts.load->OnRoutes(*m_routes);
-  m_parts.budgets->OnRoutes(*m_routes, entries, now);
-  m_parts.retries->SetEntries(entries);
+  m_dependencies.load->OnRoutes(*m_routes);
+  m_dependencies.budgets->OnRoutes(*m_routes, entries, now);
+  m_dependencies.retries->SetEntries(entries);
 }
 
 void CoreImpl::OnEndpointsChanged(const directory::Directory& directory,
                                   Instant now) {
-  m_parts.load->OnDirectory(directory);
-  std::vector<RequestId> at_leaving;
+  m_dependencies.load->OnDirectory(directory);
+  std::vector<RequestId> on_leaving_endpoints;
   for (const auto& [id, active] : m_active) {
-    const bool there =
-        active.stage == Stage::kBooked ||
-        (active.stage == Stage::kRunning && !active.attempt.head_seen);
-    if (there && m_parts.load->IsLeaving(active.attempt.placement.endpoint))
-      at_leaving.push_back(id);
+    const bool not_answered =
+        active.stage == Stage::kSlotReserved ||
+        (active.stage == Stage::kRunning && !active.attempt.head_received);
+    if (not_answered &&
+        m_dependencies.load->IsLeaving(active.attempt.placement.endpoint))
+      on_leaving_endpoints.push_back(id);
   }
-  std::sort(at_leaving.begin(), at_leaving.end());
-  for (const RequestId id : at_leaving) LeaveEndpoint(m_active.at(id), now);
+  std::sort(on_leaving_endpoints.begin(), on_leaving_endpoints.end());
+  for (const RequestId id : on_leaving_endpoints)
+    LeaveEndpoint(m_active.at(id), now);
 }
 
 void CoreImpl::OnRequest(RequestId request, RequestInfo info, Instant now) {
@@ -42,8 +44,8 @@
   active.routes = m_routes;
   ErrorKind error = FindRoute(active);
   if (error == ErrorKind::kNone) error = FindTeam(active);
-  if (error == ErrorKind::kNone && m_parts.blocklist != nullptr &&
-      m_parts.blocklist->BlockedFor(active.info.content_hash, now))
+  if (error == ErrorKind::kNone && m_dependencies.blocklist != nullptr &&
+      m_dependencies.blocklist->BlockedFor(active.info.content_hash, now))
     error = ErrorKind::kQuarantined;
   if (error != ErrorKind::kNone) return Fail(active, error, 0s, now);
   Admit(active, now);
@@ -73,38 +75,40 @@
   SetTimes(active);
   if (now >= active.deadline)
     return Fail(active, ErrorKind::kOverloaded, 0s, now);
-  if (OutlastsTheStop(active, now))
+  if (OutlivesDrain(active, now))
     return Fail(active, ErrorKind::kDraining, 0s, now);
   active.service = PickService(*active.route);
-  m_parts.retries->OnRequest(active.service, now);
+  m_dependencies.retries->OnRequest(active.service, now);
   ReserveBudget(active, now);
 }
 
 // After the notice period only requests are accepted whose own deadline is
 // before the end of the shutdown: the process's exit would truncate the
 // response of any other, which another entry can deliver completely.
-bool CoreImpl::OutlastsTheStop(const ActiveRequest& active, Instant now) const {
+bool CoreImpl::OutlivesDrain(const ActiveRequest& active, Instant now) const {
   return m_drain && now > m_drain->notice_end &&
-         active.deadline > m_drain->last_answer;
+         active.deadline > m_drain->response_deadline;
 }
 
 void CoreImpl::SetTimes(ActiveRequest& active) const {
-  const Duration patience =
-      active.info.patience.value_or(m_options.default_patience);
-  active.deadline = active.arrived + std::min(patience, active.route->timeout);
+  const Duration timeout =
+      active.info.timeout.value_or(m_options.default_caller_timeout);
+  active.deadline = active.arrived + std::min(timeout, active.route->timeout);
   active.target = active.arrived + active.route->target;
 }
 
 ServiceName CoreImpl::PickService(const Route& route) {
   const auto& shares = route.services;
   if (shares.size() == 1) return shares.front().service;
-  const uint64_t sum = std::accumulate(
-      shares.begin(), shares.end(), uint64_t{0},
-      [](uint64_t total, const ServiceShare& s) { return total + s.weight; });
-  uint64_t drawn = sum == 0 ? 0 : m_random() % sum;
-  for (const ServiceShare& share : shares) {
-    if (drawn < share.weight) return share.service;
-    drawn -= share.weight;
+  const uint64_t sum =
+      std::accumulate(shares.begin(), shares.end(), uint64_t{0},
+                      [](uint64_t total, const WeightedService& s) {
+                        return total + s.weight;
+                      });
+  uint64_t remainder = sum == 0 ? 0 : m_random() % sum;
+  for (const WeightedService& share : shares) {
+    if (remainder < share.weight) return share.service;
+    remainder -= share.weight;
   }
   return shares.empty() ? ServiceName() : shares.back().service;
 }
@@ -113,7 +117,7 @@
   const Tokens worst_case =
       active.info.prompt.prompt_tokens + active.info.prompt.output_limit;
   if (worst_case == 0 || active.team.empty()) return Place(active, now);
-  switch (m_parts.budgets->Reserve(active.team, worst_case, now)) {
+  switch (m_dependencies.budgets->Reserve(active.team, worst_case, now)) {
     case BudgetAnswer::kReserved:
       active.reserved = worst_case;
       active.has_reservation = true;
@@ -131,23 +135,25 @@
     active.wait_until =
         std::min(now + BudgetWait(active, now), active.deadline);
   active.stage = Stage::kWaitsForBudget;
-  SetDue(active, std::min(active.wait_until, now + m_options.budget_again));
+  SetTimer(active,
+           std::min(active.wait_until, now + m_options.budget_retry_interval));
 }
 
 Duration CoreImpl::BudgetWait(const ActiveRequest& active, Instant now) const {
   const Tokens worst_case =
       active.info.prompt.prompt_tokens + active.info.prompt.output_limit;
-  if (!m_parts.budgets->GrantIsLikely(active.team, worst_case, now))
+  if (!m_dependencies.budgets->GrantIsLikely(active.team, worst_case, now))
     return m_options.budget_wait;
-  const Duration patience = active.deadline - active.arrived;
-  const Duration most = patience / m_options.grant_wait_part;
-  return std::max(m_options.budget_wait, std::min(m_options.grant_wait, most));
+  const Duration timeout = active.deadline - active.arrived;
+  const Duration maximum = timeout / m_options.grant_wait_divisor;
+  return std::max(m_options.budget_wait,
+                  std::min(m_options.grant_wait, maximum));
 }
 
 void CoreImpl::FailForBudget(ActiveRequest& active, ErrorKind kind,
                              Instant now) {
   const HeldGrants::Position position =
-      m_parts.budgets->PositionOf(active.team, now);
+      m_dependencies.budgets->PositionOf(active.team, now);
   const Tokens needed =
       active.info.prompt.prompt_tokens + active.info.prompt.output_limit;
   Log("budget_short", active,
@@ -158,8 +164,8 @@
        {"demand_per_second", std::to_string(position.demand_per_second)},
        {"left_elsewhere", std::to_string(position.left_elsewhere)},
        {"left_age_ms", std::to_string(ToMs(position.left_age))}});
-  const bool later = kind == ErrorKind::kBudgetUnavailable;
-  Fail(active, kind, later ? RetryAfter(active, 0s, now) : 0s, now);
+  const bool retryable = kind == ErrorKind::kBudgetUnavailable;
+  Fail(active, kind, retryable ? RetryAfter(active, 0s, now) : 0s, now);
 }
 
 void CoreImpl::OnBudgetChanged(Instant now) {
@@ -176,22 +182,22 @@
 void CoreImpl::OnCallerGone(RequestId request, Instant now) {
   const auto found = m_active.find(request);
   if (found == m_active.end()) return;
-  CancelAttemptOf(found->second);
+  CancelAttemptIfSent(found->second);
   Finish(found->second, ErrorKind::kCallerGone, false, now);
 }
 
 // Open requests get an error response, as a caller whose connection is just
 // closed can't tell whether its request ran.
-void CoreImpl::CutOpen(Instant now) {
+void CoreImpl::AbortOpenRequests(Instant now) {
   m_stopped = true;
   std::vector<RequestId> open;
   for (const auto& [id, active] : m_active) open.push_back(id);
   std::sort(open.begin(), open.end());
-  for (const RequestId id : open) CutByStop(m_active.at(id), now);
+  for (const RequestId id : open) AbortForShutdown(m_active.at(id), now);
 }
 
-void CoreImpl::CutByStop(ActiveRequest& active, Instant now) {
-  CancelAttemptOf(active);
+void CoreImpl::AbortForShutdown(ActiveRequest& active, Instant now) {
+  CancelAttemptIfSent(active);
   Log("cut_by_own_stop", active,
       {{"taken_ms_ago", std::to_string(ToMs(now - active.arrived))},
        {"sends", std::to_string(active.sends)},
@@ -203,51 +209,52 @@
 }
 
 void CoreImpl::OnTimer(Instant now) {
-  while (!m_due.empty() && m_due.begin()->first <= now) {
-    const RequestId request = m_due.begin()->second;
-    m_due.erase(m_due.begin());
+  while (!m_timers.empty() && m_timers.begin()->first <= now) {
+    const RequestId request = m_timers.begin()->second;
+    m_timers.erase(m_timers.begin());
     const auto found = m_active.find(request);
     if (found == m_active.end()) continue;
     found->second.due = {};
-    OnDue(found->second, now);
+    OnTimerExpired(found->second, now);
   }
   // After the expired requests, so that none of them is sent.
   SendWaiting(now);
 }
 
 Instant CoreImpl::NextTimer() const {
-  const Instant due = m_due.empty() ? Instant::max() : m_due.begin()->first;
+  const Instant due =
+      m_timers.empty() ? Instant::max() : m_timers.begin()->first;
   return std::min(due, NextLinkTimer());
 }
 
-void CoreImpl::OnDue(ActiveRequest& active, Instant now) {
+void CoreImpl::OnTimerExpired(ActiveRequest& active, Instant now) {
   if (now >= active.deadline) return OnDeadline(active, now);
   switch (active.stage) {
     case Stage::kWaitsForBudget:
       if (now < active.wait_until) return ReserveBudget(active, now);
       return FailForBudget(active, ErrorKind::kBudgetUnavailable, now);
-    case Stage::kWaitsForPlace:
+    case Stage::kWaitsForEndpoint:
       return Place(active, now);
     case Stage::kWaitsForLink:
       return RefuseForLink(active, now);
-    case Stage::kBooked:
-      if (active.link_since != Instant{}) return RefuseForLink(active, now);
+    case Stage::kSlotReserved:
+      if (active.link_queued_at != Instant{}) return RefuseForLink(active, now);
       return Send(active, now);
     case Stage::kRunning:
     case Stage::kAnswering:
       break;
   }
-  if (DueWhileRunning(active) > now)
-    return SetDue(active, DueWhileRunning(active));
+  if (RunningDeadline(active) > now)
+    return SetTimer(active, RunningDeadline(active));
   // The response's idle timeout has expired, and the request may be retried.
-  CancelAttemptOf(active);
-  OnBrokenAttempt(active, http::TransferEnd::kTimedOut, now);
+  CancelAttemptIfSent(active);
+  OnAttemptFailed(active, http::TransferEnd::kTimedOut, now);
 }
 
-void CoreImpl::SetDue(ActiveRequest& active, Instant when) {
-  if (active.due != Instant{}) m_due.erase({active.due, active.id});
+void CoreImpl::SetTimer(ActiveRequest& active, Instant when) {
+  if (active.due != Instant{}) m_timers.erase({active.due, active.id});
   active.due = std::min(when, active.deadline);
-  m_due.emplace(active.due, active.id);
+  m_timers.emplace(active.due, active.id);
 }
 
 void CoreImpl::Log(std::string_view event, const ActiveRequest& active,
@@ -258,7 +265,7 @@
 }
 
 std::unique_ptr<Core> MakeCore(const CoreOptions& options,
-                               const CoreParts& parts) {
+                               const CoreDependencies& parts) {
   return std::make_unique<CoreImpl>(options, parts);
 }
 
--- a/src/dotterelshift/gateway/core_leave_test.cc
+++ b/src/dotterelshift/gateway/core_caller_gone_test.cc
@@ -14,13 +14,13 @@
 class CoreLeaveTest : public CoreFixture {
   CPPUNIT_TEST_SUITE(CoreLeaveTest);
   CPPUNIT_TEST(WhileItWaitsForTokens);
-  CPPUNIT_TEST(WhileItWaitsForAPlace);
-  CPPUNIT_TEST(WhileItIsBooked);
+  CPPUNIT_TEST(WhileItWaitsForAnEndpoint);
+  CPPUNIT_TEST(WhileItsSlotIsReserved);
   CPPUNIT_TEST(WhileItsAttemptHasNoAnswer);
   CPPUNIT_TEST(WhileItsStreamRuns);
-  CPPUNIT_TEST(WhileASecondAttemptIsBooked);
+  CPPUNIT_TEST(WhileASecondAttemptHasASlotReserved);
   CPPUNIT_TEST(WhileASecondAttemptRuns);
-  CPPUNIT_TEST(WhileItsAttemptIsAskedBack);
+  CPPUNIT_TEST(WhileItsAttemptIsBeingWithdrawn);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -39,7 +39,7 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, m_budgets->HeldSums().reserved);
   }
 
-  void WhileItWaitsForAPlace() {
+  void WhileItWaitsForAnEndpoint() {
     Publish();
     for (const char* id : {"p1", "p2", "p3"}) Announce(id, "plain", true);
     m_core->OnEndpointsChanged(m_directory, m_now);
@@ -54,18 +54,18 @@
 
   // Both engines prefill a long prompt, so that the next request waits for its
   // prefill start.
-  void WhileItIsBooked() {
+  void WhileItsSlotIsReserved() {
     Publish();
     Request("/stream/", 10'000, 3);
     Request("/stream/", 10'000, 4);
     Request("/stream/", 100);
     CPPUNIT_ASSERT(m_last.empty());
-    const uint32_t booked = Running();
+    const uint32_t occupied = Running();
     Leave();
     CPPUNIT_ASSERT(m_last.empty());
-    CPPUNIT_ASSERT_EQUAL(booked - 1, Running());
+    CPPUNIT_ASSERT_EQUAL(occupied - 1, Running());
     for (Duration passed = 0s; passed < 1s; passed += 1ms) {
-      Pass(1ms);
+      Advance(1ms);
       CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<StartAttempt>());
     }
   }
@@ -102,7 +102,7 @@
 
   // The first attempt failed. The other engine is still busy with a prefill, so
   // that the second attempt has not been sent.
-  void WhileASecondAttemptIsBooked() {
+  void WhileASecondAttemptHasASlotReserved() {
     Publish();
     Request("/resume/", 100);
     const StartAttempt first = Only<StartAttempt>();
@@ -115,7 +115,7 @@
     CPPUNIT_ASSERT(m_last.empty());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_core->OpenRequests());
     for (Duration passed = 0s; passed < 1s; passed += 1ms) {
-      Pass(1ms);
+      Advance(1ms);
       CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<StartAttempt>());
     }
   }
@@ -132,7 +132,7 @@
 
   // The endpoint leaves, and then the caller, before it is known whether the
   // attempt could be withdrawn.
-  void WhileItsAttemptIsAskedBack() {
+  void WhileItsAttemptIsBeingWithdrawn() {
     Publish();
     Request("/safe/");
     const StartAttempt start = Only<StartAttempt>();
@@ -154,7 +154,7 @@
 
   void Grant() {
     m_budgets->SetConnected(true, m_now);
-    AnswerAsk(1'000, 999'000);
+    AnswerGrantRequest(1'000, 999'000);
   }
 
   uint32_t Running() const {
@@ -171,7 +171,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, Running());
     CPPUNIT_ASSERT(m_core->NextTimer() == Instant::max());
-    Pass(10s);
+    Advance(10s);
     CPPUNIT_ASSERT(m_last.empty());
   }
 };
--- a/src/dotterelshift/gateway/core_impl.h
+++ b/src/dotterelshift/gateway/core_impl.h
@@ -21,20 +21,20 @@
 // core_link.cc, responses and retries in core_answer.cc.
 class CoreImpl final : public Core {
  public:
-  CoreImpl(const CoreOptions& options, const CoreParts& parts)
-      : m_options(options), m_parts(parts), m_random(options.seed) {}
+  CoreImpl(const CoreOptions& options, const CoreDependencies& parts)
+      : m_options(options), m_dependencies(parts), m_random(options.seed) {}
 
   void OnRoutes(std::shared_ptr<const RouteTable> routes, size_t entries,
                 Instant now) override;
   void OnEndpointsChanged(const directory::Directory& directory,
                           Instant now) override;
-  void StartDraining(const DrainTimes& times) override { m_drain = times; }
-  void CutOpen(Instant now) override;
+  void StartDraining(const DrainSchedule& times) override { m_drain = times; }
+  void AbortOpenRequests(Instant now) override;
   void OnRequest(RequestId request, RequestInfo info, Instant now) override;
   void OnCallerGone(RequestId request, Instant now) override;
-  void OnHead(AttemptId attempt, int status, const AnswerMarks& marks,
+  void OnHead(AttemptId attempt, int status, const ResponseInfo& response_info,
               Instant now) override;
-  void OnPiece(AttemptId attempt, std::string_view bytes, Instant now) override;
+  void OnChunk(AttemptId attempt, std::string_view bytes, Instant now) override;
   void OnEnd(AttemptId attempt, http::TransferEnd end, Instant now) override;
   void OnWithdrawn(AttemptId attempt, Instant now) override;
   void OnBudgetChanged(Instant now) override;
@@ -46,8 +46,8 @@
   std::vector<serving::RequestSummary> TakeFinished() override {
     return std::exchange(m_finished, {});
   }
-  std::vector<Suspicion> TakeSuspicions() override {
-    return std::exchange(m_suspicions, {});
+  std::vector<SuspectReport> TakeSuspectReports() override {
+    return std::exchange(m_suspect_reports, {});
   }
   size_t OpenRequests() const override { return m_active.size(); }
   LinkQueue WaitingForLink() const override;
@@ -57,7 +57,7 @@
   ErrorKind FindRoute(ActiveRequest& active) const;
   ErrorKind FindTeam(ActiveRequest& active) const;
   void Admit(ActiveRequest& active, Instant now);
-  bool OutlastsTheStop(const ActiveRequest& active, Instant now) const;
+  bool OutlivesDrain(const ActiveRequest& active, Instant now) const;
   void SetTimes(ActiveRequest& active) const;
   ServiceName PickService(const Route& route);
   void ReserveBudget(ActiveRequest& active, Instant now);
@@ -66,83 +66,84 @@
 
   // Choosing an endpoint and sending (core_place.cc).
   void Place(ActiveRequest& active, Instant now);
-  void WaitForPlace(ActiveRequest& active, Instant now);
-  bool ComesTooLate(const ActiveRequest& active, const Placement& placement,
-                    Instant now) const;
+  void WaitForEndpoint(ActiveRequest& active, Instant now);
+  bool WouldRespondTooLate(const ActiveRequest& active,
+                           const Placement& placement, Instant now) const;
   void Send(ActiveRequest& active, Instant now);
   void LeaveEndpoint(ActiveRequest& active, Instant now);
   void LogSent(const ActiveRequest& active, Instant now);
   Duration RetryAfter(const ActiveRequest& active, Duration wait, Instant now);
-  Duration SpreadReturn(const ActiveRequest& active, Duration least,
-                        Instant now);
+  Duration JitteredRetryAfter(const ActiveRequest& active, Duration minimum,
+                              Instant now);
 
   // The outbound link (core_link.cc).
-  bool MayGoOut(const ActiveRequest& active, Instant now) const;
+  bool CanSendNow(const ActiveRequest& active, Instant now) const;
   void WaitForLink(ActiveRequest& active, Instant now);
   void SendWaiting(Instant now);
-  void RefuseLate(Instant now);
+  void RefuseOverdue(Instant now);
   void RefuseForLink(ActiveRequest& active, Instant now);
   Duration LinkWait(const ActiveRequest& active, Instant now) const;
   // Until when an attempt that begins now may wait for the outbound link.
-  static Instant LinkUntil(const ActiveRequest& active, Instant now);
-  // Whether an attempt that begins now could be sent by LinkUntil().
-  bool GoesOutInTime(const ActiveRequest& active, Instant now) const;
-  uint64_t BytesBefore(const LinkRank& rank) const;
+  static Instant LinkDeadline(const ActiveRequest& active, Instant now);
+  // Whether an attempt that begins now could be sent by LinkDeadline().
+  bool CanSendInTime(const ActiveRequest& active, Instant now) const;
+  uint64_t BytesAhead(const LinkRank& rank) const;
   void LeaveLinkQueue(ActiveRequest& active);
-  void OnLetGo(const ActiveRequest& active, Instant now);
+  void OnHandedOver(const ActiveRequest& active, Instant now);
   void OnNotSent(AttemptId attempt, Instant now);
   Instant NextLinkTimer() const;
 
   // Responses (core_answer.cc).
-  ActiveRequest* OfAttempt(AttemptId attempt);
-  void OnWholeAnswer(ActiveRequest& active, Instant now);
+  ActiveRequest* FindByAttempt(AttemptId attempt);
+  void OnCompleteResponse(ActiveRequest& active, Instant now);
   void OnEndpointRefusal(ActiveRequest& active, Instant now);
-  void OnBrokenAttempt(ActiveRequest& active, http::TransferEnd end,
+  void OnAttemptFailed(ActiveRequest& active, http::TransferEnd end,
                        Instant now);
   bool TryAgain(ActiveRequest& active, Instant now);
   bool MayRunAgain(const ActiveRequest& active) const;
   void OnFirstEvent(ActiveRequest& active, Instant now);
   void OnDeadline(ActiveRequest& active, Instant now);
-  void CancelAttemptOf(ActiveRequest& active);
+  void CancelAttemptIfSent(ActiveRequest& active);
   void EndAttempt(ActiveRequest& active);
-  void Suspect(const ActiveRequest& active);
-  void Clear(const ActiveRequest& active);
+  void ReportSuspectContent(const ActiveRequest& active);
+  void ReportClearedContent(const ActiveRequest& active);
   void Fail(ActiveRequest& active, ErrorKind kind, Duration retry_after,
             Instant now);
   void Finish(ActiveRequest& active, ErrorKind error, bool answered,
               Instant now);
-  Tokens SpentBy(const ActiveRequest& active) const;
+  Tokens TokensSpent(const ActiveRequest& active) const;
   void LogFinish(const ActiveRequest& active,
                  const serving::RequestSummary& summary, Stage stage,
                  bool answered, Instant now);
 
-  void CutByStop(ActiveRequest& active, Instant now);
+  void AbortForShutdown(ActiveRequest& active, Instant now);
 
-  void OnDue(ActiveRequest& active, Instant now);
-  void SetDue(ActiveRequest& active, Instant when);
-  Instant DueWhileRunning(const ActiveRequest& active) const;
+  void OnTimerExpired(ActiveRequest& active, Instant now);
+  void SetTimer(ActiveRequest& active, Instant when);
+  Instant RunningDeadline(const ActiveRequest& active) const;
   void Log(std::string_view event, const ActiveRequest& active,
            std::vector<std::pair<std::string_view, std::string>> inputs,
            AttemptId attempt = 0);
 
   const CoreOptions m_options;
-  const CoreParts m_parts;
+  const CoreDependencies m_dependencies;
   std::mt19937_64 m_random;
   std::shared_ptr<const RouteTable> m_routes;
-  std::optional<DrainTimes> m_drain;
+  std::optional<DrainSchedule> m_drain;
   bool m_stopped = false;
   std::unordered_map<RequestId, ActiveRequest> m_active;
   std::unordered_map<AttemptId, RequestId> m_attempts;
   AttemptId m_last_attempt = 0;
-  std::set<std::pair<Instant, RequestId>> m_due;
+  std::set<std::pair<Instant, RequestId>> m_timers;
   std::map<LinkRank, uint64_t>
       m_waiting;  // queued for the link, with their bytes
-  // A request was queued ahead of others, which may miss their link_until now.
-  bool m_pushed_back = false;
+  // A request was queued ahead of others, which may miss their link_deadline
+  // now.
+  bool m_recheck_link_waits = false;
   uint64_t m_link_refused = 0;
   std::vector<Action> m_actions;
   std::vector<serving::RequestSummary> m_finished;
-  std::vector<Suspicion> m_suspicions;
+  std::vector<SuspectReport> m_suspect_reports;
   std::set<uint64_t> m_suspected;  // contents reported and not yet cleared
 };
 
--- a/src/dotterelshift/gateway/core_link_test.cc
+++ b/src/dotterelshift/gateway/core_link_test.cc
@@ -13,40 +13,41 @@
 constexpr double kSlowLink = 1'250'000;      // 10 Mbit/s
 constexpr double kFastLink = 1'250'000'000;  // 10 Gbit/s
 // Fraction of the link's rate that is available to payload bytes.
-constexpr double kPayloadPart = 0.92;
+constexpr double kPayloadFraction = 0.92;
 constexpr size_t kPrompt = 6'000;
 // Maximum backlog in the system's send queue. Bounded, as bytes in that queue
 // are still sent after a request has been cancelled.
-constexpr Duration kMostHanded = 80ms;
+constexpr Duration kMaxHandedOver = 80ms;
 
 // Model of the system's send queue of a link, with the bytes transmitted so
 // far.
 class SystemQueue {
  public:
   void Add(size_t bytes, Instant now) {
-    Carry(now);
+    Transmit(now);
     m_waiting += static_cast<double>(bytes);
-    m_most = std::max(m_most, m_waiting);
+    m_max_waiting = std::max(m_max_waiting, m_waiting);
   }
-  void Carry(Instant now) {
+  void Transmit(Instant now) {
     const Duration passed = m_since == Instant{} ? 0s : now - m_since;
     m_since = now;
-    const double most = kRate * std::chrono::duration<double>(passed).count();
-    const double carried = std::min(m_waiting, most);
+    const double maximum =
+        kRate * std::chrono::duration<double>(passed).count();
+    const double carried = std::min(m_waiting, maximum);
     m_waiting -= carried;
     m_carried += carried;
   }
-  double Carried() const { return m_carried; }
+  double Transmitted() const { return m_carried; }
   // The longest queueing delay of any byte.
-  Duration Longest() const {
+  Duration MaxDelay() const {
     return std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double>(m_most / kRate));
+        std::chrono::duration<double>(m_max_waiting / kRate));
   }
 
  private:
-  static constexpr double kRate = kSlowLink * kPayloadPart;
+  static constexpr double kRate = kSlowLink * kPayloadFraction;
   double m_waiting = 0;
-  double m_most = 0;
+  double m_max_waiting = 0;
   double m_carried = 0;
   Instant m_since{};
 };
@@ -55,25 +56,25 @@
 // the plain service. What the core sends goes into a SystemQueue.
 class CoreLinkTest : public CoreFixture {
   CPPUNIT_TEST_SUITE(CoreLinkTest);
-  CPPUNIT_TEST(AfterTheCloseNothingOfARequestGoesOut);
-  CPPUNIT_TEST(AtThreeTimesTheLinkItIsUsedAndNothingStandsBeforeIt);
-  CPPUNIT_TEST(AtTenTimesTheLinkItIsUsedAndNothingStandsBeforeIt);
-  CPPUNIT_TEST(TheMoreUrgentGoesFirstThenTheEarlierTarget);
-  CPPUNIT_TEST(ASmallRequestDoesNotStandBehindLongPromptsThatMayWait);
-  CPPUNIT_TEST(ARepeatWaitsAndItsSilenceCountsFromItsStart);
-  CPPUNIT_TEST(WhatWouldWaitTooLongIsRefusedAtOnce);
-  CPPUNIT_TEST(WhatIsPushedBackTooFarIsRefusedThen);
-  CPPUNIT_TEST(WhatHasRunIsNotSaidToBeRefused);
-  CPPUNIT_TEST(WhatWasNotSentLeavesItsRoomToTheNext);
-  CPPUNIT_TEST(WhatIsWithdrawnLeavesItsRoomToTheNext);
-  CPPUNIT_TEST(WhatCannotGoBeforeItsDeadlineIsRefusedAtOnce);
-  CPPUNIT_TEST(TheOwnStopEndsTheWaitAsNotRun);
-  CPPUNIT_TEST(NoEndpointIsBookedForWhatWaits);
-  CPPUNIT_TEST(ABookedPromptWaitsAndMayStillLeaveItsEndpoint);
-  CPPUNIT_TEST(NewRoutesDoNotDropWhatWaits);
-  CPPUNIT_TEST(WithAnUnknownOrFastLinkAllGoesAtOnce);
-  CPPUNIT_TEST(ALateTimerSendsNothingWhoseTimeIsOver);
-  CPPUNIT_TEST(ARepeatThatTheLinkRefusesTakesNoneOfTheAllowance);
+  CPPUNIT_TEST(NothingIsSentAfterTheCallerLeaves);
+  CPPUNIT_TEST(ThreefoldOverloadUsesTheLinkWithoutABacklog);
+  CPPUNIT_TEST(TenfoldOverloadUsesTheLinkWithoutABacklog);
+  CPPUNIT_TEST(RequestsAreSentByPriorityThenTarget);
+  CPPUNIT_TEST(UrgentSmallRequestOvertakesLongPrompts);
+  CPPUNIT_TEST(RetryWaitsForTheLinkAndItsIdleTimeoutStartsWhenSent);
+  CPPUNIT_TEST(RequestThatWouldWaitTooLongIsRefusedAtOnce);
+  CPPUNIT_TEST(OvertakenRequestIsRefusedOnceItWouldBeLate);
+  CPPUNIT_TEST(RequestThatRanIsNotReportedAsNotRun);
+  CPPUNIT_TEST(UnsentAttemptReleasesItsLinkCapacity);
+  CPPUNIT_TEST(WithdrawnAttemptReleasesItsLinkCapacity);
+  CPPUNIT_TEST(RequestThatCannotBeSentBeforeItsDeadlineIsRefusedAtOnce);
+  CPPUNIT_TEST(ShutdownRefusesQueuedRequestsAsNotRun);
+  CPPUNIT_TEST(QueuedRequestReservesNoSlot);
+  CPPUNIT_TEST(ReservedRequestWaitsForTheLinkAndMayChangeEndpoint);
+  CPPUNIT_TEST(NewRoutesKeepQueuedRequests);
+  CPPUNIT_TEST(UnknownOrFastLinkSendsAllAtOnce);
+  CPPUNIT_TEST(LateTimerDoesNotSendExpiredRequests);
+  CPPUNIT_TEST(RetryRefusedByTheLinkUsesNoRetryBudget);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -87,12 +88,13 @@
 
   // Guards against prompts that are still sent from the system's queue for a
   // second after their callers have left.
-  void AfterTheCloseNothingOfARequestGoesOut() {
+  void NothingIsSentAfterTheCallerLeaves() {
     PublishPlain(4s);
     constexpr RequestId kCallers = 200;  // 1 s of the link
-    for (RequestId id = 1; id <= kCallers; ++id) Ask("/calm/", kPrompt, id);
+    for (RequestId id = 1; id <= kCallers; ++id)
+      SubmitRequest("/calm/", kPrompt, id);
     Run(20ms);
-    CPPUNIT_ASSERT(m_queue.Longest() <= kMostHanded);
+    CPPUNIT_ASSERT(m_queue.MaxDelay() <= kMaxHandedOver);
     CPPUNIT_ASSERT(!m_started.empty());
     CPPUNIT_ASSERT(m_core->WaitingForLink().bytes > 100 * kPrompt);
     for (RequestId id = 1; id <= kCallers; ++id) {
@@ -104,23 +106,23 @@
     CPPUNIT_ASSERT_EQUAL(started, m_started.size());
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->WaitingForLink().requests);
-    CPPUNIT_ASSERT(m_queue.Longest() <= kMostHanded);
+    CPPUNIT_ASSERT(m_queue.MaxDelay() <= kMaxHandedOver);
   }
 
   // Guards against a system queue that grows with the demand, and against a
   // link left idle to avoid one.
-  void AtThreeTimesTheLinkItIsUsedAndNothingStandsBeforeIt() { Overrun(3); }
-  void AtTenTimesTheLinkItIsUsedAndNothingStandsBeforeIt() { Overrun(10); }
+  void ThreefoldOverloadUsesTheLinkWithoutABacklog() { OverloadLink(3); }
+  void TenfoldOverloadUsesTheLinkWithoutABacklog() { OverloadLink(10); }
 
   // Guards against sending in the order of arrival, which delays urgent
   // requests.
-  void TheMoreUrgentGoesFirstThenTheEarlierTarget() {
+  void RequestsAreSentByPriorityThenTarget() {
     PublishPlain(600ms);
     FillLink(100ms);
-    Ask("/calm/", kPrompt, 1);
-    Ask("/calm/", kPrompt, 2, 50ms);
-    Ask("/urgent/", kPrompt, 3);
-    Ask("/urgent/", kPrompt, 4, 50ms);
+    SubmitRequest("/calm/", kPrompt, 1);
+    SubmitRequest("/calm/", kPrompt, 2, 50ms);
+    SubmitRequest("/urgent/", kPrompt, 3);
+    SubmitRequest("/urgent/", kPrompt, 4, 50ms);
     CPPUNIT_ASSERT(m_started.empty());
     Run(200ms);
     CPPUNIT_ASSERT(m_started == (std::vector<RequestId>{4, 3, 2, 1}));
@@ -128,20 +130,21 @@
 
   // Guards against small requests that miss their target behind long prompts
   // with a later target.
-  void ASmallRequestDoesNotStandBehindLongPromptsThatMayWait() {
+  void UrgentSmallRequestOvertakesLongPrompts() {
     PublishPlain(4s, 600ms);
     FillLink(60ms);
-    for (RequestId id = 1; id <= 20; ++id) Ask("/calm/", 5 * kPrompt, id);
-    Ask("/soon/", 300, 21);
+    for (RequestId id = 1; id <= 20; ++id)
+      SubmitRequest("/calm/", 5 * kPrompt, id);
+    SubmitRequest("/soon/", 300, 21);
     Run(10ms);
     CPPUNIT_ASSERT(m_started == (std::vector<RequestId>{21}));
   }
 
   // Guards against retries that bypass the link queue, and against an idle
   // timeout that includes the time for which the request was queued here.
-  void ARepeatWaitsAndItsSilenceCountsFromItsStart() {
+  void RetryWaitsForTheLinkAndItsIdleTimeoutStartsWhenSent() {
     Publish();
-    Ask("/safe/", kPrompt, 1);
+    SubmitRequest("/safe/", kPrompt, 1);
     const StartAttempt first = Only<StartAttempt>();
     FillLink(150ms);
     m_core->OnEnd(first.attempt, http::TransferEnd::kCutBeforeHead, m_now);
@@ -155,10 +158,10 @@
     // The first attempt of another request is queued and then gets its full
     // idle timeout.
     FillLink(150ms);
-    Ask("/safe/", kPrompt, 2);
+    SubmitRequest("/safe/", kPrompt, 2);
     Run(140ms);
     CPPUNIT_ASSERT_EQUAL(size_t{3}, m_started.size());
-    Run(CoreOptions().silence_borne - 100ms);
+    Run(CoreOptions().response_idle_timeout - 100ms);
     CPPUNIT_ASSERT_EQUAL(size_t{3}, m_started.size());
     Run(100ms);
     CPPUNIT_ASSERT_EQUAL(size_t{4}, m_started.size());
@@ -166,12 +169,12 @@
 
   // Guards against requests that are queued until no entry can serve them in
   // time, and against simultaneous retries of the refused callers.
-  void WhatWouldWaitTooLongIsRefusedAtOnce() {
+  void RequestThatWouldWaitTooLongIsRefusedAtOnce() {
     PublishPlain(600ms);
     FillLink(400ms);
     std::set<Duration> returns;
     for (RequestId id = 1; id <= 5; ++id) {
-      Ask("/urgent/", kPrompt, id);
+      SubmitRequest("/urgent/", kPrompt, id);
       const Refuse refuse = Only<Refuse>();
       CPPUNIT_ASSERT(refuse.kind == ErrorKind::kOverloaded);
       CPPUNIT_ASSERT(RowOf(refuse.kind).ran == Ran::kNo);
@@ -187,17 +190,17 @@
 
   // Guards against less urgent requests that stay queued while urgent ones
   // overtake them, until they are late.
-  void WhatIsPushedBackTooFarIsRefusedThen() {
+  void OvertakenRequestIsRefusedOnceItWouldBeLate() {
     PublishPlain(600ms);
     FillLink(200ms);
-    Ask("/calm/", kPrompt, 1, 50ms);
+    SubmitRequest("/calm/", kPrompt, 1, 50ms);
     constexpr RequestId kUrgent = 25;  // 133 ms
     for (RequestId id = 2; id <= kUrgent + 1; ++id) {
       CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<Refuse>());
-      Ask("/urgent/", kPrompt, id);
+      SubmitRequest("/urgent/", kPrompt, id);
     }
     CPPUNIT_ASSERT(m_core->NextTimer() <= m_now);
-    Pass(0s);
+    Advance(0s);
     CPPUNIT_ASSERT_EQUAL(RequestId{1}, Only<Refuse>().request);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kOverloaded);
     Run(1s);
@@ -206,9 +209,9 @@
 
   // Guards against reporting a request as not run after an endpoint may have
   // started it.
-  void WhatHasRunIsNotSaidToBeRefused() {
+  void RequestThatRanIsNotReportedAsNotRun() {
     Publish();
-    Ask("/safe/", kPrompt, 1);
+    SubmitRequest("/safe/", kPrompt, 1);
     const StartAttempt first = Only<StartAttempt>();
     FillLink(1s);
     End(first.attempt, http::TransferEnd::kCutBeforeHead);
@@ -218,7 +221,7 @@
 
   // Guard against link capacity that stays taken by prompts that were not
   // handed to any connection.
-  void WhatWasNotSentLeavesItsRoomToTheNext() {
+  void UnsentAttemptReleasesItsLinkCapacity() {
     PublishPlain(600ms);
     const StartAttempt first = FillWithOnePrompt();
     m_core->OnEnd(first.attempt, http::TransferEnd::kNotSent, m_now);
@@ -227,7 +230,7 @@
     CPPUNIT_ASSERT(m_started == (std::vector<RequestId>{1, 1}));
   }
 
-  void WhatIsWithdrawnLeavesItsRoomToTheNext() {
+  void WithdrawnAttemptReleasesItsLinkCapacity() {
     PublishPlain(600ms);
     const StartAttempt first = FillWithOnePrompt();
     // The caller leaves, and then the attempt turns out not to have been handed
@@ -243,11 +246,11 @@
 
   // Guards against queueing a request that can't be sent before its caller's
   // timeout.
-  void WhatCannotGoBeforeItsDeadlineIsRefusedAtOnce() {
+  void RequestThatCannotBeSentBeforeItsDeadlineIsRefusedAtOnce() {
     PublishPlain(4s);
     FillLink(500ms);
-    RequestInfo info = AskFor("/calm/");
-    info.patience = 100ms;
+    RequestInfo info = MakeRequestInfo("/calm/");
+    info.timeout = 100ms;
     info.onward_bytes = kPrompt;
     m_core->OnRequest(1, info, m_now);
     Collect();
@@ -257,11 +260,11 @@
   }
 
   // Guards against requests that are sent after the shutdown has refused them.
-  void TheOwnStopEndsTheWaitAsNotRun() {
+  void ShutdownRefusesQueuedRequestsAsNotRun() {
     PublishPlain(600ms);
     FillLink(100ms);
-    Ask("/calm/", kPrompt, 1);
-    m_core->CutOpen(m_now);
+    SubmitRequest("/calm/", kPrompt, 1);
+    m_core->AbortOpenRequests(m_now);
     Collect();
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kDraining);
     Run(1s);
@@ -271,10 +274,10 @@
 
   // Guards against sending a queued request to an endpoint that left meanwhile,
   // and against a reservation that diverts other requests while it is queued.
-  void NoEndpointIsBookedForWhatWaits() {
+  void QueuedRequestReservesNoSlot() {
     PublishPlain(600ms);
     FillLink(100ms);
-    Ask("/calm/", kPrompt, 1);
+    SubmitRequest("/calm/", kPrompt, 1);
     CPPUNIT_ASSERT(!m_load->HasNotes());
     for (const char* id : {"p1", "p3"}) Announce(id, "plain", true);
     m_core->OnEndpointsChanged(m_directory, m_now);
@@ -285,9 +288,9 @@
 
   // Guards against a prompt that is sent at its prefill start although the link
   // has a backlog, or to an endpoint that has left since.
-  void ABookedPromptWaitsAndMayStillLeaveItsEndpoint() {
+  void ReservedRequestWaitsForTheLinkAndMayChangeEndpoint() {
     Publish();
-    for (RequestId id = 1; id <= 4; ++id) AskModel(10'000, id);
+    for (RequestId id = 1; id <= 4; ++id) SubmitModelRequest(10'000, id);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, m_started.size());
     Run(120ms);  // the next two are due after 131 ms
     FillLink(150ms);
@@ -304,10 +307,10 @@
   }
 
   // Guards against losing a queued request when its route is removed.
-  void NewRoutesDoNotDropWhatWaits() {
+  void NewRoutesKeepQueuedRequests() {
     PublishPlain(600ms);
     FillLink(100ms);
-    Ask("/calm/", kPrompt, 1);
+    SubmitRequest("/calm/", kPrompt, 1);
     Routes routes;
     routes.version = 2;
     routes.routes = {RouteOf("/other/", RouteKind::kOnce, "plain", 1)};
@@ -319,13 +322,14 @@
   }
 
   // Guards against queueing where the link is not the bottleneck.
-  void WithAnUnknownOrFastLinkAllGoesAtOnce() {
+  void UnknownOrFastLinkSendsAllAtOnce() {
     for (const double rate : {0.0, kFastLink}) {
       MakePacedCore(rate);
       PublishPlain(600ms);
       m_started.clear();
       m_pacer->OnBytes(4 * kPrompt, m_now);
-      for (RequestId id = 1; id <= 200; ++id) Ask("/calm/", kPrompt, id);
+      for (RequestId id = 1; id <= 200; ++id)
+        SubmitRequest("/calm/", kPrompt, id);
       CPPUNIT_ASSERT_EQUAL(size_t{200}, m_started.size());
       CPPUNIT_ASSERT_EQUAL(uint64_t{0}, m_core->WaitingForLink().refused);
     }
@@ -334,11 +338,11 @@
   // Guards against a late turn of the event loop (a throttled processor stalls
   // it for 88 ms) that sends an expired request, which is then reported as one
   // that may have run.
-  void ALateTimerSendsNothingWhoseTimeIsOver() {
+  void LateTimerDoesNotSendExpiredRequests() {
     PublishPlain(4s);
     FillLink(100ms);
-    RequestInfo info = AskFor("/calm/");
-    info.patience = 150ms;
+    RequestInfo info = MakeRequestInfo("/calm/");
+    info.timeout = 150ms;
     info.onward_bytes = kPrompt;
     m_core->OnRequest(1, info, m_now);
     Take();
@@ -352,19 +356,19 @@
 
   // Guards against a retry that the outbound link refuses at once, but that
   // costs retry budget and replaces the endpoint's own error response.
-  void ARepeatThatTheLinkRefusesTakesNoneOfTheAllowance() {
+  void RetryRefusedByTheLinkUsesNoRetryBudget() {
     Publish();
-    Ask("/safe/", kPrompt, 1);
+    SubmitRequest("/safe/", kPrompt, 1);
     const StartAttempt first = Only<StartAttempt>();
     FillLink(1s);
-    AnswerMarks marks;
-    marks.genuine = true;
-    marks.echoed_id = AskFor("/safe/").caller_id;
-    m_core->OnHead(first.attempt, 500, marks, m_now);
+    ResponseInfo response_info;
+    response_info.has_proof = true;
+    response_info.echoed_id = MakeRequestInfo("/safe/").caller_id;
+    m_core->OnHead(first.attempt, 500, response_info, m_now);
     m_core->OnEnd(first.attempt, http::TransferEnd::kWhole, m_now);
     Take();
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<Refuse>());
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, Count<RelayWhole>());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, Count<RelayResponse>());
   }
 
  private:
@@ -398,17 +402,17 @@
   }
 
   // The head of the request was received `ago` before now.
-  void Ask(const std::string& path, size_t bytes, RequestId id,
-           Duration ago = 0s) {
-    RequestInfo info = AskFor(path);
+  void SubmitRequest(const std::string& path, size_t bytes, RequestId id,
+                     Duration ago = 0s) {
+    RequestInfo info = MakeRequestInfo(path);
     info.onward_bytes = bytes;
     info.begun = m_now - ago;
     m_bytes[id] = bytes;
     m_core->OnRequest(id, info, m_now);
     Take();
   }
-  void AskModel(Tokens tokens, RequestId id) {
-    RequestInfo info = AskFor("/stream/", tokens);
+  void SubmitModelRequest(Tokens tokens, RequestId id) {
+    RequestInfo info = MakeRequestInfo("/stream/", tokens);
     info.onward_bytes = kPrompt;
     m_bytes[id] = kPrompt;
     m_core->OnRequest(id, info, m_now);
@@ -436,7 +440,7 @@
         m_core->OnTimer(m_now);
         Take();
       }
-      m_queue.Carry(m_now);
+      m_queue.Transmit(m_now);
       if (m_now >= end) return;
       m_now = std::min(end, m_core->NextTimer());
     }
@@ -445,23 +449,24 @@
   // Responses and frames occupy the link for this time.
   void FillLink(Duration time) {
     const double seconds = std::chrono::duration<double>(time).count();
-    const double part = SendPacerOptions().used_part;
-    m_pacer->OnBytes(static_cast<uint64_t>(seconds * kSlowLink * part), m_now);
+    const double fraction = SendPacerOptions().used_part;
+    m_pacer->OnBytes(static_cast<uint64_t>(seconds * kSlowLink * fraction),
+                     m_now);
   }
 
   // Sends a first prompt that takes all of the permitted backlog, and queues a
   // second one.
   StartAttempt FillWithOnePrompt() {
-    Ask("/calm/", 67'500, 1);  // 60 ms
+    SubmitRequest("/calm/", 67'500, 1);  // 60 ms
     StartAttempt first = Only<StartAttempt>();
-    Ask("/calm/", 67'500, 2);
+    SubmitRequest("/calm/", 67'500, 2);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_started.size());
     return first;
   }
 
   // For ten seconds callers send `times` what the link can transmit, while
   // responses take a tenth of it. Each request ends as soon as it is sent.
-  void Overrun(int times) {
+  void OverloadLink(int times) {
     PublishPlain(600ms);
     constexpr Duration kTime = 10s;
     constexpr size_t kSizes[] = {300, 2'000, 6'000, 12'000, 30'000};
@@ -472,7 +477,7 @@
     for (double due = 0; m_now < end; Run(1ms)) {
       for (due += times * kSlowLink / 1000; asked < due;) {
         const size_t bytes = kSizes[++id % std::size(kSizes)];
-        Ask(id % 3 == 0 ? "/urgent/" : "/calm/", bytes, id);
+        SubmitRequest(id % 3 == 0 ? "/urgent/" : "/calm/", bytes, id);
         refused += Count<Refuse>();
         asked += static_cast<double>(bytes);
       }
@@ -484,10 +489,10 @@
         Collect();
       }
     }
-    const double most =
+    const double maximum =
         kSlowLink * std::chrono::duration<double>(kTime).count();
-    CPPUNIT_ASSERT(m_queue.Longest() <= kMostHanded);
-    CPPUNIT_ASSERT(m_queue.Carried() > 0.8 * most);
+    CPPUNIT_ASSERT(m_queue.MaxDelay() <= kMaxHandedOver);
+    CPPUNIT_ASSERT(m_queue.Transmitted() > 0.8 * maximum);
     CPPUNIT_ASSERT(refused > 0);
   }
 
--- a/src/dotterelshift/gateway/core_place.cc
+++ b/src/dotterelshift/gateway/core_placement.cc
@@ -6,11 +6,11 @@
 namespace {
 
 // How often a request that found all endpoints full retries the choice.
-constexpr Duration kLookAgain = 10ms;
+constexpr Duration kEndpointRetryInterval = 10ms;
 
 // A request may wait for a free endpoint for its target divided by this. If
 // that is not enough, its caller is better told to retry.
-constexpr int kPlaceWaitPart = 8;
+constexpr int kEndpointWaitDivisor = 8;
 
 std::string Ms(Duration duration) { return std::to_string(ToMs(duration)); }
 
@@ -20,57 +20,60 @@
 // request whose response would come too late is refused at once, so that the
 // caller can react.
 void CoreImpl::Place(ActiveRequest& active, Instant now) {
-  const std::optional<Placement> placement = m_parts.load->Choose(
+  const std::optional<Placement> placement = m_dependencies.load->Choose(
       active.service, active.info.prompt, active.tried, now);
-  if (!placement) return WaitForPlace(active, now);
-  if (ComesTooLate(active, *placement, now)) {
+  if (!placement) return WaitForEndpoint(active, now);
+  if (WouldRespondTooLate(active, *placement, now)) {
     return Fail(active, ErrorKind::kOverloaded,
                 RetryAfter(active, placement->wait, now), now);
   }
-  if (!MayGoOut(active, now)) return WaitForLink(active, now);
-  m_parts.load->OnGiven(*placement, active.info.prompt, now);
+  if (!CanSendNow(active, now)) return WaitForLink(active, now);
+  m_dependencies.load->OnGiven(*placement, active.info.prompt, now);
   active.attempt = {};
   active.attempt.placement = *placement;
-  active.stage = Stage::kBooked;
-  active.send_at = now + placement->wait - m_options.lead;
+  active.stage = Stage::kSlotReserved;
+  active.send_at = now + placement->wait - m_options.send_lead;
   if (active.send_at <= now) return Send(active, now);
-  SetDue(active, active.send_at);
+  SetTimer(active, active.send_at);
 }
 
-void CoreImpl::WaitForPlace(ActiveRequest& active, Instant now) {
-  const Duration most = active.route->target / kPlaceWaitPart;
-  const bool waits =
-      active.stage == Stage::kWaitsForPlace && active.wait_until != Instant{};
-  if (!waits) active.wait_until = now + most;
-  active.stage = Stage::kWaitsForPlace;
+void CoreImpl::WaitForEndpoint(ActiveRequest& active, Instant now) {
+  const Duration maximum = active.route->target / kEndpointWaitDivisor;
+  const bool waits = active.stage == Stage::kWaitsForEndpoint &&
+                     active.wait_until != Instant{};
+  if (!waits) active.wait_until = now + maximum;
+  active.stage = Stage::kWaitsForEndpoint;
   if (now < active.wait_until)
-    return SetDue(active, std::min(now + kLookAgain, active.wait_until));
-  const bool any = m_parts.load->HasEndpoint(active.service, now);
-  Fail(active, any ? ErrorKind::kOverloaded : ErrorKind::kNoEndpoint,
+    return SetTimer(active,
+                    std::min(now + kEndpointRetryInterval, active.wait_until));
+  const bool has_endpoint =
+      m_dependencies.load->HasEndpoint(active.service, now);
+  Fail(active, has_endpoint ? ErrorKind::kOverloaded : ErrorKind::kNoEndpoint,
        RetryAfter(active, 0s, now), now);
 }
 
-bool CoreImpl::ComesTooLate(const ActiveRequest& active,
-                            const Placement& placement, Instant now) const {
+bool CoreImpl::WouldRespondTooLate(const ActiveRequest& active,
+                                   const Placement& placement,
+                                   Instant now) const {
   const Instant first =
       now + placement.wait + placement.read + m_options.first_event_overhead;
   if (first <= active.target || placement.wait == 0s) return false;
-  const Duration patience = active.deadline - active.arrived;
-  const auto borne =
-      std::chrono::duration_cast<Duration>(patience * m_options.late_part);
-  return first > active.arrived + borne;
+  const Duration timeout = active.deadline - active.arrived;
+  const auto max_wait = std::chrono::duration_cast<Duration>(
+      timeout * m_options.max_wait_fraction);
+  return first > active.arrived + max_wait;
 }
 
 void CoreImpl::Send(ActiveRequest& active, Instant now) {
   const EndpointContact* contact =
-      m_parts.load->Find(active.attempt.placement.endpoint);
+      m_dependencies.load->Find(active.attempt.placement.endpoint);
   if (contact == nullptr) return Place(active, now);
-  if (!MayGoOut(active, now)) return WaitForLink(active, now);
+  if (!CanSendNow(active, now)) return WaitForLink(active, now);
   Attempt& attempt = active.attempt;
   attempt.id = ++m_last_attempt;
   attempt.endpoint = *contact;
   attempt.sent = now;
-  attempt.heard = now;
+  attempt.last_received = now;
   m_attempts[attempt.id] = active.id;
   ++active.sends;
   active.stage = Stage::kRunning;
@@ -84,9 +87,9 @@
                             ? std::to_string(*active.scanner.LastId())
                             : active.info.last_event_id;
   m_actions.emplace_back(std::move(start));
-  OnLetGo(active, now);
+  OnHandedOver(active, now);
   LogSent(active, now);
-  SetDue(active, DueWhileRunning(active));
+  SetTimer(active, RunningDeadline(active));
 }
 
 void CoreImpl::LogSent(const ActiveRequest& active, Instant now) {
@@ -99,15 +102,15 @@
       {"queued_ms", Ms(now - active.arrived)},
       {"tokens_to_read",
        std::to_string(active.attempt.placement.tokens_to_read)},
-      {"running_there", std::to_string(m_parts.load->Running(
+      {"running_there", std::to_string(m_dependencies.load->Running(
                             active.attempt.placement.endpoint))},
       {"send", std::to_string(active.sends)},
-      {"connection", active.info.kept_connection ? "kept" : "new"}};
-  if (active.link_waited > 0s)
-    inputs.emplace_back("link_wait_ms", Ms(active.link_waited));
+      {"connection", active.info.reused_connection ? "kept" : "new"}};
+  if (active.link_wait > 0s)
+    inputs.emplace_back("link_wait_ms", Ms(active.link_wait));
   if (m_drain) {
     inputs.emplace_back("stopping_ms", Ms(now - m_drain->begun));
-    inputs.emplace_back("left_ms", Ms(m_drain->last_answer - now));
+    inputs.emplace_back("left_ms", Ms(m_drain->response_deadline - now));
   }
   Log("sent", active, std::move(inputs));
 }
@@ -128,13 +131,13 @@
 // budget, but it counts towards kMostSends.
 void CoreImpl::OnWithdrawn(AttemptId id, Instant now) {
   OnNotSent(id, now);
-  ActiveRequest* active = OfAttempt(id);
+  ActiveRequest* active = FindByAttempt(id);
   if (active == nullptr) return;
   Log("attempt_withdrawn", *active,
       {{"endpoint", active->attempt.endpoint.id},
        {"sent_ms_ago", Ms(now - active->attempt.sent)}});
   EndAttempt(*active);
-  if (active->sends < kMostSends && now < active->deadline)
+  if (active->sends < kMaxSends && now < active->deadline)
     return Place(*active, now);
   const ErrorKind kind = active->may_have_run ? ErrorKind::kEndpointFailed
                                               : ErrorKind::kNoEndpoint;
@@ -146,18 +149,20 @@
 // time until the caller's deadline.
 Duration CoreImpl::RetryAfter(const ActiveRequest& active, Duration wait,
                               Instant now) {
-  return SpreadReturn(active, std::max(wait, m_options.least_retry_after), now);
+  return JitteredRetryAfter(active, std::max(wait, m_options.min_retry_after),
+                            now);
 }
 
-Duration CoreImpl::SpreadReturn(const ActiveRequest& active, Duration least,
-                                Instant now) {
-  constexpr int kPartOfPatience = 3;
-  constexpr int kMostSpread = 2;
+Duration CoreImpl::JitteredRetryAfter(const ActiveRequest& active,
+                                      Duration minimum, Instant now) {
+  constexpr int kCallerTimeoutDivisor = 3;
+  constexpr int kMaxJitter = 2;
   const Duration left = std::max<Duration>(0s, active.deadline - now);
-  const Duration most = left / (kPartOfPatience * kMostSpread);
+  const Duration maximum = left / (kCallerTimeoutDivisor * kMaxJitter);
   const double spread =
-      std::uniform_real_distribution<double>(1, kMostSpread)(m_random);
-  return std::chrono::duration_cast<Duration>(std::min(least, most) * spread);
+      std::uniform_real_distribution<double>(1, kMaxJitter)(m_random);
+  return std::chrono::duration_cast<Duration>(std::min(minimum, maximum) *
+                                              spread);
 }
 
 }  // namespace dotterelshift::gateway
--- a/src/dotterelshift/gateway/core_answer.cc
+++ b/src/dotterelshift/gateway/core_response.cc
@@ -33,11 +33,11 @@
   switch (stage) {
     case Stage::kWaitsForBudget:
       return "waits_for_tokens";
-    case Stage::kWaitsForPlace:
+    case Stage::kWaitsForEndpoint:
       return "waits_for_place";
     case Stage::kWaitsForLink:
       return "waits_for_link";
-    case Stage::kBooked:
+    case Stage::kSlotReserved:
       return "booked";
     case Stage::kRunning:
       return "running";
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-ActiveRequest* CoreImpl::OfAttempt(AttemptId attempt) {
+ActiveRequest* CoreImpl::FindByAttempt(AttemptId attempt) {
   const auto request = m_attempts.find(attempt);
   if (request == m_attempts.end()) return nullptr;
   const auto found = m_active.find(request->second);
@@ -58,87 +58,90 @@
 
 // The deadline; for a request that may be retried, the end of the idle timeout
 // if that is earlier.
-Instant CoreImpl::DueWhileRunning(const ActiveRequest& active) const {
+Instant CoreImpl::RunningDeadline(const ActiveRequest& active) const {
   if (!MayRunAgain(active)) return active.deadline;
-  return std::min(active.deadline,
-                  active.attempt.heard + m_options.silence_borne);
+  return std::min(active.deadline, active.attempt.last_received +
+                                       m_options.response_idle_timeout);
 }
 
 bool CoreImpl::MayRunAgain(const ActiveRequest& active) const {
   return active.MayRepeat() &&
          active.runs + 1 < static_cast<uint32_t>(active.route->attempts) &&
-         active.sends < kMostSends;
+         active.sends < kMaxSends;
 }
 
-void CoreImpl::OnHead(AttemptId id, int status, const AnswerMarks& marks,
-                      Instant now) {
-  ActiveRequest* active = OfAttempt(id);
+void CoreImpl::OnHead(AttemptId id, int status,
+                      const ResponseInfo& response_info, Instant now) {
+  ActiveRequest* active = FindByAttempt(id);
   if (active == nullptr) return;
   Attempt& attempt = active->attempt;
-  attempt.heard = now;
+  attempt.last_received = now;
   attempt.status = status;
-  attempt.marks = marks;
-  attempt.head_seen = true;
-  const bool foreign = marks.echoed_id != active->info.caller_id;
-  if (foreign && !marks.other_endpoint && !marks.not_run) {
+  attempt.response_info = response_info;
+  attempt.head_received = true;
+  const bool mismatched = response_info.echoed_id != active->info.caller_id;
+  if (mismatched && !response_info.address_reassigned &&
+      !response_info.not_run) {
     // A response to another request, or bytes that are not from the endpoint.
-    CancelAttemptOf(*active);
-    return OnBrokenAttempt(*active, http::TransferEnd::kCut, now);
+    CancelAttemptIfSent(*active);
+    return OnAttemptFailed(*active, http::TransferEnd::kCut, now);
   }
   const bool streams = active->route->kind == RouteKind::kStream &&
-                       IsSuccess(status) && marks.genuine && marks.event_stream;
+                       IsSuccess(status) && response_info.has_proof &&
+                       response_info.event_stream;
   if (!streams) return;
   active->stage = Stage::kAnswering;
   if (std::exchange(active->head_relayed, true)) return;
   m_actions.emplace_back(RelayHead{active->id, id});
 }
 
-void CoreImpl::OnPiece(AttemptId id, std::string_view bytes, Instant now) {
-  ActiveRequest* active = OfAttempt(id);
+void CoreImpl::OnChunk(AttemptId id, std::string_view bytes, Instant now) {
+  ActiveRequest* active = FindByAttempt(id);
   if (active == nullptr) return;
-  active->attempt.heard = now;
+  active->attempt.last_received = now;
   if (active->stage != Stage::kAnswering) return;
   const uint64_t before = active->scanner.Events();
-  std::string whole = active->scanner.Take(bytes);
+  std::string complete_events = active->scanner.Take(bytes);
   if (active->scanner.HasGap()) {
-    CancelAttemptOf(*active);
-    return OnBrokenAttempt(*active, http::TransferEnd::kCut, now);
+    CancelAttemptIfSent(*active);
+    return OnAttemptFailed(*active, http::TransferEnd::kCut, now);
   }
   if (active->scanner.Events() == before) return;
   if (active->attempt.events == 0) OnFirstEvent(*active, now);
   active->attempt.events += active->scanner.Events() - before;
-  m_actions.emplace_back(RelayPiece{active->id, std::move(whole)});
+  m_actions.emplace_back(RelayChunk{active->id, std::move(complete_events)});
 }
 
 void CoreImpl::OnFirstEvent(ActiveRequest& active, Instant now) {
-  m_parts.load->OnRead(active.attempt.placement.endpoint, now);
+  m_dependencies.load->OnRead(active.attempt.placement.endpoint, now);
   if (active.first_event == Instant{}) active.first_event = now;
-  active.prompt_read = true;
+  active.prefilled = true;
 }
 
 void CoreImpl::OnEnd(AttemptId id, http::TransferEnd end, Instant now) {
-  ActiveRequest* active = OfAttempt(id);
+  ActiveRequest* active = FindByAttempt(id);
   if (active == nullptr) return;
   Attempt& attempt = active->attempt;
   if (end != http::TransferEnd::kWhole)
-    return OnBrokenAttempt(*active, end, now);
-  if (attempt.marks.not_run || attempt.marks.other_endpoint)
+    return OnAttemptFailed(*active, end, now);
+  if (attempt.response_info.not_run || attempt.response_info.address_reassigned)
     return OnEndpointRefusal(*active, now);
-  const bool unproved = IsSuccess(attempt.status) && !attempt.marks.genuine;
-  const bool half_event =
-      active->stage == Stage::kAnswering && !active->scanner.Rest().empty();
-  if (unproved || half_event)
-    return OnBrokenAttempt(*active, http::TransferEnd::kCut, now);
-  OnWholeAnswer(*active, now);
+  const bool unproven =
+      IsSuccess(attempt.status) && !attempt.response_info.has_proof;
+  const bool partial_event = active->stage == Stage::kAnswering &&
+                             !active->scanner.PartialEvent().empty();
+  if (unproven || partial_event)
+    return OnAttemptFailed(*active, http::TransferEnd::kCut, now);
+  OnCompleteResponse(*active, now);
 }
 
-void CoreImpl::OnWholeAnswer(ActiveRequest& active, Instant now) {
+void CoreImpl::OnCompleteResponse(ActiveRequest& active, Instant now) {
   const int status = active.attempt.status;
   const EndpointKey endpoint = active.attempt.placement.endpoint;
   active.may_have_run = true;
-  active.prompt_read = true;
+  active.prefilled = true;
   if (IsEndpointFault(status)) {
-    m_parts.load->OnFailed(endpoint, now);
+    m_dependencies.load->OnFailed(endpoint, now);
     if (MayRunAgain(active)) {
       EndAttempt(active);
       ++active.runs;
@@ -146,8 +149,8 @@
       --active.runs;
     }
   } else {
-    m_parts.load->OnGood(endpoint);
-    Clear(active);
+    m_dependencies.load->OnGood(endpoint);
+    ReportClearedContent(active);
   }
   if (active.stage == Stage::kAnswering) {
     m_actions.emplace_back(FinishStream{active.id});
@@ -157,7 +160,7 @@
     m_actions.emplace_back(AbortStream{active.id});
     return Finish(active, ErrorKind::kStreamCut, false, now);
   }
-  m_actions.emplace_back(RelayWhole{active.id, active.attempt.id});
+  m_actions.emplace_back(RelayResponse{active.id, active.attempt.id});
   Finish(
       active,
       IsEndpointFault(status) ? ErrorKind::kEndpointFailed : ErrorKind::kNone,
@@ -166,10 +169,10 @@
 
 void CoreImpl::OnEndpointRefusal(ActiveRequest& active, Instant now) {
   const EndpointKey endpoint = active.attempt.placement.endpoint;
-  if (active.attempt.marks.other_endpoint)
-    m_parts.load->OnUnreachable(endpoint, now);
+  if (active.attempt.response_info.address_reassigned)
+    m_dependencies.load->OnUnreachable(endpoint, now);
   else
-    m_parts.load->OnFull(endpoint, now);
+    m_dependencies.load->OnFull(endpoint, now);
   Log("endpoint_refused", active,
       {{"endpoint", active.attempt.endpoint.id},
        {"status", std::to_string(active.attempt.status)}});
@@ -182,11 +185,11 @@
 
 // Handles an attempt that ended without a complete response. Unless it did not
 // reach the endpoint, the request may have run.
-void CoreImpl::OnBrokenAttempt(ActiveRequest& active, http::TransferEnd end,
+void CoreImpl::OnAttemptFailed(ActiveRequest& active, http::TransferEnd end,
                                Instant now) {
   const EndpointKey endpoint = active.attempt.placement.endpoint;
   const bool sent = end != http::TransferEnd::kNotSent;
-  const bool may_again = !sent || MayRunAgain(active);
+  const bool can_retry = !sent || MayRunAgain(active);
   Log("attempt_broken", active,
       {{"endpoint", active.attempt.endpoint.id},
        {"how", std::string(NameOf(end))},
@@ -195,15 +198,15 @@
       active.attempt.id);
   if (sent) {
     active.may_have_run = true;
-    m_parts.load->OnFailed(endpoint, now);
-    if (end != http::TransferEnd::kTimedOut) Suspect(active);
+    m_dependencies.load->OnFailed(endpoint, now);
+    if (end != http::TransferEnd::kTimedOut) ReportSuspectContent(active);
   } else {
-    m_parts.load->OnUnreachable(endpoint, now);
+    m_dependencies.load->OnUnreachable(endpoint, now);
     OnNotSent(active.attempt.id, now);
   }
   EndAttempt(active);
   if (sent) ++active.runs;
-  if (may_again && TryAgain(active, now)) return;
+  if (can_retry && TryAgain(active, now)) return;
   const bool late = now >= active.deadline;
   if (active.may_have_run) {
     return Fail(
@@ -216,36 +219,36 @@
 
 // A content that crashes each endpoint that runs it may be sent again through
 // any entry. Control therefore counts the affected endpoints for all entries.
-void CoreImpl::Suspect(const ActiveRequest& active) {
-  constexpr size_t kMostSuspected = 4096;
-  if (m_suspected.size() >= kMostSuspected) m_suspected.clear();
+void CoreImpl::ReportSuspectContent(const ActiveRequest& active) {
+  constexpr size_t kMaxSuspected = 4096;
+  if (m_suspected.size() >= kMaxSuspected) m_suspected.clear();
   m_suspected.insert(active.info.content_hash);
-  Suspicion& suspicion = m_suspicions.emplace_back();
-  suspicion.content_hash = active.info.content_hash;
-  suspicion.endpoint = active.attempt.endpoint.id;
-  suspicion.incarnation = active.attempt.endpoint.incarnation;
-  suspicion.alone =
-      m_parts.load->Running(active.attempt.placement.endpoint) <= 1;
+  SuspectReport& report = m_suspect_reports.emplace_back();
+  report.content_hash = active.info.content_hash;
+  report.endpoint = active.attempt.endpoint.id;
+  report.incarnation = active.attempt.endpoint.incarnation;
+  report.alone =
+      m_dependencies.load->Running(active.attempt.placement.endpoint) <= 1;
 }
 
-void CoreImpl::Clear(const ActiveRequest& active) {
+void CoreImpl::ReportClearedContent(const ActiveRequest& active) {
   if (m_suspected.erase(active.info.content_hash) == 0) return;
-  m_suspicions.emplace_back().content_hash = active.info.content_hash;
+  m_suspect_reports.emplace_back().content_hash = active.info.content_hash;
 }
 
 // Retries at another endpoint if the fleet's retry budget allows it. A request
 // that has not reached any endpoint yet uses none of that budget.
 bool CoreImpl::TryAgain(ActiveRequest& active, Instant now) {
   active.tried.push_back(active.attempt.placement.endpoint);
-  const bool arrived = active.attempt.head_seen || active.runs > 0;
+  const bool arrived = active.attempt.head_received || active.runs > 0;
   // A retry that the outbound link would refuse must not use the retry budget.
-  const bool in_time = active.sends < kMostSends && now < active.deadline &&
-                       (!arrived || GoesOutInTime(active, now));
-  const bool allowed =
-      in_time && (!arrived || m_parts.retries->Take(active.service, now));
+  const bool in_time = active.sends < kMaxSends && now < active.deadline &&
+                       (!arrived || CanSendInTime(active, now));
+  const bool allowed = in_time && (!arrived || m_dependencies.retries->Take(
+                                                   active.service, now));
   if (!allowed) return false;
   const bool other =
-      m_parts.load
+      m_dependencies.load
           ->Choose(active.service, active.info.prompt, active.tried, now)
           .has_value();
   if (!other) return false;
@@ -255,7 +258,7 @@
 
 void CoreImpl::OnDeadline(ActiveRequest& active, Instant now) {
   if (active.stage == Stage::kRunning || active.stage == Stage::kAnswering) {
-    CancelAttemptOf(active);
+    CancelAttemptIfSent(active);
     return Fail(active, ErrorKind::kDeadlineWhileRunning, 0s, now);
   }
   Fail(active,
@@ -264,7 +267,7 @@
        0s, now);
 }
 
-void CoreImpl::CancelAttemptOf(ActiveRequest& active) {
+void CoreImpl::CancelAttemptIfSent(ActiveRequest& active) {
   if (active.stage == Stage::kRunning || active.stage == Stage::kAnswering) {
     m_actions.emplace_back(CancelAttempt{active.attempt.id});
     active.may_have_run = true;
@@ -275,15 +278,15 @@
 // the link queue.
 void CoreImpl::EndAttempt(ActiveRequest& active) {
   if (active.attempt.id != 0) m_attempts.erase(active.attempt.id);
-  const bool booked = active.stage == Stage::kBooked ||
-                      active.stage == Stage::kRunning ||
-                      active.stage == Stage::kAnswering;
-  if (booked) m_parts.load->OnEnded(active.attempt.placement.endpoint);
-  active.stage = Stage::kWaitsForPlace;
+  const bool occupied = active.stage == Stage::kSlotReserved ||
+                        active.stage == Stage::kRunning ||
+                        active.stage == Stage::kAnswering;
+  if (occupied) m_dependencies.load->OnEnded(active.attempt.placement.endpoint);
+  active.stage = Stage::kWaitsForEndpoint;
   active.wait_until = {};
   LeaveLinkQueue(active);
-  active.link_until = {};
-  active.link_waited = 0s;
+  active.link_deadline = {};
+  active.link_wait = 0s;
   active.scanner.Reset();
 }
 
@@ -299,15 +302,16 @@
 
 // The prompt counts once if an endpoint may have run the request; of the output
 // only what was passed on to the caller counts.
-Tokens CoreImpl::SpentBy(const ActiveRequest& active) const {
+Tokens CoreImpl::TokensSpent(const ActiveRequest& active) const {
   if (!active.may_have_run) return 0;
   const Service* service = active.routes->FindService(active.service);
-  const Tokens each = service != nullptr && service->engine
-                          ? service->engine->tokens_per_event
-                          : 1;
+  const Tokens tokens_per_event = service != nullptr && service->engine
+                                      ? service->engine->tokens_per_event
+                                      : 1;
   const auto events = static_cast<Tokens>(active.scanner.Events());
-  const Tokens spent = active.info.prompt.prompt_tokens +
-                       std::min(active.info.prompt.output_limit, events * each);
+  const Tokens spent =
+      active.info.prompt.prompt_tokens +
+      std::min(active.info.prompt.output_limit, events * tokens_per_event);
   return std::min(spent, active.reserved);
 }
 
@@ -316,8 +320,8 @@
   const Stage stage = active.stage;
   EndAttempt(active);
   if (active.has_reservation) {
-    m_parts.budgets->Settle(active.team, active.reserved, SpentBy(active),
-                            answered, now);
+    m_dependencies.budgets->Settle(active.team, active.reserved,
+                                   TokensSpent(active), answered, now);
   }
   serving::RequestSummary& summary = m_finished.emplace_back();
   summary.request = active.id;
@@ -329,10 +333,10 @@
   const bool streamed = active.first_event != Instant{};
   summary.first_token = (streamed ? active.first_event : now) - active.arrived;
   summary.total = now - active.arrived;
-  summary.spent = SpentBy(active);
+  summary.spent = TokensSpent(active);
   summary.attempts = static_cast<int>(active.sends);
   LogFinish(active, summary, stage, answered, now);
-  if (active.due != Instant{}) m_due.erase({active.due, active.id});
+  if (active.due != Instant{}) m_timers.erase({active.due, active.id});
   m_active.erase(active.id);
 }
 
--- a/src/dotterelshift/gateway/core_test.cc
+++ b/src/dotterelshift/gateway/core_test.cc
@@ -12,26 +12,26 @@
 class CoreTest : public CoreFixture {
   CPPUNIT_TEST_SUITE(CoreTest);
   CPPUNIT_TEST(UnknownRoutesAndKeysAreRefused);
-  CPPUNIT_TEST(BeforeRoutesAreKnownNothingIsSaidToBeMissing);
-  CPPUNIT_TEST(AnAnswerIsRelayedWhole);
-  CPPUNIT_TEST(AnAnswerToAnotherRequestIsNotRelayed);
-  CPPUNIT_TEST(WhatMayRunOnceIsSentOnceUnlessItDidNotRun);
-  CPPUNIT_TEST(IdempotentWorkIsTriedElsewhereWithinTheAttempts);
-  CPPUNIT_TEST(ARefusalAfterARunIsNoPromise);
-  CPPUNIT_TEST(ABrokenStreamGoesOnAfterItsLastWholeEvent);
-  CPPUNIT_TEST(AStreamThatMayNotResumeIsVisiblyCut);
-  CPPUNIT_TEST(AContentThatBreaksEndpointsIsReportedAndHeldBack);
+  CPPUNIT_TEST(WithoutRoutesRequestsAreRefusedAsNotReady);
+  CPPUNIT_TEST(CompleteResponseIsRelayed);
+  CPPUNIT_TEST(ResponseToAnotherRequestIsNotRelayed);
+  CPPUNIT_TEST(AtMostOnceRequestIsRetriedOnlyIfItDidNotRun);
+  CPPUNIT_TEST(IdempotentRequestIsRetriedWithinItsAttempts);
+  CPPUNIT_TEST(RefusalAfterAFailedRunDoesNotClaimNotRun);
+  CPPUNIT_TEST(BrokenStreamResumesAfterItsLastCompleteEvent);
+  CPPUNIT_TEST(NonResumableStreamIsAborted);
+  CPPUNIT_TEST(SuspectContentIsReportedAndQuarantined);
   CPPUNIT_TEST(ACallerThatLeavesCancelsItsAttempt);
-  CPPUNIT_TEST(TheLineOfACallerThatLeavesSaysWhereItsRequestStood);
-  CPPUNIT_TEST(WhatIsBookedIsNotSentToALeavingEndpoint);
-  CPPUNIT_TEST(WhatIsNotSentYetLeavesALeavingEndpoint);
-  CPPUNIT_TEST(WhatMayHaveBeenSentStaysAtALeavingEndpoint);
-  CPPUNIT_TEST(WithNoOtherEndpointTheWithdrawnIsRefusedAsNotRun);
+  CPPUNIT_TEST(CallerGoneLogLineNamesTheStage);
+  CPPUNIT_TEST(UnsentRequestWithASlotMovesOffALeavingEndpoint);
+  CPPUNIT_TEST(UnsentAttemptIsWithdrawnFromALeavingEndpoint);
+  CPPUNIT_TEST(SentAttemptStaysAtALeavingEndpoint);
+  CPPUNIT_TEST(WithdrawnAttemptWithoutAnotherEndpointIsRefusedAsNotRun);
   CPPUNIT_TEST(TheTimeoutEndsARequestAtOnce);
-  CPPUNIT_TEST(PatienceCountsFromTheRequestsHead);
+  CPPUNIT_TEST(TimeoutCountsFromTheRequestHead);
   CPPUNIT_TEST(WithoutTokensARequestWaitsThenIsRefused);
   CPPUNIT_TEST(WhereAGrantIsLikelyARequestWaitsLonger);
-  CPPUNIT_TEST(AFullFleetRefusesAtOnceAndSpreadsReturns);
+  CPPUNIT_TEST(FullFleetRefusesAtOnceWithJitteredRetryAfter);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -39,19 +39,19 @@
     Publish();
     Request("/none/");
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kUnknownPath);
-    RequestInfo info = AskFor("/safe/");
+    RequestInfo info = MakeRequestInfo("/safe/");
     info.key = "stolen";
     m_core->OnRequest(kRequest, info, m_now);
     Collect();
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kUnauthorized);
   }
 
-  void BeforeRoutesAreKnownNothingIsSaidToBeMissing() {
+  void WithoutRoutesRequestsAreRefusedAsNotReady() {
     Request("/none/");
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kNotReady);
   }
 
-  void AnAnswerIsRelayedWhole() {
+  void CompleteResponseIsRelayed() {
     Publish();
     Request("/once/");
     const StartAttempt start = Only<StartAttempt>();
@@ -60,11 +60,11 @@
     Head(start.attempt, 200);
     CPPUNIT_ASSERT(m_last.empty());
     End(start.attempt, http::TransferEnd::kWhole);
-    CPPUNIT_ASSERT_EQUAL(start.attempt, Only<RelayWhole>().attempt);
+    CPPUNIT_ASSERT_EQUAL(start.attempt, Only<RelayResponse>().attempt);
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
   }
 
-  void AnAnswerToAnotherRequestIsNotRelayed() {
+  void ResponseToAnotherRequestIsNotRelayed() {
     Publish();
     Request("/once/");
     const StartAttempt start = Only<StartAttempt>();
@@ -73,7 +73,7 @@
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kEndpointFailed);
   }
 
-  void WhatMayRunOnceIsSentOnceUnlessItDidNotRun() {
+  void AtMostOnceRequestIsRetriedOnlyIfItDidNotRun() {
     Publish();
     Request("/once/");
     const StartAttempt first = Only<StartAttempt>();
@@ -86,7 +86,7 @@
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kEndpointFailed);
   }
 
-  void IdempotentWorkIsTriedElsewhereWithinTheAttempts() {
+  void IdempotentRequestIsRetriedWithinItsAttempts() {
     Publish();
     Request("/safe/");
     const StartAttempt first = Only<StartAttempt>();
@@ -95,12 +95,12 @@
     const StartAttempt second = Only<StartAttempt>();
     Head(second.attempt, 500);
     End(second.attempt, http::TransferEnd::kWhole);
-    CPPUNIT_ASSERT_EQUAL(second.attempt, Only<RelayWhole>().attempt);
+    CPPUNIT_ASSERT_EQUAL(second.attempt, Only<RelayResponse>().attempt);
   }
 
   // The request ran once and was cut, then another endpoint refused it. The
   // caller must not be told that it did not run.
-  void ARefusalAfterARunIsNoPromise() {
+  void RefusalAfterAFailedRunDoesNotClaimNotRun() {
     Publish();
     Request("/safe/");
     End(Only<StartAttempt>().attempt, http::TransferEnd::kCutBeforeHead);
@@ -112,7 +112,7 @@
     CPPUNIT_ASSERT(RowOf(Only<Refuse>().kind).ran != Ran::kNo);
   }
 
-  void ABrokenStreamGoesOnAfterItsLastWholeEvent() {
+  void BrokenStreamResumesAfterItsLastCompleteEvent() {
     Publish();
     Request("/resume/", 100);
     const StartAttempt first = Only<StartAttempt>();
@@ -120,7 +120,7 @@
     CPPUNIT_ASSERT_EQUAL(first.attempt, Only<RelayHead>().attempt);
     Piece(first.attempt, "id: 1\ndata: a\n\nid: 2\nda");
     CPPUNIT_ASSERT_EQUAL(std::string("id: 1\ndata: a\n\n"),
-                         Only<RelayPiece>().bytes);
+                         Only<RelayChunk>().bytes);
     End(first.attempt, http::TransferEnd::kCut);
     const StartAttempt second = Only<StartAttempt>();
     CPPUNIT_ASSERT_EQUAL(std::string("1"), second.last_event_id);
@@ -128,12 +128,12 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<RelayHead>());
     Piece(second.attempt, "id: 2\ndata: b\n\n");
     CPPUNIT_ASSERT_EQUAL(std::string("id: 2\ndata: b\n\n"),
-                         Only<RelayPiece>().bytes);
+                         Only<RelayChunk>().bytes);
     End(second.attempt, http::TransferEnd::kWhole);
     Only<FinishStream>();
   }
 
-  void AStreamThatMayNotResumeIsVisiblyCut() {
+  void NonResumableStreamIsAborted() {
     Publish();
     Request("/stream/", 100);
     const StartAttempt start = Only<StartAttempt>();
@@ -144,11 +144,11 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<StartAttempt>());
   }
 
-  void AContentThatBreaksEndpointsIsReportedAndHeldBack() {
+  void SuspectContentIsReportedAndQuarantined() {
     Publish();
     Request("/once/");
     End(Only<StartAttempt>().attempt, http::TransferEnd::kCutBeforeHead);
-    const auto reports = m_core->TakeSuspicions();
+    const auto reports = m_core->TakeSuspectReports();
     CPPUNIT_ASSERT_EQUAL(size_t{1}, reports.size());
     CPPUNIT_ASSERT(!reports[0].endpoint.empty() && reports[0].alone);
     // A complete response clears it.
@@ -156,7 +156,7 @@
     const AttemptId attempt = Only<StartAttempt>().attempt;
     Head(attempt, 200);
     End(attempt, http::TransferEnd::kWhole);
-    const auto cleared = m_core->TakeSuspicions();
+    const auto cleared = m_core->TakeSuspectReports();
     CPPUNIT_ASSERT(cleared.size() == 1 && cleared[0].endpoint.empty());
     wire::SuspectAnswerT held_back;
     held_back.quarantined_until_ms = 1;
@@ -176,15 +176,15 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
   }
 
-  void TheLineOfACallerThatLeavesSaysWhereItsRequestStood() {
+  void CallerGoneLogLineNamesTheStage() {
     Publish();
     Request("/stream/", 100);
     const AttemptId attempt = Only<StartAttempt>().attempt;
-    Pass(70ms);
+    Advance(70ms);
     m_core->OnCallerGone(kRequest, m_now);
     Collect();
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, m_lines.size());
-    const Decision& line = m_lines.front();
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, m_log_lines.size());
+    const Decision& line = m_log_lines.front();
     CPPUNIT_ASSERT_EQUAL(attempt, line.attempt);
     const auto says = [&line](std::string_view name, const std::string& value) {
       return std::ranges::find(line.inputs, std::pair(name, value)) !=
@@ -208,7 +208,7 @@
 
   // Two prompts are being prefilled, and behind each of them one more request
   // has a slot reserved.
-  void WhatIsBookedIsNotSentToALeavingEndpoint() {
+  void UnsentRequestWithASlotMovesOffALeavingEndpoint() {
     Publish();
     for (RequestId id = 1; id <= 4; ++id) {
       Request("/stream/", 10'000, id);
@@ -223,12 +223,12 @@
         CPPUNIT_ASSERT_EQUAL(std::string("l2"), start->endpoint.id);
         ++sent;
       }
-      Pass(1ms);
+      Advance(1ms);
     }
     CPPUNIT_ASSERT_EQUAL(size_t{2}, sent);
   }
 
-  void WhatIsNotSentYetLeavesALeavingEndpoint() {
+  void UnsentAttemptIsWithdrawnFromALeavingEndpoint() {
     Publish();
     Request("/once/");
     const StartAttempt first = Only<StartAttempt>();
@@ -247,7 +247,7 @@
 
   // The connection may have taken some of it, so that it may run there. It must
   // not run a second time elsewhere.
-  void WhatMayHaveBeenSentStaysAtALeavingEndpoint() {
+  void SentAttemptStaysAtALeavingEndpoint() {
     Publish();
     Request("/once/");
     const StartAttempt start = Only<StartAttempt>();
@@ -256,7 +256,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<CancelAttempt>());
     Head(start.attempt, 200);
     End(start.attempt, http::TransferEnd::kWhole);
-    CPPUNIT_ASSERT_EQUAL(start.attempt, Only<RelayWhole>().attempt);
+    CPPUNIT_ASSERT_EQUAL(start.attempt, Only<RelayResponse>().attempt);
     // For a stream that has begun no withdrawal is requested.
     Request("/stream/", 100);
     const StartAttempt stream = Only<StartAttempt>();
@@ -265,7 +265,7 @@
     CPPUNIT_ASSERT(m_last.empty());
   }
 
-  void WithNoOtherEndpointTheWithdrawnIsRefusedAsNotRun() {
+  void WithdrawnAttemptWithoutAnotherEndpointIsRefusedAsNotRun() {
     Publish();
     Request("/once/");
     const StartAttempt start = Only<StartAttempt>();
@@ -274,7 +274,7 @@
     CPPUNIT_ASSERT(m_last.empty());
     Leave(start.endpoint.id, "plain");
     Withdrawn(Only<WithdrawAttempt>().attempt);
-    Pass(Duration(600ms) / 8);
+    Advance(Duration(600ms) / 8);
     const Refuse refuse = Only<Refuse>();
     CPPUNIT_ASSERT(refuse.kind == ErrorKind::kNoEndpoint);
     CPPUNIT_ASSERT(RowOf(refuse.kind).ran == Ran::kNo);
@@ -284,7 +284,7 @@
     Publish();
     Request("/once/");
     const AttemptId attempt = Only<StartAttempt>().attempt;
-    Pass(4s);
+    Advance(4s);
     CPPUNIT_ASSERT_EQUAL(attempt, Only<CancelAttempt>().attempt);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kDeadlineWhileRunning);
   }
@@ -292,16 +292,16 @@
   // Over a saturated link a long prompt takes seconds to arrive. If it were
   // sent on with the caller's full timeout, it would run on after the caller
   // has left.
-  void PatienceCountsFromTheRequestsHead() {
+  void TimeoutCountsFromTheRequestHead() {
     Publish();
-    RequestInfo info = AskFor("/stream/", 100);
+    RequestInfo info = MakeRequestInfo("/stream/", 100);
     info.begun = m_now - 3s;
     m_core->OnRequest(kRequest, info, m_now);
     Collect();
     CPPUNIT_ASSERT(Only<StartAttempt>().time_left == 1s);
     info.begun = m_now - 5s;
     m_core->OnRequest(2, info, m_now);
-    Pass(0s);
+    Advance(0s);
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<StartAttempt>());
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kOverloaded);
   }
@@ -319,7 +319,7 @@
     Collect();
     Only<StartAttempt>();
     Request("/stream/", 100, 2);
-    Pass(CoreOptions().budget_wait);
+    Advance(CoreOptions().budget_wait);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kBudgetUnavailable);
   }
 
@@ -329,27 +329,27 @@
   void WhereAGrantIsLikelyARequestWaitsLonger() {
     Publish(1'000'000);
     m_budgets->SetConnected(true, m_now);
-    AnswerAsk(0, 1'000'000);
+    AnswerGrantRequest(0, 1'000'000);
     Request("/stream/", 100);
-    Pass(CoreOptions().budget_wait);
+    Advance(CoreOptions().budget_wait);
     CPPUNIT_ASSERT(m_last.empty());
-    AnswerAsk(200, 999'800);
+    AnswerGrantRequest(200, 999'800);
     Collect();
     Only<StartAttempt>();
     Request("/stream/", 100, 2);
-    Pass(Duration(4s) / CoreOptions().grant_wait_part);
+    Advance(Duration(4s) / CoreOptions().grant_wait_divisor);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kBudgetUnavailable);
     // Without a connection to control only the other entries can lend tokens.
     m_budgets->SetConnected(false, m_now);
     Request("/stream/", 100, 3);
-    Pass(CoreOptions().budget_wait);
+    Advance(CoreOptions().budget_wait);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kBudgetUnavailable);
   }
 
   // Far more long prompts than two engines can prefill within the callers'
   // timeout: requests that would be late are refused as not run, with different
   // retry delays.
-  void AFullFleetRefusesAtOnceAndSpreadsReturns() {
+  void FullFleetRefusesAtOnceWithJitteredRetryAfter() {
     Publish();
     std::vector<Duration> returns;
     for (RequestId id = 1; id <= 60; ++id) {
--- a/src/dotterelshift/gateway/core_testing.h
+++ b/src/dotterelshift/gateway/core_testing.h
@@ -59,7 +59,7 @@
                      RouteOf("/stream/", RouteKind::kStream, "llm", 1)};
     routes.routes[2].resumable = true;
     routes.services = {{"plain", 10, std::nullopt},
-                       {"llm", 10, EngineSize{8, 100'000, 6}}};
+                       {"llm", 10, EngineCapacity{8, 100'000, 6}}};
     routes.teams = {{"team", {"key"}, std::nullopt, total}};
     m_core->OnRoutes(std::make_shared<const RouteTable>(std::move(routes)), 1,
                      m_now);
@@ -82,13 +82,14 @@
     m_directory.OnRecord(record, m_now);
   }
 
-  static RequestInfo AskFor(const std::string& path, Tokens tokens = 0) {
+  static RequestInfo MakeRequestInfo(const std::string& path,
+                                     Tokens tokens = 0) {
     RequestInfo info;
     info.caller_id = "caller-1";
     info.host = "h";
     info.path = path + "x";
     info.key = "key";
-    info.patience = 4s;
+    info.timeout = 4s;
     info.prompt.prompt_tokens = tokens;
     info.prompt.output_limit = tokens > 0 ? 60 : 0;
     return info;
@@ -96,16 +97,16 @@
 
   void Request(const std::string& path, Tokens tokens = 0,
                RequestId id = kRequest) {
-    m_core->OnRequest(id, AskFor(path, tokens), m_now);
+    m_core->OnRequest(id, MakeRequestInfo(path, tokens), m_now);
     Collect();
   }
 
   void Collect() {
     m_last.clear();
-    m_lines.clear();
+    m_log_lines.clear();
     for (Action& action : m_core->TakeActions()) {
       if (const auto* line = std::get_if<Decision>(&action))
-        m_lines.push_back(*line);
+        m_log_lines.push_back(*line);
       else
         m_last.push_back(std::move(action));
     }
@@ -129,30 +130,30 @@
 
   void Head(AttemptId attempt, int status, bool stream = false,
             const std::string& echo = "caller-1", bool not_run = false) {
-    AnswerMarks marks;
-    marks.echoed_id = echo;
-    marks.genuine = true;
-    marks.event_stream = stream;
-    marks.not_run = not_run;
-    m_core->OnHead(attempt, status, marks, m_now);
+    ResponseInfo response_info;
+    response_info.echoed_id = echo;
+    response_info.has_proof = true;
+    response_info.event_stream = stream;
+    response_info.not_run = not_run;
+    m_core->OnHead(attempt, status, response_info, m_now);
     Collect();
   }
   void Piece(AttemptId attempt, const std::string& bytes) {
-    m_core->OnPiece(attempt, bytes, m_now);
+    m_core->OnChunk(attempt, bytes, m_now);
     Collect();
   }
   void End(AttemptId attempt, http::TransferEnd end) {
     m_core->OnEnd(attempt, end, m_now);
     Collect();
   }
-  void Pass(Duration time) {
+  void Advance(Duration time) {
     m_now += time;
     m_core->OnTimer(m_now);
     Collect();
   }
 
   // Control grants the team `tokens` and reports `left` free ones.
-  void AnswerAsk(Tokens tokens, Tokens left) {
+  void AnswerGrantRequest(Tokens tokens, Tokens left) {
     wire::GrantAnswerT grant;
     grant.budget = "team";
     grant.tokens = tokens;
@@ -173,7 +174,7 @@
   quarantine::Blocklist m_blocklist;
   std::unique_ptr<Core> m_core;
   std::vector<Action> m_last;
-  std::vector<Decision> m_lines;
+  std::vector<Decision> m_log_lines;
 };
 
 }  // namespace dotterelshift::gateway
--- a/src/dotterelshift/gateway/dead_fleet_test.cc
+++ b/src/dotterelshift/gateway/dead_fleet_test.cc
@@ -22,19 +22,20 @@
 
 constexpr int kEntries = 60;
 constexpr Duration kTick = 20ms;
-constexpr Duration kOneWay = 10ms;  // entry to control, commit included
-constexpr Duration kPatience = 1s;  // a request waits for tokens this long
-constexpr Duration kOff = 2s;
-constexpr Duration kAfter = 40s;  // callers continue this long after the crash
-constexpr int kLenders = 3;       // entries that a borrower asks
+constexpr Duration kOneWay = 10ms;   // entry to control, commit included
+constexpr Duration kTokenWait = 1s;  // a request waits for tokens this long
+constexpr Duration kDowntime = 2s;
+constexpr Duration kTimeAfterRestart =
+    40s;                     // callers continue this long after the crash
+constexpr int kLenders = 3;  // entries that a borrower asks
 constexpr uint64_t kSeeds = 4;
 
-struct Day {
+struct Workload {
   int teams = 12;
   double requests_per_second = 250;
-  Tokens mean = 8'000;  // worst case of a request
-  double spread = 0.8;  // sigma of its logarithm
-  double lasts = 35;    // seconds of demand that the totals cover
+  Tokens mean = 8'000;         // worst case of a request
+  double spread = 0.8;         // sigma of its logarithm
+  double budget_seconds = 35;  // seconds of demand that the totals cover
 };
 
 struct Request {
@@ -54,8 +55,8 @@
 
 class Fleet {
  public:
-  Fleet(const Day& day, uint64_t seed)
-      : m_day(day), m_random(seed), m_state(state::MakeState()) {
+  Fleet(const Workload& workload, uint64_t seed)
+      : m_workload(workload), m_random(seed), m_state(state::MakeState()) {
     Publish();
     m_entries.resize(kEntries);
     for (int i = 0; i < kEntries; ++i) {
@@ -74,13 +75,13 @@
     Deliver();
     for (Entry& entry : m_entries) Settle(entry);
     Arrive();
-    for (Entry& entry : m_entries) Tend(entry);
-    if (m_now >= m_next_beat) Beat();
+    for (Entry& entry : m_entries) ServeWaiting(entry);
+    if (m_now >= m_next_heartbeat) SendHeartbeats();
   }
 
   // Tokens that open requests have used until then stay spent.
-  void AllDie() {
-    m_under_way.clear();
+  void KillAllEntries() {
+    m_in_flight.clear();
     for (Entry& entry : m_entries) {
       for (const Request& request : entry.running) {
         m_consumed += static_cast<Tokens>(
@@ -90,7 +91,7 @@
       entry.running.clear();
       entry.waiting.clear();
     }
-    m_now += kOff;
+    m_now += kDowntime;
     m_recalls = budget::RecallCore();
     for (Entry& entry : m_entries) Start(entry);
   }
@@ -103,19 +104,21 @@
 
   // Total demand, in tokens per second.
   double Demand() const {
-    return m_day.requests_per_second * static_cast<double>(m_day.mean);
+    return m_workload.requests_per_second *
+           static_cast<double>(m_workload.mean);
   }
 
   void Publish() {
     double weights = 0;
-    for (int team = 0; team < m_day.teams; ++team) weights += WeightOf(team);
+    for (int team = 0; team < m_workload.teams; ++team)
+      weights += WeightOf(team);
     wire::PublishRoutesT body;
     body.version = 1;
     body.document = {1};
     Routes routes;
-    for (int team = 0; team < m_day.teams; ++team) {
-      const auto total = static_cast<Tokens>(Demand() * m_day.lasts *
-                                             WeightOf(team) / weights);
+    for (int team = 0; team < m_workload.teams; ++team) {
+      const auto total = static_cast<Tokens>(
+          Demand() * m_workload.budget_seconds * WeightOf(team) / weights);
       auto line = std::make_unique<wire::TeamTotalT>();
       line->team = TeamName(team);
       line->tokens = total;
@@ -162,30 +165,31 @@
   }
 
   void After(Duration delay, std::function<void()> event) {
-    m_under_way.emplace(m_now + delay, std::move(event));
+    m_in_flight.emplace(m_now + delay, std::move(event));
   }
 
   void Deliver() {
-    while (!m_under_way.empty() && m_under_way.begin()->first <= m_now) {
-      const auto event = std::move(m_under_way.begin()->second);
-      m_under_way.erase(m_under_way.begin());
+    while (!m_in_flight.empty() && m_in_flight.begin()->first <= m_now) {
+      const auto event = std::move(m_in_flight.begin()->second);
+      m_in_flight.erase(m_in_flight.begin());
       event();
     }
   }
 
   void Arrive() {
     const double share = std::chrono::duration<double>(kTick).count();
-    int come = std::poisson_distribution<>(m_day.requests_per_second *
-                                           share)(m_random);
+    int arrivals = std::poisson_distribution<>(m_workload.requests_per_second *
+                                               share)(m_random);
     std::discrete_distribution<int> team(m_weights.begin(), m_weights.end());
     std::normal_distribution<> normal;
-    for (; come > 0; --come) {
+    for (; arrivals > 0; --arrivals) {
       Request request;
       request.team = TeamName(team(m_random));
-      const double factor = std::exp(m_day.spread * normal(m_random) -
-                                     m_day.spread * m_day.spread / 2);
+      const double factor = std::exp(m_workload.spread * normal(m_random) -
+                                     m_workload.spread * m_workload.spread / 2);
       request.worst_case = std::max<Tokens>(
-          50, static_cast<Tokens>(factor * static_cast<double>(m_day.mean)));
+          50,
+          static_cast<Tokens>(factor * static_cast<double>(m_workload.mean)));
       request.since = m_now;
       AnyEntry().waiting.push_back(std::move(request));
     }
@@ -207,7 +211,7 @@
     });
   }
 
-  void Tend(Entry& entry) {
+  void ServeWaiting(Entry& entry) {
     std::erase_if(entry.waiting, [&](Request& request) {
       const BudgetAnswer answer =
           entry.grants->Reserve(request.team, request.worst_case, m_now);
@@ -217,7 +221,8 @@
         entry.running.push_back(request);
         return true;
       }
-      return answer != BudgetAnswer::kWait || m_now - request.since > kPatience;
+      return answer != BudgetAnswer::kWait ||
+             m_now - request.since > kTokenWait;
     });
     for (wire::CommandT& command : entry.grants->TakeCommands(m_now))
       Propose(entry, std::move(command));
@@ -270,8 +275,8 @@
     });
   }
 
-  void Beat() {
-    m_next_beat = m_now + 1s;
+  void SendHeartbeats() {
+    m_next_heartbeat = m_now + 1s;
     for (const Entry& entry : m_entries) {
       wire::EntryBeatT beat;
       for (wire::BudgetHoldingT& holding : entry.grants->Holdings(m_now))
@@ -281,16 +286,16 @@
     }
   }
 
-  const Day m_day;
+  const Workload m_workload;
   std::mt19937_64 m_random;
   Instant m_now{Duration{1000s}};
-  Instant m_next_beat{};
+  Instant m_next_heartbeat{};
   std::unique_ptr<state::State> m_state;
   budget::RecallCore m_recalls;
   std::optional<RouteTable> m_routes;
   std::vector<double> m_weights;
   std::vector<Entry> m_entries;
-  std::multimap<Instant, std::function<void()>> m_under_way;
+  std::multimap<Instant, std::function<void()>> m_in_flight;
   Tokens m_total = 0;
   Tokens m_consumed = 0;  // actual spend of all incarnations
 };
@@ -304,18 +309,18 @@
 
 // All entries crash when 25 to 35% of the totals are left, drawn by the seed.
 // Callers continue to send requests.
-Outcome DieOnce(const Day& day, uint64_t seed) {
+Outcome RunFullRestart(const Workload& workload, uint64_t seed) {
   std::mt19937_64 random(seed);
-  const double part = std::uniform_real_distribution<>(0.25, 0.35)(random);
-  Fleet fleet(day, seed);
+  const double fraction = std::uniform_real_distribution<>(0.25, 0.35)(random);
+  Fleet fleet(workload, seed);
   while (static_cast<double>(fleet.Left()) >
-         part * static_cast<double>(fleet.Total()))
+         fraction * static_cast<double>(fleet.Total()))
     fleet.Step();
-  fleet.AllDie();
+  fleet.KillAllEntries();
   Outcome outcome;
   outcome.left = fleet.Left();
   outcome.lost = fleet.Lost();
-  for (const Instant end = fleet.Now() + kAfter; fleet.Now() < end;)
+  for (const Instant end = fleet.Now() + kTimeAfterRestart; fleet.Now() < end;)
     fleet.Step();
   outcome.consumed = outcome.left - fleet.Left();
   CPPUNIT_ASSERT(fleet.Left() >= 0);
@@ -324,13 +329,13 @@
 
 class DeadFleetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DeadFleetTest);
-  CPPUNIT_TEST(WhatIsNotLostServesCallers);
+  CPPUNIT_TEST(TokensThatAreNotLostServeCallers);
   CPPUNIT_TEST(AQuarterOfWhatIsLeftServesCallers);
   CPPUNIT_TEST_SUITE_END();
 
-  void WhatIsNotLostServesCallers() {
+  void TokensThatAreNotLostServeCallers() {
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      const Outcome outcome = DieOnce({}, seed);
+      const Outcome outcome = RunFullRestart({}, seed);
       const Tokens free = outcome.left - outcome.lost;
       CPPUNIT_ASSERT(outcome.consumed >= free / 10 * 9);
     }
@@ -339,7 +344,7 @@
   void AQuarterOfWhatIsLeftServesCallers() {
     std::string failed;
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      const Outcome outcome = DieOnce({}, seed);
+      const Outcome outcome = RunFullRestart({}, seed);
       if (outcome.consumed >= outcome.left / 4) continue;
       failed += "seed " + std::to_string(seed) + ": " +
                 std::to_string(outcome.consumed) + " of " +
--- a/src/dotterelshift/gateway/drain.cc
+++ b/src/dotterelshift/gateway/drain.cc
@@ -7,28 +7,29 @@
 
 // Time for control to accept the last reports and for callers to receive their
 // last responses.
-constexpr Duration kLastReports = 500ms;
+constexpr Duration kFinalReportTime = 500ms;
 
 // The limit is enforced from outside, counted from the sending of the signal.
 // The signal is handled and the exit performed up to one tick of 50 ms late
 // each; the rest is for hosts on which the event loop's turns take longer.
 // Without a margin processes were killed at the end of their shutdown, in each
 // of five runs with 86 entries.
-constexpr Duration kMargin = 250ms;
+constexpr Duration kExitMargin = 250ms;
 
 // If the limit is too short for both times, they are capped at the limit
 // divided by these.
-constexpr int kReportsPart = 4;
-constexpr int kMarginPart = 8;
+constexpr int kReportDivisor = 4;
+constexpr int kMarginDivisor = 8;
 
 }  // namespace
 
-DrainTimes PlanDrain(Instant now, Duration notice, Duration limit) {
-  DrainTimes times;
+DrainSchedule MakeDrainSchedule(Instant now, Duration notice, Duration limit) {
+  DrainSchedule times;
   times.begun = now;
-  times.exit = now + limit - std::min(kMargin, limit / kMarginPart);
-  times.last_answer = times.exit - std::min(kLastReports, limit / kReportsPart);
-  times.notice_end = std::min(now + notice, times.last_answer);
+  times.exit = now + limit - std::min(kExitMargin, limit / kMarginDivisor);
+  times.response_deadline =
+      times.exit - std::min(kFinalReportTime, limit / kReportDivisor);
+  times.notice_end = std::min(now + notice, times.response_deadline);
   return times;
 }
 
--- a/src/dotterelshift/gateway/drain_test.cc
+++ b/src/dotterelshift/gateway/drain_test.cc
@@ -16,20 +16,20 @@
 
 class DrainTest : public CoreFixture {
   CPPUNIT_TEST_SUITE(DrainTest);
-  CPPUNIT_TEST(WhatWouldOutlastTheStopIsRefusedAsNotRun);
-  CPPUNIT_TEST(WhatEndsBeforeTheStopIsStillTaken);
-  CPPUNIT_TEST(WhileTheBalancerDoesNotKnowAllIsTaken);
-  CPPUNIT_TEST(AHeadBeforeTheNoticesEndDoesNotHelp);
-  CPPUNIT_TEST(WhatIsOpenAtTheEndIsToldSo);
-  CPPUNIT_TEST(WhatWaitsAtTheEndIsToldWhetherItRan);
-  CPPUNIT_TEST(WhatIsCutIsSettled);
-  CPPUNIT_TEST(TheProcessIsGoneBeforeItsLimit);
+  CPPUNIT_TEST(RequestThatOutlivesTheDrainIsRefusedAsNotRun);
+  CPPUNIT_TEST(RequestThatEndsBeforeTheDrainDeadlineIsAccepted);
+  CPPUNIT_TEST(RequestsAreAcceptedDuringTheNoticePeriod);
+  CPPUNIT_TEST(RequestIsJudgedWhenItsBodyIsComplete);
+  CPPUNIT_TEST(OpenRequestsAreAnsweredAtShutdown);
+  CPPUNIT_TEST(WaitingRequestIsReportedAsNotRunAtShutdown);
+  CPPUNIT_TEST(AbortedRequestsAreSettled);
+  CPPUNIT_TEST(ProcessExitsBeforeItsLimit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void WhatWouldOutlastTheStopIsRefusedAsNotRun() {
+  void RequestThatOutlivesTheDrainIsRefusedAsNotRun() {
     Drain();
-    Pass(5670ms);
+    Advance(5670ms);
     Request("/stream/", 100);
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<StartAttempt>());
     const Refuse refusal = Only<Refuse>();
@@ -39,40 +39,40 @@
   }
 
   // The request's own deadline ends it in time in any case.
-  void WhatEndsBeforeTheStopIsStillTaken() {
+  void RequestThatEndsBeforeTheDrainDeadlineIsAccepted() {
     Drain();
-    Pass(5670ms);
-    Tell(1, m_times.last_answer - m_now);
+    Advance(5670ms);
+    SubmitWithTimeout(1, m_times.response_deadline - m_now);
     CPPUNIT_ASSERT(Only<StartAttempt>().time_left ==
-                   m_times.last_answer - m_now);
-    Tell(2, m_times.last_answer - m_now + 1ms);
+                   m_times.response_deadline - m_now);
+    SubmitWithTimeout(2, m_times.response_deadline - m_now + 1ms);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kDraining);
     // The route's timeout of 4 s applies, though the caller would wait longer.
     Drain();
-    Pass(m_times.last_answer - m_now - 4s);
-    Tell(3, 60s);
+    Advance(m_times.response_deadline - m_now - 4s);
+    SubmitWithTimeout(3, 60s);
     CPPUNIT_ASSERT(Only<StartAttempt>().time_left == 4s);
   }
 
-  void WhileTheBalancerDoesNotKnowAllIsTaken() {
+  void RequestsAreAcceptedDuringTheNoticePeriod() {
     Publish();
-    m_core->StartDraining(PlanDrain(m_now, kNotice, 4s));
-    Pass(kNotice);
+    m_core->StartDraining(MakeDrainSchedule(m_now, kNotice, 4s));
+    Advance(kNotice);
     Request("/stream/", 100);
     Only<StartAttempt>();
-    Pass(1ms);
+    Advance(1ms);
     Request("/stream/", 100, 2);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kDraining);
   }
 
   // A long body may take until after the notice period to arrive. What counts
   // is when the entry can send it on.
-  void AHeadBeforeTheNoticesEndDoesNotHelp() {
+  void RequestIsJudgedWhenItsBodyIsComplete() {
     Drain();
-    Pass(5670ms);
-    RequestInfo info = AskFor("/stream/", 100);
+    Advance(5670ms);
+    RequestInfo info = MakeRequestInfo("/stream/", 100);
     info.begun = m_times.notice_end - 1ms;
-    info.patience = 60s;
+    info.timeout = 60s;
     m_core->OnRequest(kRequest, info, m_now);
     Collect();
     // Its deadline, counted from its head, is before m_times.last_answer.
@@ -85,15 +85,15 @@
 
   // A caller that gets an error response can react at once. One whose
   // connection is just closed can't tell whether its request ran.
-  void WhatIsOpenAtTheEndIsToldSo() {
+  void OpenRequestsAreAnsweredAtShutdown() {
     Drain();
     Request("/stream/", 100, 1);
     const AttemptId streaming = Only<StartAttempt>().attempt;
     Head(streaming, 200, true);
     Request("/once/", 0, 2);
     const AttemptId running = Only<StartAttempt>().attempt;
-    Pass(3s);
-    m_core->CutOpen(m_now);
+    Advance(3s);
+    m_core->AbortOpenRequests(m_now);
     Collect();
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Count<CancelAttempt>());
     for (const Action& action : m_last) {
@@ -114,26 +114,26 @@
 
   // A request that waits for tokens has not run. One that failed at an endpoint
   // and waits for another may have.
-  void WhatWaitsAtTheEndIsToldWhetherItRan() {
+  void WaitingRequestIsReportedAsNotRunAtShutdown() {
     Publish(1'000'000);
-    m_core->StartDraining(PlanDrain(m_now, kNotice, 8s));
+    m_core->StartDraining(MakeDrainSchedule(m_now, kNotice, 8s));
     Request("/stream/", 100, 1);
     CPPUNIT_ASSERT(m_last.empty());
-    m_core->CutOpen(m_now);
+    m_core->AbortOpenRequests(m_now);
     Collect();
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<CancelAttempt>());
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kDraining);
   }
 
   // The spend of aborted requests is reported before the holdings are returned.
-  void WhatIsCutIsSettled() {
+  void AbortedRequestsAreSettled() {
     Publish(1'000'000);
-    AnswerAsk(500'000, 500'000);
-    m_core->StartDraining(PlanDrain(m_now, kNotice, 8s));
+    AnswerGrantRequest(500'000, 500'000);
+    m_core->StartDraining(MakeDrainSchedule(m_now, kNotice, 8s));
     Request("/stream/", 100, 1);
     Head(Only<StartAttempt>().attempt, 200, true);
     CPPUNIT_ASSERT(m_budgets->PositionOf("team", m_now).reserved > 0);
-    m_core->CutOpen(m_now);
+    m_core->AbortOpenRequests(m_now);
     CPPUNIT_ASSERT_EQUAL(Tokens{0},
                          m_budgets->PositionOf("team", m_now).reserved);
     Tokens spent = 0;
@@ -145,17 +145,19 @@
 
   // The limit is enforced from outside: a process that is still running then is
   // killed.
-  void TheProcessIsGoneBeforeItsLimit() {
+  void ProcessExitsBeforeItsLimit() {
     constexpr Duration kLimit = 8s;
-    const DrainTimes times = PlanDrain(m_now, kNotice, kLimit);
-    CPPUNIT_ASSERT(times.notice_end < times.last_answer);
-    CPPUNIT_ASSERT(times.last_answer < times.exit);
+    const DrainSchedule times = MakeDrainSchedule(m_now, kNotice, kLimit);
+    CPPUNIT_ASSERT(times.notice_end < times.response_deadline);
+    CPPUNIT_ASSERT(times.response_deadline < times.exit);
     CPPUNIT_ASSERT(times.exit <= m_now + kLimit - 200ms);
-    const DrainTimes hasty = PlanDrain(m_now, kNotice, 100ms);
-    CPPUNIT_ASSERT(hasty.notice_end <= hasty.last_answer);
-    CPPUNIT_ASSERT(hasty.last_answer > m_now);
-    CPPUNIT_ASSERT(hasty.exit > hasty.last_answer);
-    CPPUNIT_ASSERT(hasty.exit < m_now + 100ms);
+    const DrainSchedule short_schedule =
+        MakeDrainSchedule(m_now, kNotice, 100ms);
+    CPPUNIT_ASSERT(short_schedule.notice_end <=
+                   short_schedule.response_deadline);
+    CPPUNIT_ASSERT(short_schedule.response_deadline > m_now);
+    CPPUNIT_ASSERT(short_schedule.exit > short_schedule.response_deadline);
+    CPPUNIT_ASSERT(short_schedule.exit < m_now + 100ms);
   }
 
  private:
@@ -164,19 +166,19 @@
   // Publishes routes with a timeout of 4 s and begins a shutdown of 8 s.
   void Drain() {
     Publish();
-    m_times = PlanDrain(m_now, kNotice, 8s);
+    m_times = MakeDrainSchedule(m_now, kNotice, 8s);
     m_core->StartDraining(m_times);
   }
 
   // Requests a stream with the given caller timeout.
-  void Tell(RequestId id, Duration patience) {
-    RequestInfo info = AskFor("/stream/", 100);
-    info.patience = patience;
+  void SubmitWithTimeout(RequestId id, Duration timeout) {
+    RequestInfo info = MakeRequestInfo("/stream/", 100);
+    info.timeout = timeout;
     m_core->OnRequest(id, info, m_now);
     Collect();
   }
 
-  DrainTimes m_times;
+  DrainSchedule m_times;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(DrainTest);
--- a/src/dotterelshift/gateway/event_scanner.cc
+++ b/src/dotterelshift/gateway/event_scanner.cc
@@ -29,22 +29,23 @@
 }  // namespace
 
 std::string EventScanner::Take(std::string_view bytes) {
-  m_rest.append(bytes);
-  std::string whole;
+  m_partial_event.append(bytes);
+  std::string complete_events;
   size_t at = 0;
   while (true) {
-    std::string_view left = m_rest;
+    std::string_view left = m_partial_event;
     left.remove_prefix(at);
     const size_t size = http::EndOfEvent(left);
     if (size == std::string_view::npos) break;
-    if (Note(left.substr(0, size))) whole.append(left.substr(0, size));
+    if (Accept(left.substr(0, size)))
+      complete_events.append(left.substr(0, size));
     at += size;
   }
-  m_rest.erase(0, at);
-  return whole;
+  m_partial_event.erase(0, at);
+  return complete_events;
 }
 
-bool EventScanner::Note(std::string_view event) {
+bool EventScanner::Accept(std::string_view event) {
   const std::optional<uint64_t> id = IdOf(event);
   if (id && m_last_id && *id <= *m_last_id) return false;
   if (id && m_last_id && *id != *m_last_id + 1) m_gap = true;
--- a/src/dotterelshift/gateway/event_scanner_test.cc
+++ b/src/dotterelshift/gateway/event_scanner_test.cc
@@ -7,12 +7,12 @@
 
 class EventScannerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EventScannerTest);
-  CPPUNIT_TEST(WholeEventsPassAtAnyCut);
-  CPPUNIT_TEST(DoubledEventsAreLeftOut);
-  CPPUNIT_TEST(MissingEventsAreNoticed);
+  CPPUNIT_TEST(CompleteEventsPassForAnySplit);
+  CPPUNIT_TEST(DuplicateEventsAreDropped);
+  CPPUNIT_TEST(MissingEventsAreDetected);
   CPPUNIT_TEST_SUITE_END();
 
-  void WholeEventsPassAtAnyCut() {
+  void CompleteEventsPassForAnySplit() {
     const std::string stream = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n";
     for (size_t cut = 0; cut <= stream.size(); ++cut) {
       EventScanner scanner;
@@ -22,21 +22,21 @@
       CPPUNIT_ASSERT_EQUAL(stream, passed);
       CPPUNIT_ASSERT_EQUAL(uint64_t{2}, scanner.Events());
       CPPUNIT_ASSERT_EQUAL(uint64_t{2}, *scanner.LastId());
-      CPPUNIT_ASSERT(scanner.Rest().empty());
+      CPPUNIT_ASSERT(scanner.PartialEvent().empty());
     }
   }
 
-  void DoubledEventsAreLeftOut() {
+  void DuplicateEventsAreDropped() {
     EventScanner scanner;
     scanner.Take("id: 4\ndata: a\n\nid: 5\nda");
-    CPPUNIT_ASSERT_EQUAL(std::string("id: 5\nda"), scanner.Rest());
+    CPPUNIT_ASSERT_EQUAL(std::string("id: 5\nda"), scanner.PartialEvent());
     scanner.Reset();
     CPPUNIT_ASSERT_EQUAL(std::string("id: 5\ndata: b\n\n"),
                          scanner.Take("id: 4\ndata: a\n\nid: 5\ndata: b\n\n"));
     CPPUNIT_ASSERT(!scanner.HasGap());
   }
 
-  void MissingEventsAreNoticed() {
+  void MissingEventsAreDetected() {
     EventScanner scanner;
     scanner.Take("id: 4\ndata: a\n\n");
     scanner.Take("id: 6\ndata: c\n\n");
--- a/src/dotterelshift/gateway/fleet_load.cc
+++ b/src/dotterelshift/gateway/fleet_load.cc
@@ -139,7 +139,7 @@
   ++load.own;
   Book(load, placement.tokens_to_read, now);
   NoteChange(placement.endpoint, placement.tokens_to_read, 1);
-  for (const PromptPart& part : prompt.parts) {
+  for (const PromptSegment& part : prompt.parts) {
     load.cache.Touch(part.hash, part.tokens);
     m_part_notes.emplace_back(placement.endpoint, part.hash, 0,
                               static_cast<int32_t>(part.tokens), 0);
--- a/src/dotterelshift/gateway/fleet_load_test.cc
+++ b/src/dotterelshift/gateway/fleet_load_test.cc
@@ -28,7 +28,7 @@
     Routes routes;
     Service service;
     service.name = "llm";
-    service.engine = EngineSize{48, 400'000, 6};
+    service.engine = EngineCapacity{48, 400'000, 6};
     routes.services.push_back(service);
     m_load.emplace(FleetLoadOptions{"dc"});
     m_load->OnDirectory(m_directory);
--- a/src/dotterelshift/gateway/part_cache.cc
+++ b/src/dotterelshift/gateway/part_cache.cc
@@ -21,9 +21,9 @@
   Trim();
 }
 
-Tokens PartCache::Held(const std::vector<PromptPart>& parts) const {
+Tokens PartCache::Held(const std::vector<PromptSegment>& parts) const {
   Tokens held = 0;
-  for (const PromptPart& part : parts) {
+  for (const PromptSegment& part : parts) {
     if (!m_places.contains(part.hash)) break;
     held += part.tokens;
   }
--- a/src/dotterelshift/http/client.cc
+++ b/src/dotterelshift/http/client.cc
@@ -37,7 +37,7 @@
   TransferCallbacks callbacks;
   int status = 0;
   Headers headers;
-  bool head_seen = false;
+  bool head_received = false;
   bool sent = false;  // the request may have left, in part or whole
   uint64_t* bytes_sent = nullptr;  // of all transfers of the client
   bool cancelled = false;  // no callback any more; removed when curl has
@@ -212,8 +212,8 @@
                       transfer.status);
     } else if (!line.empty()) {
       AddHeader(transfer, line);
-    } else if (!IsInterim(transfer.status) && !transfer.head_seen) {
-      transfer.head_seen = true;
+    } else if (!IsInterim(transfer.status) && !transfer.head_received) {
+      transfer.head_received = true;
       const auto& on_head = transfer.callbacks.on_head;
       if (on_head) on_head(transfer.status, transfer.headers);
     }
@@ -408,10 +408,12 @@
   }
 
   static TransferEnd EndOf(const Transfer& transfer, CURLcode result) {
-    if (result == CURLE_OK && transfer.head_seen) return TransferEnd::kWhole;
+    if (result == CURLE_OK && transfer.head_received)
+      return TransferEnd::kWhole;
     if (!transfer.sent) return TransferEnd::kNotSent;
     if (result == CURLE_OPERATION_TIMEDOUT) return TransferEnd::kTimedOut;
-    return transfer.head_seen ? TransferEnd::kCut : TransferEnd::kCutBeforeHead;
+    return transfer.head_received ? TransferEnd::kCut
+                                  : TransferEnd::kCutBeforeHead;
   }
 
   void RemoveCancelled() {
--- a/src/dotterelshift/routing/seat.cc
+++ b/src/dotterelshift/routing/endpoint_state.cc
@@ -1,4 +1,4 @@
-#include "dotterelshift/routing/seat.h"
+#include "dotterelshift/routing/endpoint_state.h"
 
 #include <algorithm>  // for max
 
@@ -8,10 +8,10 @@
 // Age in seconds at which a report has half its weight.
 constexpr double kReportHalfLife = 0.3;
 
-constexpr double kHoldGuess = 1.0;
+constexpr double kDefaultServiceSeconds = 1.0;
 
 // After this many ended requests the older measurements are halved in weight.
-constexpr double kHoldWindow = 64;
+constexpr double kServiceTimeWindow = 64;
 
 double InSeconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -19,36 +19,38 @@
 
 }  // namespace
 
-void HoldMeter::OnChange(int in_flight, Instant now) {
+void ServiceTimeMeter::OnChange(int in_flight, Instant now) {
   if (m_last != Instant{})
     m_busy_seconds += in_flight * InSeconds(now - m_last);
   m_last = now;
 }
 
-void HoldMeter::OnEnded() {
+void ServiceTimeMeter::OnEnded() {
   m_ended += 1;
-  if (m_ended < kHoldWindow) return;
+  if (m_ended < kServiceTimeWindow) return;
   m_ended /= 2;
   m_busy_seconds /= 2;
 }
 
-double HoldMeter::Seconds() const {
-  return m_ended < 1 ? kHoldGuess : m_busy_seconds / m_ended;
+double ServiceTimeMeter::Seconds() const {
+  return m_ended < 1 ? kDefaultServiceSeconds : m_busy_seconds / m_ended;
 }
 
-void Seat::TakeReport(const directory::Endpoint& endpoint) {
+void EndpointState::TakeReport(const directory::Endpoint& endpoint) {
   if (endpoint.last_news <= reported) return;
   reported = endpoint.last_news;
   const double total = static_cast<double>(endpoint.record.running) +
                        static_cast<double>(endpoint.record.waiting);
-  others = std::max(0.0, total - in_flight);
+  other_load = std::max(0.0, total - in_flight);
 }
 
-double Seat::OthersNow(Instant now) const {
+double EndpointState::OtherLoadAt(Instant now) const {
   const double age = std::max(0.0, InSeconds(now - reported));
-  return others * kReportHalfLife / (kReportHalfLife + age);
+  return other_load * kReportHalfLife / (kReportHalfLife + age);
 }
 
-double Seat::Load(Instant now) const { return in_flight + OthersNow(now); }
+double EndpointState::Load(Instant now) const {
+  return in_flight + OtherLoadAt(now);
+}
 
 }  // namespace dotterelshift::routing
--- a/src/dotterelshift/routing/outliers.cc
+++ b/src/dotterelshift/routing/outliers.cc
@@ -6,67 +6,70 @@
 namespace {
 
 // Weight of a new measurement in the moving average.
-constexpr double kNewWeight = 0.2;
+constexpr double kSampleWeight = 0.2;
 
 // Measured responses since the last ejection after which the count of
 // consecutive ejections is reset.
-constexpr int kForgiven = 64;
+constexpr int kEjectionResetSamples = 64;
 
-void Eject(Seat* seat, const OutlierOptions& options, Instant now) {
-  const int doublings = std::min(seat->ejections, 10);
+void Eject(EndpointState* state, const OutlierOptions& options, Instant now) {
+  const int doublings = std::min(state->ejections, 10);
   const Duration wanted = options.first_ejection * (1 << doublings);
-  seat->ejected_until = now + std::min(wanted, options.longest_ejection);
-  ++seat->ejections;
-  seat->failures = 0;
-  seat->samples = 0;
-  seat->first_token_ms = 0;
+  state->ejected_until = now + std::min(wanted, options.max_ejection);
+  ++state->ejections;
+  state->failures = 0;
+  state->samples = 0;
+  state->first_token_ms = 0;
 }
 
 // Whether one more of the endpoints may be ejected.
-bool MayEject(const std::vector<Seat*>& kin, const OutlierOptions& options,
-              Instant now) {
-  const auto out = std::count_if(kin.begin(), kin.end(), [now](Seat* seat) {
-    return !seat->usable || seat->IsEjected(now);
-  });
+bool MayEject(const std::vector<EndpointState*>& peers,
+              const OutlierOptions& options, Instant now) {
+  const auto out =
+      std::count_if(peers.begin(), peers.end(), [now](EndpointState* state) {
+        return !state->usable || state->IsEjected(now);
+      });
   return static_cast<double>(out + 1) <=
-         options.most_ejected * static_cast<double>(kin.size());
+         options.max_ejected_fraction * static_cast<double>(peers.size());
 }
 
 }  // namespace
 
-void NoteFirstToken(Seat* seat, double milliseconds) {
-  seat->failures = 0;
-  const bool first = seat->samples++ == 0;
+void RecordFirstToken(EndpointState* state, double milliseconds) {
+  state->failures = 0;
+  const bool first = state->samples++ == 0;
   if (first) {
-    seat->first_token_ms = milliseconds;
+    state->first_token_ms = milliseconds;
   } else {
-    seat->first_token_ms += kNewWeight * (milliseconds - seat->first_token_ms);
+    state->first_token_ms +=
+        kSampleWeight * (milliseconds - state->first_token_ms);
   }
-  if (seat->samples == kForgiven) seat->ejections = 0;
+  if (state->samples == kEjectionResetSamples) state->ejections = 0;
 }
 
-void NoteEnd(Seat* seat, bool failed, const OutlierOptions& options,
-             Instant now) {
+void RecordAttemptEnd(EndpointState* state, bool failed,
+                      const OutlierOptions& options, Instant now) {
   if (!failed) return;
-  if (++seat->failures >= options.failures) Eject(seat, options, now);
+  if (++state->failures >= options.failures) Eject(state, options, now);
 }
 
-void EjectSlow(const std::vector<Seat*>& kin, const OutlierOptions& options,
-               Instant now) {
-  std::vector<double> paces;
-  for (const Seat* seat : kin) {
-    if (seat->samples >= options.enough_samples)
-      paces.push_back(seat->first_token_ms);
+void EjectSlow(const std::vector<EndpointState*>& peers,
+               const OutlierOptions& options, Instant now) {
+  std::vector<double> latencies;
+  for (const EndpointState* state : peers) {
+    if (state->samples >= options.min_samples)
+      latencies.push_back(state->first_token_ms);
   }
-  if (paces.size() < 3) return;
-  const auto middle = paces.begin() + static_cast<ptrdiff_t>(paces.size() / 2);
-  std::nth_element(paces.begin(), middle, paces.end());
+  if (latencies.size() < 3) return;
+  const auto middle =
+      latencies.begin() + static_cast<ptrdiff_t>(latencies.size() / 2);
+  std::nth_element(latencies.begin(), middle, latencies.end());
   const double bound =
       std::max(options.slow_factor * *middle, *middle + options.slow_margin_ms);
-  for (Seat* seat : kin) {
+  for (EndpointState* state : peers) {
     const bool slow =
-        seat->samples >= options.enough_samples && seat->first_token_ms > bound;
-    if (slow && MayEject(kin, options, now)) Eject(seat, options, now);
+        state->samples >= options.min_samples && state->first_token_ms > bound;
+    if (slow && MayEject(peers, options, now)) Eject(state, options, now);
   }
 }
 
--- a/src/dotterelshift/routing/policy.cc
+++ b/src/dotterelshift/routing/policy.cc
@@ -6,11 +6,11 @@
 namespace {
 
 // Random draws before the endpoints are tried in order.
-constexpr int kTries = 8;
+constexpr int kRandomTries = 8;
 
 // Fraction of the average first-token time that is prefill. The rest does not
 // depend on the cache.
-constexpr double kPromptPart = 0.7;
+constexpr double kPrefillFraction = 0.7;
 
 // An endpoint that has the prefix cached may have up to this factor, plus the
 // slack, of the load of the alternative.
@@ -40,76 +40,82 @@
 
 }  // namespace
 
-Seat* Slate::Sample(Random* random) const {
-  const size_t count = seats->size();
+EndpointState* SelectionContext::Sample(Random* random) const {
+  const size_t count = endpoints->size();
   if (count == 0) return nullptr;
-  for (int i = 0; i < kTries; ++i) {
-    Seat* seat = (*seats)[random->Below(count)];
-    if (Admits(*seat)) return seat;
+  for (int i = 0; i < kRandomTries; ++i) {
+    EndpointState* state = (*endpoints)[random->Below(count)];
+    if (Admits(*state)) return state;
   }
   const size_t start = random->Below(count);
   for (size_t i = 0; i < count; ++i) {
-    Seat* seat = (*seats)[(start + i) % count];
-    if (Admits(*seat)) return seat;
+    EndpointState* state = (*endpoints)[(start + i) % count];
+    if (Admits(*state)) return state;
   }
   return nullptr;
 }
 
-double Slate::CachedPart(const Seat& seat) const {
+double SelectionContext::CachedFraction(const EndpointState& state) const {
   const auto* end = holders.begin() + holder_count;
-  return std::find(holders.begin(), end, &seat) == end ? 0 : cached_part;
+  return std::find(holders.begin(), end, &state) == end ? 0 : cached_fraction;
 }
 
-double Slate::Estimate(Seat* seat) const {
-  const directory::Endpoint* endpoint = directory->Find(seat->id);
-  if (endpoint != nullptr) seat->TakeReport(*endpoint);
-  const double usual = first_token_ms > 0 ? first_token_ms : kFirstTokenGuessMs;
-  const bool slow = seat->samples >= kEnoughSamples &&
-                    seat->first_token_ms > kSlowFactor * usual;
-  const double pace = slow ? seat->first_token_ms : usual;
-  const double load = kOwnWeight * seat->in_flight + seat->OthersNow(now);
-  const double use = (load + 1) / std::max(1.0, seat->slots);
-  const double queue = std::max(0.0, use - 1) * seat->hold.Seconds() * 1000;
-  const double work = pace * (1 - kPromptPart * CachedPart(*seat));
-  const double way = seat->local ? 0 : InMs(far_penalty);
-  return queue + work * (1 + use) + way;
+double SelectionContext::Estimate(EndpointState* state) const {
+  const directory::Endpoint* endpoint = directory->Find(state->id);
+  if (endpoint != nullptr) state->TakeReport(*endpoint);
+  const double average_ms =
+      first_token_ms > 0 ? first_token_ms : kFirstTokenGuessMs;
+  const bool slow = state->samples >= kEnoughSamples &&
+                    state->first_token_ms > kSlowFactor * average_ms;
+  const double expected_ms = slow ? state->first_token_ms : average_ms;
+  const double load = kOwnWeight * state->in_flight + state->OtherLoadAt(now);
+  const double utilization = (load + 1) / std::max(1.0, state->slots);
+  const double queue =
+      std::max(0.0, utilization - 1) * state->service_time.Seconds() * 1000;
+  const double work =
+      expected_ms * (1 - kPrefillFraction * CachedFraction(*state));
+  const double latency = state->local ? 0 : InMs(remote_penalty);
+  return queue + work * (1 + utilization) + latency;
 }
 
-Seat* RoundRobin::Pick(const Slate& slate, Random* /*random*/) {
-  const size_t count = slate.seats->size();
+EndpointState* RoundRobin::Pick(const SelectionContext& context,
+                                Random* /*random*/) {
+  const size_t count = context.endpoints->size();
   for (size_t i = 0; i < count; ++i) {
-    Seat* seat = (*slate.seats)[m_next++ % count];
-    if (slate.Admits(*seat)) return seat;
+    EndpointState* state = (*context.endpoints)[m_next++ % count];
+    if (context.Admits(*state)) return state;
   }
   return nullptr;
 }
 
-Seat* LeastInFlight::Pick(const Slate& slate, Random* random) {
-  const size_t count = slate.seats->size();
+EndpointState* LeastInFlight::Pick(const SelectionContext& context,
+                                   Random* random) {
+  const size_t count = context.endpoints->size();
   if (count == 0) return nullptr;
   // Starts at a random position, so that ties do not all go to the first one.
   const size_t start = random->Below(count);
-  Seat* best = nullptr;
+  EndpointState* best = nullptr;
   for (size_t i = 0; i < count; ++i) {
-    Seat* seat = (*slate.seats)[(start + i) % count];
-    const bool better = best == nullptr || seat->in_flight < best->in_flight;
-    if (better && slate.Admits(*seat)) best = seat;
+    EndpointState* state = (*context.endpoints)[(start + i) % count];
+    const bool better = best == nullptr || state->in_flight < best->in_flight;
+    if (better && context.Admits(*state)) best = state;
   }
   return best;
 }
 
-Seat* PrefixAffinity::Pick(const Slate& slate, Random* random) {
-  Seat* best = m_fallback.Pick(slate, random);
-  if (best == nullptr || slate.holder_count == 0) return best;
-  double least = slate.Estimate(best);
-  const double bound = kBoundFactor * best->Load(slate.now) + kBoundSlack;
-  for (size_t i = 0; i < slate.holder_count; ++i) {
-    Seat* seat = slate.holders[i];
-    if (!slate.Admits(*seat) || seat->Load(slate.now) > bound) continue;
-    const double estimate = slate.Estimate(seat);
-    if (estimate >= least) continue;
-    least = estimate;
-    best = seat;
+EndpointState* PrefixAffinity::Pick(const SelectionContext& context,
+                                    Random* random) {
+  EndpointState* best = m_fallback.Pick(context, random);
+  if (best == nullptr || context.holder_count == 0) return best;
+  double minimum = context.Estimate(best);
+  const double bound = kBoundFactor * best->Load(context.now) + kBoundSlack;
+  for (size_t i = 0; i < context.holder_count; ++i) {
+    EndpointState* state = context.holders[i];
+    if (!context.Admits(*state) || state->Load(context.now) > bound) continue;
+    const double estimate = context.Estimate(state);
+    if (estimate >= minimum) continue;
+    minimum = estimate;
+    best = state;
   }
   return best;
 }
--- a/src/dotterelshift/routing/prefix_index.cc
+++ b/src/dotterelshift/routing/prefix_index.cc
@@ -8,7 +8,7 @@
 // Prompts are recorded and looked up at 1, 2, 4, ... leading blocks only. This
 // takes few look-ups for a prompt, and a match is at least half as long as the
 // actual one.
-size_t DeepestStep(size_t blocks) {
+size_t LargestPowerOfTwo(size_t blocks) {
   size_t step = 1;
   while (step * 2 <= blocks) step *= 2;
   return step;
@@ -16,10 +16,10 @@
 
 }  // namespace
 
-void PrefixIndex::OnEvent(uint32_t seat, uint64_t incarnation,
+void PrefixIndex::OnEvent(uint32_t endpoint_number, uint64_t incarnation,
                           uint64_t sequence, uint64_t prefix_hash,
                           bool stored) {
-  SeatCache& cache = m_seats[seat];
+  EndpointCache& cache = m_caches[endpoint_number];
   if (incarnation < cache.incarnation) return;
   if (incarnation > cache.incarnation) {
     // A new incarnation starts with an empty cache.
@@ -33,26 +33,28 @@
   if (gap) ++cache.epoch;
   cache.last_sequence = sequence;
   if (stored) {
-    Add(prefix_hash, {seat, cache.epoch});
+    Add(prefix_hash, {endpoint_number, cache.epoch});
   } else {
-    Remove(prefix_hash, seat);
+    Remove(prefix_hash, endpoint_number);
   }
 }
 
-void PrefixIndex::OnSent(uint32_t seat,
+void PrefixIndex::OnSent(uint32_t endpoint_number,
                          const std::vector<uint64_t>& prefix_hashes) {
-  const uint32_t epoch = m_seats[seat].epoch;
+  const uint32_t epoch = m_caches[endpoint_number].epoch;
   for (size_t blocks = 1; blocks <= prefix_hashes.size(); blocks *= 2)
-    Add(prefix_hashes[blocks - 1], {seat, epoch});
+    Add(prefix_hashes[blocks - 1], {endpoint_number, epoch});
 }
 
-void PrefixIndex::Distrust(uint32_t seat) { ++m_seats[seat].epoch; }
+void PrefixIndex::Invalidate(uint32_t endpoint_number) {
+  ++m_caches[endpoint_number].epoch;
+}
 
 PrefixMatch PrefixIndex::Find(
     const std::vector<uint64_t>& prefix_hashes) const {
   PrefixMatch match;
   if (prefix_hashes.empty()) return match;
-  for (size_t blocks = DeepestStep(prefix_hashes.size()); blocks > 0;
+  for (size_t blocks = LargestPowerOfTwo(prefix_hashes.size()); blocks > 0;
        blocks /= 2) {
     Collect(m_young, prefix_hashes[blocks - 1], &match);
     Collect(m_old, prefix_hashes[blocks - 1], &match);
@@ -70,7 +72,7 @@
   }
   Holders& holders = m_young[prefix_hash];
   for (size_t i = 0; i < holders.count; ++i) {
-    if (holders.list[i].seat != holder.seat) continue;
+    if (holders.list[i].endpoint_number != holder.endpoint_number) continue;
     holders.list[i].epoch = holder.epoch;
     return;
   }
@@ -82,13 +84,13 @@
   holders.next = static_cast<uint8_t>((holders.next + 1) % holders.list.size());
 }
 
-void PrefixIndex::Remove(uint64_t prefix_hash, uint32_t seat) {
+void PrefixIndex::Remove(uint64_t prefix_hash, uint32_t endpoint_number) {
   for (Entries* entries : {&m_young, &m_old}) {
     const auto it = entries->find(prefix_hash);
     if (it == entries->end()) continue;
     Holders& holders = it->second;
     for (size_t i = 0; i < holders.count; ++i) {
-      if (holders.list[i].seat != seat) continue;
+      if (holders.list[i].endpoint_number != endpoint_number) continue;
       holders.list[i] = holders.list[--holders.count];
       holders.next = 0;
       break;
@@ -97,9 +99,9 @@
   }
 }
 
-bool PrefixIndex::IsBelieved(const PrefixHolder& holder) const {
-  const auto it = m_seats.find(holder.seat);
-  return it != m_seats.end() && it->second.epoch == holder.epoch;
+bool PrefixIndex::IsCurrent(const PrefixHolder& holder) const {
+  const auto it = m_caches.find(holder.endpoint_number);
+  return it != m_caches.end() && it->second.epoch == holder.epoch;
 }
 
 void PrefixIndex::Collect(const Entries& entries, uint64_t prefix_hash,
@@ -109,7 +111,7 @@
   for (size_t i = 0; i < it->second.count; ++i) {
     if (match->count == match->holders.size()) return;
     const PrefixHolder& holder = it->second.list[i];
-    if (IsBelieved(holder)) match->holders[match->count++] = holder;
+    if (IsCurrent(holder)) match->holders[match->count++] = holder;
   }
 }
 
--- a/src/dotterelshift/routing/prefix_index_test.cc
+++ b/src/dotterelshift/routing/prefix_index_test.cc
@@ -7,7 +7,7 @@
 namespace dotterelshift::routing {
 namespace {
 
-constexpr uint32_t kSeat = 1;
+constexpr uint32_t kEndpointNumber = 1;
 constexpr uint64_t kHash = 77;
 
 struct Event {
@@ -54,7 +54,7 @@
   CPPUNIT_TEST_SUITE(PrefixIndexTest);
   CPPUNIT_TEST(EventTable);
   CPPUNIT_TEST(LongestKnownPrefixIsFound);
-  CPPUNIT_TEST(DistrustForgetsWhatWasSent);
+  CPPUNIT_TEST(InvalidateForgetsSentPrompts);
   CPPUNIT_TEST(StaysBounded);
   CPPUNIT_TEST_SUITE_END();
 
@@ -63,8 +63,8 @@
     for (const Case& test : kCases) {
       PrefixIndex index;
       for (const Event& event : test.events)
-        index.OnEvent(kSeat, event.incarnation, event.sequence, event.hash,
-                      event.stored);
+        index.OnEvent(kEndpointNumber, event.incarnation, event.sequence,
+                      event.hash, event.stored);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(test.name, test.cached,
                                    index.Find({kHash}).count > 0);
     }
@@ -77,20 +77,21 @@
     const PrefixMatch match = index.Find({10, 11, 12, 13, 99});
     CPPUNIT_ASSERT_EQUAL(size_t{4}, match.blocks);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, match.count);
-    CPPUNIT_ASSERT_EQUAL(uint32_t{2}, match.holders[0].seat);
+    CPPUNIT_ASSERT_EQUAL(uint32_t{2}, match.holders[0].endpoint_number);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, index.Find({10, 11, 98, 99}).count);
   }
 
-  void DistrustForgetsWhatWasSent() {
+  void InvalidateForgetsSentPrompts() {
     PrefixIndex index;
-    index.OnSent(kSeat, {kHash});
-    index.Distrust(kSeat);
+    index.OnSent(kEndpointNumber, {kHash});
+    index.Invalidate(kEndpointNumber);
     CPPUNIT_ASSERT_EQUAL(size_t{0}, index.Find({kHash}).count);
   }
 
   void StaysBounded() {
     PrefixIndex index(1000);
-    for (uint64_t hash = 1; hash <= 10'000; ++hash) index.OnSent(kSeat, {hash});
+    for (uint64_t hash = 1; hash <= 10'000; ++hash)
+      index.OnSent(kEndpointNumber, {hash});
     CPPUNIT_ASSERT(index.size() <= 1000);
     CPPUNIT_ASSERT(index.Find({10'000}).count > 0);
   }
--- a/src/dotterelshift/routing/router.cc
+++ b/src/dotterelshift/routing/router.cc
@@ -4,7 +4,7 @@
 #include <unordered_map>  // for unordered_map
 
 #include "dotterelshift/routing/outliers.h"      // for EjectSlow
-#include "dotterelshift/routing/policy.h"        // for Policy, Slate
+#include "dotterelshift/routing/policy.h"        // for Policy, SelectionContext
 #include "dotterelshift/routing/prefix_index.h"  // for PrefixIndex
 #include "dotterelshift/routing/target.h"        // for Serves, MayUse
 
@@ -12,17 +12,17 @@
 namespace {
 
 // Interval between checks for slow endpoints.
-constexpr Duration kJudgeEvery = 500ms;
+constexpr Duration kOutlierCheckInterval = 500ms;
 
 // Weight of a new measurement in the moving average of the first-token time
 // over all endpoints.
-constexpr double kUsualWeight = 0.02;
+constexpr double kLatencyWeight = 0.02;
 
 // The endpoints that a team may use for a target.
 struct Candidates {
-  std::vector<Seat*> seats;
-  std::vector<uint32_t> numbers;  // Seat::number of each, sorted
-  Instant judged{};
+  std::vector<EndpointState*> endpoints;
+  std::vector<uint32_t> numbers;  // EndpointState::number of each, sorted
+  Instant last_outlier_check{};
 };
 
 template <Policy Chooser>
@@ -34,64 +34,65 @@
   RouteChoice Choose(const RouteQuery& query, Instant now) override {
     if (m_directory == nullptr) return {};
     Candidates& candidates = CandidatesOf(query);
-    Judge(&candidates, now);
-    const Slate slate = MakeSlate(query, candidates, now);
-    const Seat* seat = m_chooser.Pick(slate, &m_random);
-    if (seat == nullptr) return Refusal(slate);
+    EjectOutliers(&candidates, now);
+    const SelectionContext context = MakeContext(query, candidates, now);
+    const EndpointState* state = m_chooser.Pick(context, &m_random);
+    if (state == nullptr) return Refusal(context);
     if (query.prefix_hashes != nullptr)
-      m_prefixes.OnSent(seat->number, *query.prefix_hashes);
+      m_prefixes.OnSent(state->number, *query.prefix_hashes);
     RouteChoice choice;
     choice.outcome = RouteOutcome::kChosen;
-    choice.endpoint = seat->id;
-    choice.incarnation = seat->incarnation;
-    choice.address = seat->address;
+    choice.endpoint = state->id;
+    choice.incarnation = state->incarnation;
+    choice.address = state->address;
     return choice;
   }
 
   void OnStarted(const EndpointId& endpoint, Tokens /*expected*/,
                  Instant now) override {
-    Seat* seat = Find(endpoint);
-    if (seat == nullptr) return;
-    seat->hold.OnChange(seat->in_flight, now);
-    ++seat->in_flight;
+    EndpointState* state = Find(endpoint);
+    if (state == nullptr) return;
+    state->service_time.OnChange(state->in_flight, now);
+    ++state->in_flight;
   }
 
   void OnFirstToken(const EndpointId& endpoint, Duration latency,
                     Instant now) override {
-    Seat* seat = Find(endpoint);
-    if (seat == nullptr) return;
+    EndpointState* state = Find(endpoint);
+    if (state == nullptr) return;
     const double ms =
         std::chrono::duration<double, std::milli>(latency).count();
-    NoteFirstToken(seat, ms);
-    seat->limit.OnFirstToken(latency, now, seat->in_flight);
+    RecordFirstToken(state, ms);
+    state->limit.OnFirstToken(latency, now, state->in_flight);
     m_first_token_ms +=
-        m_first_token_ms == 0 ? ms : kUsualWeight * (ms - m_first_token_ms);
+        m_first_token_ms == 0 ? ms : kLatencyWeight * (ms - m_first_token_ms);
   }
 
   void OnTokens(const EndpointId& /*endpoint*/, Tokens /*tokens*/,
                 Instant /*now*/) override {}
 
   void OnRefused(const EndpointId& endpoint, Instant now) override {
-    Seat* seat = Find(endpoint);
-    if (seat != nullptr) seat->limit.OnRefused(now);
+    EndpointState* state = Find(endpoint);
+    if (state != nullptr) state->limit.OnRefused(now);
   }
 
   void OnEnded(const EndpointId& endpoint, Tokens /*expected*/, bool failed,
                Instant now) override {
-    Seat* seat = Find(endpoint);
-    if (seat == nullptr) return;
-    seat->hold.OnChange(seat->in_flight, now);
-    seat->hold.OnEnded();
-    seat->in_flight = std::max(0, seat->in_flight - 1);
-    if (m_options.eject_outliers) NoteEnd(seat, failed, m_outliers, now);
+    EndpointState* state = Find(endpoint);
+    if (state == nullptr) return;
+    state->service_time.OnChange(state->in_flight, now);
+    state->service_time.OnEnded();
+    state->in_flight = std::max(0, state->in_flight - 1);
+    if (m_options.eject_outliers)
+      RecordAttemptEnd(state, failed, m_outliers, now);
   }
 
   void OnCacheEvents(const std::vector<wire::CacheEventT>& events,
                      Instant /*now*/) override {
     for (const wire::CacheEventT& event : events) {
-      const Seat* seat = Find(event.endpoint);
-      if (seat == nullptr) continue;
-      m_prefixes.OnEvent(seat->number, event.incarnation, event.sequence,
+      const EndpointState* state = Find(event.endpoint);
+      if (state == nullptr) continue;
+      m_prefixes.OnEvent(state->number, event.incarnation, event.sequence,
                          event.prefix_hash, event.stored);
     }
   }
@@ -102,21 +103,21 @@
     m_directory = &directory;
     m_configuration = &configuration;
     m_candidates.clear();
-    for (auto& [id, seat] : m_seats) seat.usable = false;
+    for (auto& [id, state] : m_endpoints) state.usable = false;
     for (const auto& [id, endpoint] : directory.All()) Update(endpoint);
-    std::erase_if(m_seats, [&](const auto& item) {
-      const Seat& seat = item.second;
-      const bool over =
-          seat.in_flight == 0 && directory.Find(seat.id) == nullptr;
-      if (over) m_prefixes.Forget(seat.number);
-      return over;
+    std::erase_if(m_endpoints, [&](const auto& item) {
+      const EndpointState& state = item.second;
+      const bool gone =
+          state.in_flight == 0 && directory.Find(state.id) == nullptr;
+      if (gone) m_prefixes.Forget(state.number);
+      return gone;
     });
   }
 
  private:
-  Seat* Find(const EndpointId& endpoint) {
-    const auto it = m_seats.find(endpoint);
-    return it == m_seats.end() ? nullptr : &it->second;
+  EndpointState* Find(const EndpointId& endpoint) {
+    const auto it = m_endpoints.find(endpoint);
+    return it == m_endpoints.end() ? nullptr : &it->second;
   }
 
   // The adaptive limit starts at the number of slots that the endpoint
@@ -124,40 +125,40 @@
   static admission::ConcurrencyLimit FirstLimit(
       const wire::EndpointRecordT& record) {
     constexpr double kStart = 4;
-    constexpr double kLeast = 1;
-    constexpr double kMost = 4096;
-    admission::ConcurrencyLimit limit(kStart, kLeast, kMost);
+    constexpr double kMin = 1;
+    constexpr double kMax = 4096;
+    admission::ConcurrencyLimit limit(kStart, kMin, kMax);
     if (record.slots > 0) limit.Begin(record.slots);
     return limit;
   }
 
   void Update(const directory::Endpoint& endpoint) {
     const wire::EndpointRecordT& record = endpoint.record;
-    Seat& seat = m_seats[record.id];
-    if (seat.number == 0) seat.number = ++m_last_number;
-    if (seat.incarnation != record.incarnation) {
+    EndpointState& state = m_endpoints[record.id];
+    if (state.number == 0) state.number = ++m_last_number;
+    if (state.incarnation != record.incarnation) {
       // A new incarnation: what was learned about the previous one is void.
-      if (seat.incarnation != 0) m_prefixes.Distrust(seat.number);
-      seat.failures = 0;
-      seat.samples = 0;
-      seat.ejected_until = {};
-      seat.limit = FirstLimit(record);
+      if (state.incarnation != 0) m_prefixes.Invalidate(state.number);
+      state.failures = 0;
+      state.samples = 0;
+      state.ejected_until = {};
+      state.limit = FirstLimit(record);
     }
-    seat.id = record.id;
-    seat.incarnation = record.incarnation;
-    seat.address = record.address;
-    seat.usable = endpoint.usable;
-    seat.local = record.data_centre == m_options.data_centre;
-    seat.slots = std::max<double>(1, record.slots);
-    seat.TakeReport(endpoint);
+    state.id = record.id;
+    state.incarnation = record.incarnation;
+    state.address = record.address;
+    state.usable = endpoint.usable;
+    state.local = record.data_centre == m_options.data_centre;
+    state.slots = std::max<double>(1, record.slots);
+    state.TakeReport(endpoint);
   }
 
   Candidates& CandidatesOf(const RouteQuery& query) {
     m_key.assign(query.team);
     m_key.append(query.service ? "\ns" : "\nm");
     m_key.append(query.target);
-    const auto [it, fresh] = m_candidates.try_emplace(m_key);
-    if (fresh) Fill(query, &it->second);
+    const auto [it, inserted] = m_candidates.try_emplace(m_key);
+    if (inserted) Fill(query, &it->second);
     return it->second;
   }
 
@@ -165,57 +166,58 @@
     for (const auto& [id, endpoint] : m_directory->All()) {
       if (!Serves(endpoint.record, query.target, query.service)) continue;
       if (!MayUse(*m_configuration, query.team, id, query.target)) continue;
-      candidates->seats.push_back(Find(id));
+      candidates->endpoints.push_back(Find(id));
     }
     // Sorted by number, so that runs with the same seed are reproducible.
-    std::sort(
-        candidates->seats.begin(), candidates->seats.end(),
-        [](const Seat* a, const Seat* b) { return a->number < b->number; });
-    for (const Seat* seat : candidates->seats)
-      candidates->numbers.push_back(seat->number);
+    std::sort(candidates->endpoints.begin(), candidates->endpoints.end(),
+              [](const EndpointState* a, const EndpointState* b) {
+                return a->number < b->number;
+              });
+    for (const EndpointState* state : candidates->endpoints)
+      candidates->numbers.push_back(state->number);
   }
 
-  void Judge(Candidates* candidates, Instant now) {
+  void EjectOutliers(Candidates* candidates, Instant now) {
     if (!m_options.eject_outliers) return;
-    if (now - candidates->judged < kJudgeEvery) return;
-    candidates->judged = now;
-    EjectSlow(candidates->seats, m_outliers, now);
+    if (now - candidates->last_outlier_check < kOutlierCheckInterval) return;
+    candidates->last_outlier_check = now;
+    EjectSlow(candidates->endpoints, m_outliers, now);
   }
 
-  Slate MakeSlate(const RouteQuery& query, const Candidates& candidates,
-                  Instant now) {
-    Slate slate;
-    slate.seats = &candidates.seats;
-    slate.query = &query;
-    slate.directory = m_directory;
-    slate.far_penalty = m_options.far_penalty;
-    slate.first_token_ms = m_first_token_ms;
-    slate.now = now;
-    if (query.prefix_hashes == nullptr) return slate;
+  SelectionContext MakeContext(const RouteQuery& query,
+                               const Candidates& candidates, Instant now) {
+    SelectionContext context;
+    context.endpoints = &candidates.endpoints;
+    context.query = &query;
+    context.directory = m_directory;
+    context.remote_penalty = m_options.remote_penalty;
+    context.first_token_ms = m_first_token_ms;
+    context.now = now;
+    if (query.prefix_hashes == nullptr) return context;
     const PrefixMatch match = m_prefixes.Find(*query.prefix_hashes);
-    if (match.count == 0) return slate;
-    slate.cached_part = static_cast<double>(match.blocks) /
-                        static_cast<double>(query.prefix_hashes->size());
+    if (match.count == 0) return context;
+    context.cached_fraction = static_cast<double>(match.blocks) /
+                              static_cast<double>(query.prefix_hashes->size());
     for (size_t i = 0; i < match.count; ++i) {
       const auto place =
           std::lower_bound(candidates.numbers.begin(), candidates.numbers.end(),
-                           match.holders[i].seat);
-      const bool found =
-          place != candidates.numbers.end() && *place == match.holders[i].seat;
+                           match.holders[i].endpoint_number);
+      const bool found = place != candidates.numbers.end() &&
+                         *place == match.holders[i].endpoint_number;
       if (!found) continue;
-      slate.holders[slate.holder_count++] =
-          candidates.seats[place - candidates.numbers.begin()];
+      context.holders[context.holder_count++] =
+          candidates.endpoints[place - candidates.numbers.begin()];
     }
-    return slate;
+    return context;
   }
 
   // Reports why no endpoint was chosen: none is usable, or all are at their
   // limits or ejected.
-  RouteChoice Refusal(const Slate& slate) const {
+  RouteChoice Refusal(const SelectionContext& context) const {
     RouteChoice choice;
-    for (const Seat* seat : *slate.seats) {
-      if (!seat->usable || IsExcluded(*slate.query, seat->id)) continue;
-      Duration wait = WaitFor(*seat, slate.now);
+    for (const EndpointState* state : *context.endpoints) {
+      if (!state->usable || IsExcluded(*context.query, state->id)) continue;
+      Duration wait = WaitFor(*state, context.now);
       if (choice.outcome == RouteOutcome::kBusy)
         wait = std::min(wait, choice.expected_wait);
       choice.outcome = RouteOutcome::kBusy;
@@ -224,9 +226,10 @@
     return choice;
   }
 
-  static Duration WaitFor(const Seat& seat, Instant now) {
-    if (seat.IsEjected(now)) return seat.ejected_until - now;
-    const double seconds = seat.hold.Seconds() / std::max(1, seat.in_flight);
+  static Duration WaitFor(const EndpointState& state, Instant now) {
+    if (state.IsEjected(now)) return state.ejected_until - now;
+    const double seconds =
+        state.service_time.Seconds() / std::max(1, state.in_flight);
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double>(seconds));
   }
@@ -243,7 +246,7 @@
   Chooser m_chooser;
   const directory::Directory* m_directory = nullptr;
   const state::Configuration* m_configuration = nullptr;
-  std::unordered_map<EndpointId, Seat> m_seats;
+  std::unordered_map<EndpointId, EndpointState> m_endpoints;
   std::unordered_map<std::string, Candidates> m_candidates;
   PrefixIndex m_prefixes;
   std::string m_key;  // reused, so that a choice allocates no memory
--- a/src/dotterelshift/routing/router_test.cc
+++ b/src/dotterelshift/routing/router_test.cc
@@ -19,8 +19,8 @@
 
 // A router over a few endpoints of one model; endpoint 3 also has the adapter
 // "dialect".
-struct Bench {
-  explicit Bench(PolicyKind policy, int endpoints = 4) {
+struct RouterFixture {
+  explicit RouterFixture(PolicyKind policy, int endpoints = 4) {
     wire::UpsertEndpointSetT set;
     set.endpoint_set = std::make_unique<wire::EndpointSetT>();
     set.endpoint_set->id = "all";
@@ -79,10 +79,10 @@
   CPPUNIT_TEST_SUITE(RouterTest);
   CPPUNIT_TEST(DrainingIsNeverChosen);
   CPPUNIT_TEST(ExcludedIsNeverChosen);
-  CPPUNIT_TEST(ReachAndAdaptersAreKept);
+  CPPUNIT_TEST(TeamAccessAndAdaptersAreRespected);
   CPPUNIT_TEST(BusyWhenAllAreAtTheirLimits);
   CPPUNIT_TEST(LoadedEndpointIsAvoidedUntilItsReportAges);
-  CPPUNIT_TEST(PrefixIsFollowedWithinABound);
+  CPPUNIT_TEST(PrefixAffinityIsBoundedByLoad);
   CPPUNIT_TEST(FailingEndpointIsEjectedForAWhile);
   CPPUNIT_TEST(SlowEndpointIsEjected);
   CPPUNIT_TEST(OwnDataCentreComesFirstUntilItIsFull);
@@ -91,102 +91,104 @@
  public:
   void DrainingIsNeverChosen() {
     for (const PolicyKind policy : kAllPolicies) {
-      Bench bench(policy);
-      bench.Announce(2, 2, true);
-      CPPUNIT_ASSERT(!bench.Count(200).contains("e2"));
-      for (const int number : {0, 1, 3}) bench.Announce(number, 2, true);
-      CPPUNIT_ASSERT(bench.Choose().outcome == RouteOutcome::kNone);
+      RouterFixture fixture(policy);
+      fixture.Announce(2, 2, true);
+      CPPUNIT_ASSERT(!fixture.Count(200).contains("e2"));
+      for (const int number : {0, 1, 3}) fixture.Announce(number, 2, true);
+      CPPUNIT_ASSERT(fixture.Choose().outcome == RouteOutcome::kNone);
     }
   }
 
   void ExcludedIsNeverChosen() {
     for (const PolicyKind policy : kAllPolicies) {
-      Bench bench(policy);
+      RouterFixture fixture(policy);
       for (int i = 0; i < 50; ++i)
-        CPPUNIT_ASSERT(bench.Choose({"e0", "e1", "e3"}).endpoint == "e2");
-      CPPUNIT_ASSERT(bench.Choose({"e0", "e1", "e2", "e3"}).outcome ==
+        CPPUNIT_ASSERT(fixture.Choose({"e0", "e1", "e3"}).endpoint == "e2");
+      CPPUNIT_ASSERT(fixture.Choose({"e0", "e1", "e2", "e3"}).outcome ==
                      RouteOutcome::kNone);
     }
   }
 
-  void ReachAndAdaptersAreKept() {
-    Bench bench(PolicyKind::kPrefixAffinity);
-    bench.query.team = "stranger";
-    CPPUNIT_ASSERT(bench.Choose().outcome == RouteOutcome::kNone);
-    bench.query.team = "team";
-    bench.query.target = "model:dialect";
+  void TeamAccessAndAdaptersAreRespected() {
+    RouterFixture fixture(PolicyKind::kPrefixAffinity);
+    fixture.query.team = "stranger";
+    CPPUNIT_ASSERT(fixture.Choose().outcome == RouteOutcome::kNone);
+    fixture.query.team = "team";
+    fixture.query.target = "model:dialect";
     for (int i = 0; i < 20; ++i)
-      CPPUNIT_ASSERT_EQUAL(EndpointId("e3"), bench.Choose().endpoint);
-    bench.query.target = "other";
-    CPPUNIT_ASSERT(bench.Choose().outcome == RouteOutcome::kNone);
+      CPPUNIT_ASSERT_EQUAL(EndpointId("e3"), fixture.Choose().endpoint);
+    fixture.query.target = "other";
+    CPPUNIT_ASSERT(fixture.Choose().outcome == RouteOutcome::kNone);
   }
 
   void BusyWhenAllAreAtTheirLimits() {
     for (const PolicyKind policy : kAllPolicies) {
-      Bench bench(policy, 1);
+      RouterFixture fixture(policy, 1);
       for (int i = 0; i < 2000; ++i)
-        bench.router->OnStarted("e0", 100, bench.now);
-      const RouteChoice choice = bench.Choose();
+        fixture.router->OnStarted("e0", 100, fixture.now);
+      const RouteChoice choice = fixture.Choose();
       CPPUNIT_ASSERT(choice.outcome == RouteOutcome::kBusy);
       CPPUNIT_ASSERT(choice.expected_wait > 0s);
     }
   }
 
   void LoadedEndpointIsAvoidedUntilItsReportAges() {
-    Bench bench(PolicyKind::kSixChoices, 2);
-    bench.now += 100ms;
-    bench.Announce(0, 2, false, 40);
-    CPPUNIT_ASSERT(bench.Count(100)["e0"] < 10);
-    bench.now += 2900ms;
-    CPPUNIT_ASSERT(bench.directory.Find("e0")->usable);
+    RouterFixture fixture(PolicyKind::kSixChoices, 2);
+    fixture.now += 100ms;
+    fixture.Announce(0, 2, false, 40);
+    CPPUNIT_ASSERT(fixture.Count(100)["e0"] < 10);
+    fixture.now += 2900ms;
+    CPPUNIT_ASSERT(fixture.directory.Find("e0")->usable);
     // The reported requests have probably ended: an old report has little
     // weight compared with the entry's own requests.
-    for (int i = 0; i < 4; ++i) bench.router->OnStarted("e1", 100, bench.now);
-    CPPUNIT_ASSERT(bench.Count(100)["e0"] > 50);
+    for (int i = 0; i < 4; ++i)
+      fixture.router->OnStarted("e1", 100, fixture.now);
+    CPPUNIT_ASSERT(fixture.Count(100)["e0"] > 50);
   }
 
-  void PrefixIsFollowedWithinABound() {
-    Bench bench(PolicyKind::kPrefixAffinity);
+  void PrefixAffinityIsBoundedByLoad() {
+    RouterFixture fixture(PolicyKind::kPrefixAffinity);
     const std::vector<uint64_t> prompt = {1, 2, 3, 4};
-    bench.query.prefix_hashes = &prompt;
-    const EndpointId home = bench.Choose().endpoint;
-    CPPUNIT_ASSERT_EQUAL(20, bench.Count(20)[home]);
-    for (int i = 0; i < 8; ++i) bench.router->OnStarted(home, 100, bench.now);
-    CPPUNIT_ASSERT(bench.Choose().endpoint != home);
+    fixture.query.prefix_hashes = &prompt;
+    const EndpointId home = fixture.Choose().endpoint;
+    CPPUNIT_ASSERT_EQUAL(20, fixture.Count(20)[home]);
+    for (int i = 0; i < 8; ++i)
+      fixture.router->OnStarted(home, 100, fixture.now);
+    CPPUNIT_ASSERT(fixture.Choose().endpoint != home);
   }
 
   void FailingEndpointIsEjectedForAWhile() {
-    Bench bench(PolicyKind::kPrefixAffinity);
+    RouterFixture fixture(PolicyKind::kPrefixAffinity);
     for (int i = 0; i < 3; ++i) {
-      bench.router->OnStarted("e1", 100, bench.now);
-      bench.router->OnEnded("e1", 100, true, bench.now);
+      fixture.router->OnStarted("e1", 100, fixture.now);
+      fixture.router->OnEnded("e1", 100, true, fixture.now);
     }
-    CPPUNIT_ASSERT(!bench.Count(200).contains("e1"));
-    bench.now += 2100ms;
-    CPPUNIT_ASSERT(bench.Count(200).contains("e1"));
+    CPPUNIT_ASSERT(!fixture.Count(200).contains("e1"));
+    fixture.now += 2100ms;
+    CPPUNIT_ASSERT(fixture.Count(200).contains("e1"));
   }
 
   void SlowEndpointIsEjected() {
-    Bench bench(PolicyKind::kRoundRobin);
+    RouterFixture fixture(PolicyKind::kRoundRobin);
     for (int i = 0; i < 10; ++i) {
       for (const char* id : {"e0", "e1", "e2"})
-        bench.router->OnFirstToken(id, 100ms, bench.now);
-      bench.router->OnFirstToken("e3", 900ms, bench.now);
+        fixture.router->OnFirstToken(id, 100ms, fixture.now);
+      fixture.router->OnFirstToken("e3", 900ms, fixture.now);
     }
-    CPPUNIT_ASSERT(!bench.Count(100).contains("e3"));
+    CPPUNIT_ASSERT(!fixture.Count(100).contains("e3"));
   }
 
   void OwnDataCentreComesFirstUntilItIsFull() {
-    Bench bench(PolicyKind::kLocalTwoChoices);
-    std::map<EndpointId, int> counts = bench.Count(100);
+    RouterFixture fixture(PolicyKind::kLocalTwoChoices);
+    std::map<EndpointId, int> counts = fixture.Count(100);
     CPPUNIT_ASSERT_EQUAL(100, counts["e0"] + counts["e2"]);
     for (int i = 0; i < 8; ++i) {
-      bench.router->OnStarted("e0", 100, bench.now);
-      bench.router->OnStarted("e2", 100, bench.now);
+      fixture.router->OnStarted("e0", 100, fixture.now);
+      fixture.router->OnStarted("e2", 100, fixture.now);
     }
     // Now all endpoints are candidates. Two random ones are both full in a
     // quarter of the selections.
-    counts = bench.Count(1000);
+    counts = fixture.Count(1000);
     CPPUNIT_ASSERT(counts["e1"] + counts["e3"] > 700);
   }
 };
--- a/src/dotterelshift/routing/target.cc
+++ b/src/dotterelshift/routing/target.cc
@@ -6,7 +6,7 @@
 namespace {
 
 template <typename Values>
-bool Holds(const Values& values, std::string_view value) {
+bool Contains(const Values& values, std::string_view value) {
   return std::find(values.begin(), values.end(), value) != values.end();
 }
 
@@ -18,12 +18,12 @@
 
 bool Serves(const wire::EndpointRecordT& record, const std::string& target,
             bool service) {
-  if (service) return Holds(record.services, target);
+  if (service) return Contains(record.services, target);
   const std::string_view base = BaseModel(target);
   for (const auto& state : record.models) {
     if (state->model == target) return true;
     if (base.size() == target.size() || state->model != base) continue;
-    if (Holds(state->adapters, target.substr(base.size() + 1))) return true;
+    if (Contains(state->adapters, target.substr(base.size() + 1))) return true;
   }
   return false;
 }
--- a/src/dotterelshift/serving/attempt_end.cc
+++ b/src/dotterelshift/serving/attempt_end.cc
@@ -33,7 +33,7 @@
 void Core::OnAttemptHead(AttemptId /*attempt*/, int /*status*/,
                          Instant /*now*/) {}
 
-PieceVerdict Core::OnPiece(AttemptId id, const Piece& piece, Instant now) {
+PieceVerdict Core::OnChunk(AttemptId id, const Piece& piece, Instant now) {
   Request* request = FindByAttempt(id);
   if (request == nullptr || request->stage != Stage::kRunning) {
     ++m_counters.late_pieces_dropped;
--- a/src/dotterelshift/serving/budget_wait.cc
+++ b/src/dotterelshift/serving/budget_wait.cc
@@ -48,10 +48,10 @@
     return;
   }
   if (!request->budget_until) {
-    const Duration patience = request->refusals_first
-                                  ? m_options.budget_wait_refusals_first
-                                  : m_options.budget_wait_overspend_first;
-    request->budget_until = std::min(request->deadline, now + patience);
+    const Duration timeout = request->refusals_first
+                                 ? m_options.budget_wait_refusals_first
+                                 : m_options.budget_wait_overspend_first;
+    request->budget_until = std::min(request->deadline, now + timeout);
   }
   if (*request->budget_until <= now) {
     RefuseForBudget(request, now);
--- a/src/dotterelshift/serving/serving_testing.h
+++ b/src/dotterelshift/serving/serving_testing.h
@@ -276,7 +276,7 @@
 
   PieceVerdict Give(const serving::Piece& piece, AttemptId attempt) {
     const AttemptId to = attempt == 0 ? LastStart().attempt : attempt;
-    const PieceVerdict verdict = core->OnPiece(to, piece, now);
+    const PieceVerdict verdict = core->OnChunk(to, piece, now);
     Pump();
     return verdict;
   }
--- a/tests/scenarios/entry_host.cc
+++ b/tests/scenarios/entry_host.cc
@@ -234,15 +234,15 @@
   CarryOutAll();
 }
 
-void EntryHost::OnPiece(const Connection& connection, RequestId from,
+void EntryHost::OnChunk(const Connection& connection, RequestId from,
                         const serving::Piece& piece) {
   if (!Is(connection)) return;
   const Instant now = m_links.network->Now();
-  const auto verdict = m_core->OnPiece(connection.attempt, piece, now);
+  const auto verdict = m_core->OnChunk(connection.attempt, piece, now);
   const auto request = m_requests.find(connection.attempt);
   if (verdict == serving::PieceVerdict::kForward &&
       request != m_requests.end() && piece.tokens > 0) {
-    m_links.records->OnPiece(request->second, from, connection.attempt,
+    m_links.records->OnChunk(request->second, from, connection.attempt,
                              piece.tokens, now);
   }
   CarryOutAll();
--- a/tests/scenarios/entry_host.h
+++ b/tests/scenarios/entry_host.h
@@ -58,7 +58,7 @@
   void OnRecall(const wire::RecallT& recall);
   void OnAnnouncement(const wire::EndpointRecordT& record);
   void OnHead(const Connection& connection, int status);
-  void OnPiece(const Connection& connection, RequestId from,
+  void OnChunk(const Connection& connection, RequestId from,
                const serving::Piece& piece);
   void OnEnd(const Connection& connection, serving::AttemptEnd end);
   // The link to an endpoint has been cut: its connections break.
--- a/tests/scenarios/records.cc
+++ b/tests/scenarios/records.cc
@@ -62,7 +62,7 @@
   m_consumed[Of(id).budget] += tokens;
 }
 
-void Records::OnPiece(RequestId id, RequestId from, AttemptId attempt,
+void Records::OnChunk(RequestId id, RequestId from, AttemptId attempt,
                       Tokens tokens, Instant now) {
   RequestRecord& record = Of(id);
   if (from != id)
--- a/tests/scenarios/records.h
+++ b/tests/scenarios/records.h
@@ -62,7 +62,7 @@
   void OnRun(RequestId id, const EndpointId& endpoint, Instant now);
   void OnConsumed(RequestId id, Tokens tokens);
   // What callers saw.
-  void OnPiece(RequestId id, RequestId from, AttemptId attempt, Tokens tokens,
+  void OnChunk(RequestId id, RequestId from, AttemptId attempt, Tokens tokens,
                Instant now);
   void OnAnswered(RequestId id, Instant now);
   void OnFailed(RequestId id, ErrorKind error, Instant now);
--- a/tests/scenarios/world.cc
+++ b/tests/scenarios/world.cc
@@ -123,7 +123,7 @@
   };
   events.on_piece = [this](const Connection& connection, RequestId from,
                            const serving::Piece& piece) {
-    FindEntry(connection.entry)->OnPiece(connection, from, piece);
+    FindEntry(connection.entry)->OnChunk(connection, from, piece);
   };
   events.on_end = [this](const Connection& connection,
                          serving::AttemptEnd end) {
