--- a/include/dotterelshift/admission/fair_queue.h
+++ b/include/dotterelshift/admission/fair_queue.h
@@ -60,13 +60,14 @@
 // become slower for good, and the best latency is measured anew.
 class ConcurrencyLimit {
  public:
-  static constexpr int kNotCounted = -1;
+  static constexpr int kUnknownInFlight = -1;
 
   explicit ConcurrencyLimit(double start = 4, double least = 1,
                             double most = 1024);
   // `in_flight` is the number of requests at the endpoint. The limit does not
-  // grow while it is underused; with kNotCounted it grows regardless.
-  void OnFirstToken(Duration latency, Instant now, int in_flight = kNotCounted);
+  // grow while it is underused; with kUnknownInFlight it grows regardless.
+  void OnFirstToken(Duration latency, Instant now,
+                    int in_flight = kUnknownInFlight);
   void OnRefused(Instant now);
   // Sets the limit to the number of requests that the endpoint says it runs in
   // parallel, and ends the fast growth phase. Latency and refusals adjust the
@@ -80,11 +81,11 @@
 
   double m_start;
   double m_limit;
-  double m_least;
-  double m_most;
+  double m_min_limit;
+  double m_max_limit;
   double m_best_ms = 0;
   double m_recent_ms = 0;
-  bool m_fast = true;  // until latency first rises
+  bool m_fast_growth = true;  // until latency first rises
   Instant m_last_change{};
 };
 
--- a/include/dotterelshift/gateway/fleet_load.h
+++ b/include/dotterelshift/gateway/fleet_load.h
@@ -12,9 +12,9 @@
 #include "dotterelshift/base/ids.h"               // for EndpointId
 #include "dotterelshift/base/time.h"              // for Instant
 #include "dotterelshift/directory/directory.h"    // for Directory
-#include "dotterelshift/gateway/part_cache.h"     // for PartCache
 #include "dotterelshift/gateway/request.h"        // for Prompt
 #include "dotterelshift/gateway/routes.h"         // for RouteTable
+#include "dotterelshift/gateway/segment_cache.h"  // for SegmentCache
 #include "dotterelshift/wire/frames_generated.h"  // for LoadNote
 
 namespace dotterelshift::gateway {
@@ -28,27 +28,27 @@
   // Prompt tokens that an engine prefills per millisecond while it also serves
   // streams. An engine that only prefills reaches 93; the rest is left to its
   // streams.
-  double read_tokens_per_ms = 75;
+  double prefill_tokens_per_ms = 75;
   // Cost in milliseconds per request that already runs at the endpoint, as each
   // slows token generation: a decoding step of 3.3 ms is shared by a batch.
   double per_running_ms = 1.0;
   // Cost in milliseconds of leaving the data centre: the round trip and the
   // bytes.
-  double other_centre_ms = 6;
+  double other_data_centre_ms = 6;
   // The same in a fleet so large that load updates stay within a data centre,
   // so that the load of other entries on remote endpoints is not known.
-  double unseen_centre_ms = 120;
-  size_t largest_seen_fleet = 16;  // entries
+  double unobserved_data_centre_ms = 120;
+  size_t max_observed_fleet = 16;  // entries
   // Fraction of an engine's memory that counts as prompt cache; running
   // requests use the rest.
-  double cache_part = 0.7;
+  double cache_fraction = 0.7;
   // An endpoint that failed is avoided for the minimum time, doubled with each
   // consecutive failure up to the maximum.
-  Duration avoid_least = 300ms;
-  Duration avoid_most = 5s;
+  Duration min_avoid_time = 300ms;
+  Duration max_avoid_time = 5s;
   // Consecutive failures before an endpoint that still answers other requests
   // is avoided.
-  int failures_borne = 2;
+  int failure_threshold = 2;
   // Time for which an endpoint is skipped after it refused for lack of
   // capacity.
   Duration full_for = 60ms;
@@ -59,7 +59,7 @@
   EndpointKey endpoint = 0;
   Duration wait = 0s;  // until the prompts queued before it are prefilled
   Duration read = 0s;  // to prefill what is not cached there
-  Tokens tokens_to_read = 0;
+  Tokens tokens_to_prefill = 0;
 };
 
 // Identity and address of an endpoint, for sending requests to it.
@@ -78,45 +78,49 @@
 // earlier ones.
 class FleetLoad {
  public:
-  static constexpr size_t kAllNotes = std::numeric_limits<size_t>::max();
+  static constexpr size_t kAllUpdates = std::numeric_limits<size_t>::max();
 
   explicit FleetLoad(const FleetLoadOptions& options) : m_options(options) {}
 
   // Sets the number of entries in the fleet.
   void SetEntries(size_t entries) {
-    m_sees_all = entries <= m_options.largest_seen_fleet;
+    m_observes_all = entries <= m_options.max_observed_fleet;
   }
   void OnDirectory(const directory::Directory& directory);
   void OnRoutes(const RouteTable& routes);
 
   // Returns the best endpoint of a service for a prompt, except those in
-  // `not_these`; none if no endpoint is usable.
+  // `excluded`; none if no endpoint is usable.
   std::optional<Placement> Choose(const ServiceName& service,
                                   const Prompt& prompt,
-                                  const std::vector<EndpointKey>& not_these,
+                                  const std::vector<EndpointKey>& excluded,
                                   Instant now) const;
   // Whether any endpoint of the service is usable.
   bool HasEndpoint(const ServiceName& service, Instant now) const;
 
   // A request was assigned to an endpoint and its prompt queued for prefill;
   // its prefill ended; the request ended, for whatever reason.
-  void OnGiven(const Placement& placement, const Prompt& prompt, Instant now);
-  void OnRead(EndpointKey endpoint, Instant now);
+  void OnAssigned(const Placement& placement, const Prompt& prompt,
+                  Instant now);
+  void OnPrefilled(EndpointKey endpoint, Instant now);
   void OnEnded(EndpointKey endpoint);
 
   // Outcome of an attempt at the endpoint.
-  void OnGood(EndpointKey endpoint);
+  void OnSucceeded(EndpointKey endpoint);
   void OnFailed(EndpointKey endpoint, Instant now);
   void OnUnreachable(EndpointKey endpoint, Instant now);
-  void OnFull(EndpointKey endpoint, Instant now);
+  void OnOverloaded(EndpointKey endpoint, Instant now);
 
   // Load updates for the other entries since the last call. Beyond the
   // given number the oldest prompt segments are dropped: without them other
   // entries only choose worse, but without the sums their counts would stay
   // wrong.
-  std::vector<wire::LoadNote> TakeNotes(size_t most = kAllNotes);
-  bool HasNotes() const { return !m_changes.empty() || !m_part_notes.empty(); }
-  void OnNotes(const HostId& from, const wire::LoadNotesT& notes, Instant now);
+  std::vector<wire::LoadNote> TakeLoadUpdates(size_t most = kAllUpdates);
+  bool HasLoadUpdates() const {
+    return !m_changes.empty() || !m_segment_updates.empty();
+  }
+  void OnLoadUpdates(const HostId& from, const wire::LoadNotesT& notes,
+                     Instant now);
   // An entry is gone; its requests are removed from the load.
   void OnEntryGone(const HostId& entry);
 
@@ -136,8 +140,8 @@
     bool leaving = false;
     uint32_t own = 0;
     uint32_t others = 0;
-    Instant read_until{};  // when all assigned prompts are prefilled
-    PartCache cache;
+    Instant prefill_until{};  // when all assigned prompts are prefilled
+    SegmentCache cache;
     int failures = 0;  // consecutive
     Instant avoid_until{};
     Instant full_until{};
@@ -148,14 +152,14 @@
   Placement PlaceAt(EndpointKey key, const Load& load, const Prompt& prompt,
                     Instant now) const;
   // Records a change at an endpoint for the next load updates.
-  void NoteChange(EndpointKey endpoint, Tokens prompt_tokens, int requests);
-  void Book(Load& load, Tokens tokens, Instant now);
+  void RecordChange(EndpointKey endpoint, Tokens prompt_tokens, int requests);
+  void QueuePrefill(Load& load, Tokens tokens, Instant now);
   static void ChangeOthers(Load& load, int change);
   void SetCapacity(Load& load) const;
   uint32_t RunningAt(const Load& load) const { return load.own + load.others; }
 
   const FleetLoadOptions m_options;
-  bool m_sees_all = true;
+  bool m_observes_all = true;
   std::unordered_map<EndpointKey, Load> m_loads;
   std::unordered_map<ServiceName, std::vector<EndpointKey>> m_by_service;
   std::unordered_map<ServiceName, EngineCapacity> m_engines;
@@ -166,9 +170,9 @@
     int32_t requests = 0;
   };
   std::map<EndpointKey, Change> m_changes;
-  std::vector<wire::LoadNote> m_part_notes;
+  std::vector<wire::LoadNote> m_segment_updates;
   // Requests of other entries, subtracted from the load when an entry goes.
-  std::map<HostId, std::unordered_map<EndpointKey, int>> m_of_entries;
+  std::map<HostId, std::unordered_map<EndpointKey, int>> m_requests_by_entry;
 };
 
 }  // namespace dotterelshift::gateway
--- a/include/dotterelshift/gateway/held_grants.h
+++ b/include/dotterelshift/gateway/held_grants.h
@@ -28,33 +28,33 @@
   Duration partition = 9s;
   // Fraction of a total that all entries hold together before demand is known,
   // so that a partition soon after the start can be survived as well.
-  double first_part = 0.35;
+  double initial_fraction = 0.35;
   // A team's demand counts as known this long after its first request.
-  Duration demand_known_after = 10s;
+  Duration demand_warmup = 10s;
   // Minimum interval between borrow requests to other entries for one budget.
   Duration borrow_every = 20ms;
   // Maximum age at which control's figure for the remainder of a total is used
   // to reject requests.
-  Duration remainder_memory = 1s;
+  Duration remainder_max_age = 1s;
   // Below this fraction of a total, the remainder is reserved for small
-  // requests and released at a rate that makes it last for `trickle_over`.
+  // requests and released at a rate that makes it last for `trickle_duration`.
   // Otherwise a team whose total is nearly used up would get no service at all
   // for the rest of the day.
-  double trickle_below = 0.03;
-  Duration trickle_over = 20s;
+  double trickle_threshold = 0.03;
+  Duration trickle_duration = 20s;
   // Limit on the tokens that accumulate, as time at the release rate; a small
   // request may have to wait this long.
-  Duration trickle_gathers = 10s;
+  Duration trickle_burst = 10s;
   // Maximum age at which control's figure for the remainder is used for
   // rationing and for predicting grants.
-  Duration trickle_memory = 30s;
+  Duration trickle_max_age = 30s;
   // A grant is likely if the remainder covers this many requests of the same
   // size.
   int likely_requests = 10;
 };
 
-enum class BudgetAnswer {
-  kNoTotal,    // the team's consumption is not limited
+enum class BudgetDecision {
+  kUnlimited,  // the team's consumption is not limited
   kReserved,   // to be settled when the request has ended
   kWait,       // more tokens were requested from control and other entries
   kKept,       // the remainder of the total is rationed; may succeed later
@@ -71,7 +71,7 @@
   HeldGrants(const HeldGrantsOptions& options, NextId next_id);
 
   void OnRoutes(const RouteTable& routes, size_t entries, Instant now);
-  BudgetAnswer Reserve(const TeamId& team, Tokens worst_case, Instant now);
+  BudgetDecision Reserve(const TeamId& team, Tokens worst_case, Instant now);
   // Whether control is reachable and recently reported a remainder large enough
   // for many requests of this size, so that its next grant is likely to cover a
   // waiting request.
@@ -86,8 +86,8 @@
                   Instant now);
   // Adds tokens that another entry has lent.
   void OnLoan(const wire::TokenLoanT& loan, Instant now);
-  std::vector<wire::TokenBorrowT> TakeBorrows() {
-    return std::exchange(m_borrows, {});
+  std::vector<wire::TokenBorrowT> TakeBorrowRequests() {
+    return std::exchange(m_borrow_requests, {});
   }
 
   // The figures behind a decision, for the log.
@@ -121,8 +121,8 @@
 
  private:
   budget::HoldingPolicy PolicyOf(const TeamId& team) const;
-  void LearnDemand(Instant now);
-  bool IsAsking(const TeamId& team) const;
+  void ApplyKnownDemand(Instant now);
+  bool HasPendingRequest(const TeamId& team) const;
   wire::CommandT CommandOf(const budget::GrantWish& wish);
   void AddReport(std::optional<wire::ReportHoldingsT> report,
                  std::vector<wire::CommandT>* commands);
@@ -142,10 +142,10 @@
   SpendReports m_reports;
   // Grant requests that control has not answered, by the command's sequence
   // number.
-  std::unordered_map<uint64_t, TeamId> m_asks;
+  std::unordered_map<uint64_t, TeamId> m_pending_requests;
   // Teams whose demand is not known yet, and the time of their first request;
   // the epoch if there was none.
-  std::unordered_map<TeamId, Instant> m_unknown;
+  std::unordered_map<TeamId, Instant> m_demand_unknown;
   size_t m_entries = 1;
   bool m_connected = false;
   std::unordered_map<TeamId, Tokens> m_totals;
@@ -153,24 +153,25 @@
   // The remainder of a total, as last reported by control.
   struct Remainder {
     Tokens tokens = 0;
-    Instant heard{};
+    Instant received_at{};
   };
-  bool IsBeyondTotal(const TeamId& team, budget::BudgetHandle handle,
-                     Tokens worst_case, Instant now) const;
-  void AskToBorrow(const TeamId& team, budget::BudgetHandle handle,
-                   Tokens worst_case, Instant now);
+  bool ExceedsTotal(const TeamId& team, budget::BudgetHandle handle,
+                    Tokens worst_case, Instant now) const;
+  void QueueBorrowRequest(const TeamId& team, budget::BudgetHandle handle,
+                          Tokens worst_case, Instant now);
   // Token bucket for the last fraction of a total.
   struct Trickle {
-    double gathered = 0;
+    double accumulated = 0;
     Instant since{};
   };
-  std::optional<BudgetAnswer> KeptAnswer(const TeamId& team,
-                                         budget::BudgetHandle handle,
-                                         Tokens worst_case, Instant now);
+  std::optional<BudgetDecision> ThrottleDecision(const TeamId& team,
+                                                 budget::BudgetHandle handle,
+                                                 Tokens worst_case,
+                                                 Instant now);
   std::unordered_map<TeamId, Remainder> m_remainders;
   std::unordered_map<TeamId, Trickle> m_trickles;
   std::unordered_map<TeamId, Instant> m_last_borrow;
-  std::vector<wire::TokenBorrowT> m_borrows;
+  std::vector<wire::TokenBorrowT> m_borrow_requests;
 };
 
 }  // namespace dotterelshift::gateway
--- a/include/dotterelshift/gateway/link_admission.h
+++ b/include/dotterelshift/gateway/link_admission.h
@@ -13,41 +13,41 @@
   // Capacity of the link in each direction; 0: not known.
   double bytes_per_second = 0;
   // Fraction of the link that may be in use continuously.
-  double used_part = 0.92;
-  // The same while the link has been full for longer than `longest_busy`, so
+  double used_fraction = 0.92;
+  // The same while the link has been full for longer than `max_busy_time`, so
   // that the queue in front of it shrinks.
-  double draining_part = 0.85;
-  Duration longest_busy = 300ms;
+  double draining_fraction = 0.85;
+  Duration max_busy_time = 300ms;
   // While the link stays full, the fraction falls by this much per second, down
   // to the minimum: traffic that is not counted may use more of the link than
   // estimated.
-  double fall_per_second = 0.5;
-  double least_part = 0.4;
+  double fraction_decay_per_second = 0.5;
+  double min_fraction = 0.4;
   // Burst allowed on top of that, as transmission time on the link.
   Duration burst = 120ms;
   // No connection is accepted while more than this, as transmission time on the
   // link, is in transit inbound.
-  Duration longest_wait = 220ms;
+  Duration max_wait = 220ms;
   // Limit on what idle kept-alive connections could send all at once. Links at
   // least this fast (100 Mbit/s) carry all the connections that the server
   // accepts, so that the limit does not apply.
-  Duration kept_burst = 120ms;
+  Duration keep_alive_burst = 120ms;
   double fast_bytes_per_second = 12.5e6;
   // An overrun counts at most this much, as transmission time, so that the link
   // is tried again after this time.
-  Duration longest_debt = 300ms;
+  Duration max_debt = 300ms;
   // Estimated size of a request until some have been measured.
-  double first_request_bytes = 8 << 10;
+  double initial_request_bytes = 8 << 10;
 };
 
 // Size of a packet's headers on the link.
-inline constexpr uint64_t kPacketHeadBytes = 66;
+inline constexpr uint64_t kPacketHeaderBytes = 66;
 
 // What happens to an incoming connection.
-enum class Entrance {
-  kTakes,
-  kTurnsAway,  // closed unread, although its request is in transit
-  kShut,       // not accepted, so that nothing is sent on it
+enum class AdmissionDecision {
+  kAccept,
+  kReject,         // closed unread, although its request is in transit
+  kStopAccepting,  // not accepted, so that nothing is sent on it
 };
 
 // Bytes carried by a link since an arbitrary point in time.
@@ -88,22 +88,25 @@
   // A connection was accepted.
   void OnConnected();
   // A connection was closed unread.
-  void OnTurnedAway();
+  void OnRejected();
   // The first request of a connection, of this size, was received completely.
   void OnFirstRequest(uint64_t bytes);
   // A later request on a connection was received completely.
-  void OnKeptRequest(uint64_t bytes) { OnRequestSize(bytes); }
+  void OnKeepAliveRequest(uint64_t bytes) { OnRequestSize(bytes); }
   // A connection ended without a request.
-  void OnUnusedEnd();
+  void OnClosedUnused();
   // Bytes that the link carried since the last call, requests included.
   void OnBytes(const LinkBytes& bytes, Instant now);
   // Sets the bytes of requests that are queued here for the outbound link.
-  void SetHeldOut(uint64_t bytes) { m_held_out = static_cast<double>(bytes); }
+  void SetQueuedOutbound(uint64_t bytes) {
+    m_queued_outbound = static_cast<double>(bytes);
+  }
 
   // Decides about a connection that arrives now. After a rejection, connections
-  // are accepted again once a quarter of the burst has accumulated. kShut is
-  // returned if connections could not even be rejected in time.
-  Entrance Decide(Instant now);
+  // are accepted again once a quarter of the burst has accumulated.
+  // kStopAccepting is returned if connections could not even be rejected in
+  // time.
+  AdmissionDecision Decide(Instant now);
 
   // Whether a caller may keep its connection alive while this many others may
   // send a request at any moment.
@@ -112,7 +115,7 @@
   // Whether a queue may be standing in front of the link, so that less is
   // admitted. Idle kept-alive connections should then be closed, as each may
   // add to the queue at any moment.
-  bool DrainsQueue() const { return BusyFor() > m_options.longest_busy; }
+  bool IsDrainingQueue() const { return BusyFor() > m_options.max_busy_time; }
 
   // How long the inbound link has been full without a gap.
   Duration BusyFor() const { return m_busy_in.BusyFor(); }
@@ -129,28 +132,28 @@
 
   double BytesIn(Duration time) const;
   // Fraction of the link that may currently be in use continuously.
-  double UsedPart() const;
+  double UsedFraction() const;
   double FirstRequestOnWire() const;
   // Releases the reservation of one connection, as the average of all
   // reservations.
-  void EndBooking();
+  void ReleaseReservation();
   void OnRequestSize(uint64_t bytes);
   void Grow(Instant now);
 
   const LinkAdmissionOptions m_options;
   LinkBusyTime m_busy_in;
-  double m_request_bytes;  // average size of recent requests
-  double m_booked = 0;     // by connections without a request so far
-  size_t m_bookings = 0;
+  double m_request_bytes;       // average size of recent requests
+  double m_reserved_bytes = 0;  // by connections without a request so far
+  size_t m_reservations = 0;
   // Bytes that would be queued in front of the link if everything expected had
   // arrived and the link had carried data without a gap.
-  double m_on_its_way = 0;
-  double m_unread = 0;     // estimated, since OnBytes()
-  size_t m_connected = 0;  // since OnBytes()
+  double m_in_transit = 0;
+  double m_rejected_bytes = 0;  // estimated, since OnBytes()
+  size_t m_connected = 0;       // since OnBytes()
   Allowance m_allowance;
-  double m_held_out = 0;
+  double m_queued_outbound = 0;
   Instant m_since{};
-  Entrance m_entrance = Entrance::kTakes;
+  AdmissionDecision m_decision = AdmissionDecision::kAccept;
 };
 
 }  // namespace dotterelshift::gateway
--- a/include/dotterelshift/gateway/link_busy_time.h
+++ b/include/dotterelshift/gateway/link_busy_time.h
@@ -9,13 +9,13 @@
   double bytes_per_second = 0;  // capacity of the link; 0: not known
   // Fraction of the capacity at which the link counts as full; the rest allows
   // for errors in the estimate of packet headers and handshakes.
-  double full_part = 0.93;
+  double full_fraction = 0.93;
   // Shortfall against a full link, as transmission time, that counts as a gap.
   // After long iterations of the event loop, the time of the last two
   // iterations is used instead, up to the maximum, as received bytes may be
   // counted one iteration late.
   Duration gap = 30ms;
-  Duration most_gap = 200ms;
+  Duration max_gap = 200ms;
 };
 
 // Measures how long one direction of a link has been fully used without a gap.
@@ -38,9 +38,9 @@
  private:
   LinkBusyTimeOptions m_options;
   Instant m_since{};
-  Duration m_last_turn = 0s;
+  Duration m_last_iteration = 0s;
   Duration m_busy_for = 0s;
-  double m_missing = 0;  // bytes carried less than by a full link
+  double m_shortfall_bytes = 0;  // bytes carried less than by a full link
 };
 
 }  // namespace dotterelshift::gateway
--- a/include/dotterelshift/gateway/link_load_shedder.h
+++ b/include/dotterelshift/gateway/link_load_shedder.h
@@ -12,18 +12,18 @@
   // Shedding starts at this link utilization, averaged over `window`. The rest
   // of the capacity is for traffic that arrives before the load balancer reacts
   // and for established connections.
-  double full_part = 0.6;
+  double full_fraction = 0.6;
   Duration window = 1s;
-  // Shedding ends at this utilization or below, but not before `shed_least`:
+  // Shedding ends at this utilization or below, but not before `min_shed_time`:
   // the balancer checks health once a second and acts on the second failure.
-  double clear_part = 0.45;
-  Duration shed_least = 3s;
+  double clear_fraction = 0.45;
+  Duration min_shed_time = 3s;
   // Shedding ends after this time at any load, so that a caller that overloads
   // any entry it reaches does not take all entries out of rotation.
-  Duration shed_most = 6s;
+  Duration max_shed_time = 6s;
   // Once back in rotation, an entry is not taken out again by rejected
   // connections before this time has passed.
-  Duration stay_least = 2s;
+  Duration min_stay_time = 2s;
 };
 
 // Decides when an entry should direct new connections to other entries because
@@ -43,19 +43,19 @@
   void OnBytes(size_t bytes, Instant now);
   // A connection was rejected. Starts shedding, unless this entry has only just
   // come back into rotation.
-  void OnTurnedAway(Instant now);
+  void OnRejected(Instant now);
   // Whether new connections should go to other entries.
   bool IsShedding(Instant now);
 
   // Fraction of the link's capacity in use, averaged over `window`.
-  double FilledPart(Instant now) const;
+  double Utilization(Instant now) const;
 
  private:
   const LinkLoadShedderOptions m_options;
   double m_rate = 0;  // bytes per second, exponentially decaying average
   Instant m_since{};
   Instant m_shedding_since{};  // the epoch: not shedding
-  Instant m_back_since{};      // the epoch: has not shed yet
+  Instant m_restored_at{};     // the epoch: has not shed yet
 };
 
 }  // namespace dotterelshift::gateway
--- a/include/dotterelshift/gateway/link_wait.h
+++ b/include/dotterelshift/gateway/link_wait.h
@@ -21,12 +21,12 @@
   void OnBytes(uint64_t bytes, Instant now);
   Duration Wait(Instant now) const;
   // The longest wait after any write since the last call.
-  Duration TakeLongest();
+  Duration TakeMaxWait();
 
  private:
   const double m_bytes_per_second;
   Instant m_idle_at{};  // when the link will have carried all bytes
-  Duration m_longest{};
+  Duration m_max_wait{};
 };
 
 }  // namespace dotterelshift::gateway
--- a/include/dotterelshift/gateway/load_note_pacer.h
+++ b/include/dotterelshift/gateway/load_note_pacer.h
@@ -7,15 +7,15 @@
 
 namespace dotterelshift::gateway {
 
-struct LoadNotePacerOptions {
+struct LoadUpdatePacerOptions {
   double bytes_per_second = 0;  // capacity of the host's link; 0: not known
   // Fraction of the link that load updates may use.
   double part = 0.15;
   // Maximum delay of an update: other entries place requests by them.
-  Duration longest_gap = 100ms;
+  Duration max_send_gap = 100ms;
   // Size of a batch to one entry: its frame and packet, and each update.
   size_t frame_bytes = 120;
-  size_t note_bytes = 32;
+  size_t update_bytes = 32;
 };
 
 // Decides when load updates are sent to the other entries, as one batch.
@@ -25,22 +25,22 @@
 // the updates use more of a slow link than the requests, and delay endpoints
 // and callers. Updates are therefore batched at the rate that the link's
 // fraction allows. On a fast link or at a low rate they are sent immediately.
-class LoadNotePacer {
+class LoadUpdatePacer {
  public:
-  explicit LoadNotePacer(const LoadNotePacerOptions& options)
+  explicit LoadUpdatePacer(const LoadUpdatePacerOptions& options)
       : m_options(options) {}
 
   bool MaySend(Instant now) const { return now >= m_next; }
   // Earliest time at which a batch may be sent.
   Instant Next() const { return m_next; }
   // Maximum number of updates in a batch to this many entries, such that
-  // sending one batch per `longest_gap` stays within the link's fraction.
+  // sending one batch per `max_send_gap` stays within the link's fraction.
   size_t Most(size_t entries) const;
   // A batch of `notes` updates was sent to each of `entries` entries.
   void OnSent(size_t notes, size_t entries, Instant now);
 
  private:
-  const LoadNotePacerOptions m_options;
+  const LoadUpdatePacerOptions m_options;
   Instant m_next{};
 };
 
--- a/include/dotterelshift/gateway/retry_share.h
+++ b/include/dotterelshift/gateway/retry_share.h
@@ -17,7 +17,7 @@
   // Fraction of the allowance that is used. The rest is a margin: a restarted
   // entry does not know what its previous incarnation sent, and the windows of
   // the entries are not aligned.
-  double used_part = 0.8;
+  double used_fraction = 0.8;
 };
 
 // This entry's share of the retries that the fleet may send to a service. It is
--- a/include/dotterelshift/gateway/part_cache.h
+++ b/include/dotterelshift/gateway/segment_cache.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHIFT_GATEWAY_PART_CACHE_H_
-#define DOTTERELSHIFT_GATEWAY_PART_CACHE_H_
+#ifndef DOTTERELSHIFT_GATEWAY_SEGMENT_CACHE_H_
+#define DOTTERELSHIFT_GATEWAY_SEGMENT_CACHE_H_
 
 #include <cstdint>        // for uint64_t
 #include <list>           // for list
@@ -13,9 +13,9 @@
 
 // Estimated content of an engine's prompt cache, derived from the requests sent
 // there: prompt segments with least-recently-used eviction.
-class PartCache {
+class SegmentCache {
  public:
-  explicit PartCache(Tokens capacity = 0) : m_capacity(capacity) {}
+  explicit SegmentCache(Tokens capacity = 0) : m_capacity(capacity) {}
 
   void SetCapacity(Tokens capacity);
   // A segment of a prompt was prefilled or reused there now.
@@ -40,4 +40,4 @@
 
 }  // namespace dotterelshift::gateway
 
-#endif  // DOTTERELSHIFT_GATEWAY_PART_CACHE_H_
+#endif  // DOTTERELSHIFT_GATEWAY_SEGMENT_CACHE_H_
--- a/include/dotterelshift/gateway/send_pacer.h
+++ b/include/dotterelshift/gateway/send_pacer.h
@@ -13,13 +13,13 @@
   double bytes_per_second = 0;  // capacity of the link; 0: not known
   // Fraction of the link for counted bytes. The rest is for what is not
   // counted, such as handshakes, acknowledgements and packet headers.
-  double used_part = 0.9;
+  double used_fraction = 0.9;
   // Limit on the bytes in the system's send queue including the prompt to be
   // sent, as transmission time on the link.
-  Duration most_held = 60ms;
+  Duration max_queued = 60ms;
   // A prompt that exceeds the limit by itself is sent once no more than this is
   // queued before it.
-  Duration least_held = 20ms;
+  Duration min_queued = 20ms;
 };
 
 // Decides when a prompt may be sent, so that prompts queue in the entry and not
@@ -59,27 +59,27 @@
 
  private:
   // Consecutive bytes in the send queue.
-  struct Piece {
+  struct Chunk {
     AttemptId attempt = 0;  // 0: not a prompt
     double bytes = 0;
   };
 
   double Rate() const {
-    return m_options.bytes_per_second * m_options.used_part;
+    return m_options.bytes_per_second * m_options.used_fraction;
   }
   double BytesIn(Duration time) const;
   Duration TimeOf(double bytes) const;
   // Maximum bytes queued before a prompt of this size for it to be sent.
-  double Room(uint64_t bytes) const;
-  double HeldBytes(Instant now) const;
+  double MaxQueuedBefore(uint64_t bytes) const;
+  double QueuedBytes(Instant now) const;
   // Removes the bytes that the link has carried until now.
   void Carry(Instant now);
   void Add(AttemptId attempt, uint64_t bytes, Instant now);
 
   const SendPacerOptions m_options;
-  std::deque<Piece> m_pieces;  // front is sent first
+  std::deque<Chunk> m_chunks;  // front is sent first
   double m_bytes = 0;          // sum over all of them
-  Instant m_carried_to{};
+  Instant m_drained_until{};
 };
 
 }  // namespace dotterelshift::gateway
--- a/include/dotterelshift/gateway/spend_reports.h
+++ b/include/dotterelshift/gateway/spend_reports.h
@@ -27,14 +27,14 @@
   // flight. The report is in flight until OnAnswer() is called for its command.
   std::optional<wire::ReportHoldingsT> Take();
   // The same even while a report is in flight, for use at shutdown.
-  std::optional<wire::ReportHoldingsT> TakeLast();
+  std::optional<wire::ReportHoldingsT> TakeFinal();
   // Sets the command that carries the report taken last.
-  void OnSent(uint64_t sequence) { m_under_way = sequence; }
+  void OnSent(uint64_t sequence) { m_in_flight = sequence; }
   // Returns whether the answer was for the report in flight.
   bool OnAnswer(uint64_t sequence);
 
   // Number of lines in the next report.
-  size_t Gathered() const { return m_spends.size() + m_moves.size(); }
+  size_t PendingLines() const { return m_spends.size() + m_transfers.size(); }
 
  private:
   struct Spend {
@@ -43,8 +43,8 @@
     uint32_t requests = 0;
   };
   std::map<TeamId, Spend> m_spends;
-  std::map<std::pair<TeamId, HostRun>, Tokens> m_moves;
-  std::optional<uint64_t> m_under_way;
+  std::map<std::pair<TeamId, HostRun>, Tokens> m_transfers;
+  std::optional<uint64_t> m_in_flight;
 };
 
 }  // namespace dotterelshift::gateway
--- a/src/dotterelshift/admission/concurrency_limit_test.cc
+++ b/src/dotterelshift/admission/concurrency_limit_test.cc
@@ -23,10 +23,10 @@
 class ConcurrencyLimitTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ConcurrencyLimitTest);
   CPPUNIT_TEST(SettlesNearTheSlots);
-  CPPUNIT_TEST(DoesNotGrowUnused);
-  CPPUNIT_TEST(ShrinksOnRefusalsOnceAWhile);
+  CPPUNIT_TEST(DoesNotGrowWhileUnderused);
+  CPPUNIT_TEST(RefusalsWithinAnIntervalShrinkItOnce);
   CPPUNIT_TEST(RecoversFromAnEngineThatIsSlowerForGood);
-  CPPUNIT_TEST(OneLuckyAnswerIsNoMeasure);
+  CPPUNIT_TEST(OneFastResponseDoesNotResetTheBest);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -41,14 +41,14 @@
     }
   }
 
-  void DoesNotGrowUnused() {
+  void DoesNotGrowWhileUnderused() {
     ConcurrencyLimit limit(32);
     for (int i = 0; i < 10000; ++i)
       limit.OnFirstToken(30ms, Instant(i * 10ms), 3);
     CPPUNIT_ASSERT_EQUAL(32, limit.Current());
   }
 
-  void ShrinksOnRefusalsOnceAWhile() {
+  void RefusalsWithinAnIntervalShrinkItOnce() {
     ConcurrencyLimit limit(100);
     for (int i = 0; i < 50; ++i) limit.OnRefused(Instant(1s + i * 1ms));
     CPPUNIT_ASSERT_EQUAL(80, limit.Current());
@@ -67,7 +67,7 @@
     CPPUNIT_ASSERT(limit.Current() >= 32);
   }
 
-  void OneLuckyAnswerIsNoMeasure() {
+  void OneFastResponseDoesNotResetTheBest() {
     ConcurrencyLimit limit;
     Use(limit, 64, 20000);
     const int before = limit.Current();
--- a/src/dotterelshift/admission/fair_queue.cc
+++ b/src/dotterelshift/admission/fair_queue.cc
@@ -14,7 +14,7 @@
 // Teams may reach different endpoints, so one failure does not exclude the
 // others; but a call must stay short when all endpoints are busy. The next call
 // resumes behind the teams that were tried.
-constexpr int kMaxMisses = 8;
+constexpr int kMaxFailedStarts = 8;
 
 // Number of flows without requests that are kept before idle flows are removed.
 constexpr size_t kIdleFlows = 256;
@@ -162,7 +162,7 @@
     Turn after = begin;
     bool wrapped = begin == kNoTurn;
     int misses = 0;
-    while (misses < kMaxMisses) {
+    while (misses < kMaxFailedStarts) {
       Target& target = m_targets[name];
       const auto next = target.backlogged.upper_bound(after);
       if (next == target.backlogged.end()) {
@@ -181,7 +181,7 @@
         after = turn;
       }
     }
-    m_targets[name].resume_after = misses == kMaxMisses ? after : kNoTurn;
+    m_targets[name].resume_after = misses == kMaxFailedStarts ? after : kNoTurn;
   }
 
   // Returns a copy, as the callback may remove the request.
--- a/src/dotterelshift/admission/fair_queue_test.cc
+++ b/src/dotterelshift/admission/fair_queue_test.cc
@@ -28,16 +28,16 @@
 class FairQueueTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FairQueueTest);
   CPPUNIT_TEST(SharesFollowWeightAndCost);
-  CPPUNIT_TEST(FloodDoesNotHoldUpAnotherTeam);
-  CPPUNIT_TEST(IdleTeamGainsNothing);
+  CPPUNIT_TEST(FloodOfOneTeamDoesNotDelayAnother);
+  CPPUNIT_TEST(IdleTeamEarnsNoCredit);
   CPPUNIT_TEST(PriorityThenArrivalWithinATeam);
-  CPPUNIT_TEST(BoundsOfTeamAndQueue);
-  CPPUNIT_TEST(DeadlinesPass);
-  CPPUNIT_TEST(TeamThatCannotStartDoesNotHoldUpOthers);
-  CPPUNIT_TEST(ManyTeamsThatCannotStartAreTriedInTurn);
-  CPPUNIT_TEST(StartMayPushAndRemove);
-  CPPUNIT_TEST(CostAheadIsWhatIsServedBefore);
-  CPPUNIT_TEST(WaitFollowsTheRate);
+  CPPUNIT_TEST(EnforcesTeamAndQueueLimits);
+  CPPUNIT_TEST(ExpiredRequestsLeaveTheQueue);
+  CPPUNIT_TEST(BlockedTeamDoesNotDelayOthers);
+  CPPUNIT_TEST(ManyBlockedTeamsAreTriedRoundRobin);
+  CPPUNIT_TEST(CallbackMayPushAndRemove);
+  CPPUNIT_TEST(CostAheadMatchesTheCostServedBefore);
+  CPPUNIT_TEST(ExpectedWaitFollowsTheServiceRate);
   CPPUNIT_TEST(IdleTimeDoesNotSlowTheEstimate);
   CPPUNIT_TEST_SUITE_END();
 
@@ -59,14 +59,14 @@
     }
   }
 
-  void FloodDoesNotHoldUpAnotherTeam() {
+  void FloodOfOneTeamDoesNotDelayAnother() {
     for (RequestId i = 0; i < 200; ++i) m_queue->Push(Make(i, "flood"));
     Start(50);
     m_queue->Push(Make(1000, "quiet"));
     CPPUNIT_ASSERT_EQUAL(1, Start(2)["quiet"]);
   }
 
-  void IdleTeamGainsNothing() {
+  void IdleTeamEarnsNoCredit() {
     for (RequestId i = 0; i < 200; ++i) m_queue->Push(Make(i, "a"));
     Start(100);
     for (RequestId i = 1000; i < 1100; ++i) m_queue->Push(Make(i, "b"));
@@ -87,7 +87,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_queue->Size());
   }
 
-  void BoundsOfTeamAndQueue() {
+  void EnforcesTeamAndQueueLimits() {
     m_queue = MakeFairQueue({.max_waiting_per_team = 2, .max_waiting = 3});
     CPPUNIT_ASSERT(m_queue->Push(Make(1, "a")));
     CPPUNIT_ASSERT(m_queue->Push(Make(2, "a")));
@@ -101,7 +101,7 @@
     CPPUNIT_ASSERT(!m_queue->Push(Make(4, "d")));
   }
 
-  void DeadlinesPass() {
+  void ExpiredRequestsLeaveTheQueue() {
     Waiting early = Make(1, "a");
     early.deadline = At(1s);
     m_queue->Push(Make(2, "a"));
@@ -112,7 +112,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_queue->Size());
   }
 
-  void TeamThatCannotStartDoesNotHoldUpOthers() {
+  void BlockedTeamDoesNotDelayOthers() {
     m_queue->Push(Make(1, "stuck"));
     m_queue->Push(Make(2, "free"));
     int started = 0;
@@ -125,7 +125,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_queue->SizeOf("stuck"));
   }
 
-  void ManyTeamsThatCannotStartAreTriedInTurn() {
+  void ManyBlockedTeamsAreTriedRoundRobin() {
     for (RequestId i = 0; i < 100; ++i)
       m_queue->Push(Make(i, "stuck" + std::to_string(i)));
     m_queue->Push(Make(1000, "free"));
@@ -137,7 +137,7 @@
     }
   }
 
-  void StartMayPushAndRemove() {
+  void CallbackMayPushAndRemove() {
     for (RequestId i = 0; i < 10; ++i) m_queue->Push(Make(i, "a"));
     int offered = 0;
     const auto start = [&](const Waiting& waiting) {
@@ -154,7 +154,7 @@
     CPPUNIT_ASSERT_EQUAL(11, offered);
   }
 
-  void CostAheadIsWhatIsServedBefore() {
+  void CostAheadMatchesTheCostServedBefore() {
     for (RequestId i = 0; i < 100; ++i) m_queue->Push(Make(i, "flood"));
     for (RequestId i = 200; i < 205; ++i) m_queue->Push(Make(i, "a", 2));
     m_queue->Push(Make(300, "a", 2, 1, 9));
@@ -172,7 +172,7 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0, m_queue->CostAhead(Make(1, "new")), 2);
   }
 
-  void WaitFollowsTheRate() {
+  void ExpectedWaitFollowsTheServiceRate() {
     WaitEstimator estimator;
     CPPUNIT_ASSERT(estimator.Expected("m", 1000, At(0s)) == 0s);
     estimator.OnWaiting("m", true, At(0s));
--- a/src/dotterelshift/admission/wait_estimator.cc
+++ b/src/dotterelshift/admission/wait_estimator.cc
@@ -7,15 +7,15 @@
 namespace {
 
 // Time constant of the decay, in seconds during which requests were queued.
-constexpr double kMemorySeconds = 5;
+constexpr double kDecaySeconds = 5;
 
 // No estimate is made from less observed queueing time than this.
-constexpr double kLeastSeconds = 0.2;
+constexpr double kMinObservedSeconds = 0.2;
 
 // Fraction of the time left that the expected wait may take. The estimate is
 // rough, and a request that misses its deadline in the queue has waited for
 // nothing; docs/decisions/admission.md has the figures.
-constexpr double kShareOfTimeLeft = 0.8;
+constexpr double kTimeLeftFraction = 0.8;
 
 }  // namespace
 
@@ -39,9 +39,9 @@
   if (rate.waiting && now > rate.last) {
     const double passed =
         std::chrono::duration<double>(now - rate.last).count();
-    const double kept = std::exp(-passed / kMemorySeconds);
+    const double kept = std::exp(-passed / kDecaySeconds);
     rate.cost *= kept;
-    rate.seconds = rate.seconds * kept + kMemorySeconds * (1 - kept);
+    rate.seconds = rate.seconds * kept + kDecaySeconds * (1 - kept);
   }
   rate.last = now;
   return rate;
@@ -52,7 +52,7 @@
   const auto found = m_rates.find(target);
   if (found == m_rates.end()) return 0s;
   const Rate rate = At(found->second, now);
-  if (rate.seconds < kLeastSeconds || rate.cost <= 0) return 0s;
+  if (rate.seconds < kMinObservedSeconds || rate.cost <= 0) return 0s;
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(cost_ahead * rate.seconds / rate.cost));
 }
@@ -63,10 +63,10 @@
                                                  Instant now) const {
   const Duration expected = Expected(target, cost_ahead, now);
   if (expected <=
-      std::chrono::duration_cast<Duration>(time_left * kShareOfTimeLeft))
+      std::chrono::duration_cast<Duration>(time_left * kTimeLeftFraction))
     return std::nullopt;
   return expected -
-         std::chrono::duration_cast<Duration>(time_left * kShareOfTimeLeft);
+         std::chrono::duration_cast<Duration>(time_left * kTimeLeftFraction);
 }
 
 }  // namespace dotterelshift::admission
--- a/src/dotterelshift/app/gateway_entry.cc
+++ b/src/dotterelshift/app/gateway_entry.cc
@@ -211,7 +211,7 @@
                                 const wire::FrameT& frame) {
   const Instant now = m_loop.Now();
   if (const auto* notes = frame.body.AsLoadNotes()) {
-    m_load.OnNotes(peer.run.host, *notes, now);
+    m_load.OnLoadUpdates(peer.run.host, *notes, now);
   } else if (const auto* borrow = frame.body.AsTokenBorrow()) {
     wire::TokenLoanT loan;
     loan.budget = borrow->budget;
@@ -355,7 +355,7 @@
     ProposeSuspicion(suspicion);
   for (const auto& [host, frame] : m_link.TakeFrames(now))
     m_hub->Send(host, frame);
-  for (wire::TokenBorrowT& borrow : m_budgets.TakeBorrows())
+  for (wire::TokenBorrowT& borrow : m_budgets.TakeBorrowRequests())
     m_others->SendToSome(peers::MakeFrame(std::move(borrow)));
   m_others->SendNotes(m_load, now);
 }
--- a/src/dotterelshift/app/gateway_options.cc
+++ b/src/dotterelshift/app/gateway_options.cc
@@ -68,9 +68,9 @@
   return options;
 }
 
-gateway::LoadNotePacerOptions NotePacerOptionsOf(
+gateway::LoadUpdatePacerOptions NotePacerOptionsOf(
     const settings::Settings& settings) {
-  gateway::LoadNotePacerOptions options;
+  gateway::LoadUpdatePacerOptions options;
   options.bytes_per_second = settings.link_mbit * kBytesPerMegabit;
   return options;
 }
--- a/src/dotterelshift/app/gateway_options.h
+++ b/src/dotterelshift/app/gateway_options.h
@@ -8,7 +8,7 @@
 #include "dotterelshift/gateway/core.h"            // for CoreOptions
 #include "dotterelshift/gateway/link_admission.h"  // for LinkAdmissionOptions
 #include "dotterelshift/gateway/link_load_shedder.h"  // for LinkLoadShedderOptions
-#include "dotterelshift/gateway/load_note_pacer.h"  // for LoadNotePacerOptions
+#include "dotterelshift/gateway/load_note_pacer.h"  // for LoadUpdatePacerOptions
 #include "dotterelshift/gateway/send_pacer.h"       // for SendPacerOptions
 #include "dotterelshift/settings/settings.h"        // for Settings
 
@@ -26,7 +26,7 @@
     const settings::Settings& settings);
 gateway::LinkLoadShedderOptions LinkOptionsOf(
     const settings::Settings& settings);
-gateway::LoadNotePacerOptions NotePacerOptionsOf(
+gateway::LoadUpdatePacerOptions NotePacerOptionsOf(
     const settings::Settings& settings);
 gateway::SendPacerOptions SendPacerOptionsOf(
     const settings::Settings& settings);
--- a/src/dotterelshift/app/gateway_traffic.cc
+++ b/src/dotterelshift/app/gateway_traffic.cc
@@ -177,7 +177,7 @@
   Transfer& transfer = m_transfers[attempt];
   transfer.status = status;
   transfer.headers = headers;
-  m_answer_bytes += http::BytesOf(headers) + gateway::kPacketHeadBytes;
+  m_answer_bytes += http::BytesOf(headers) + gateway::kPacketHeaderBytes;
   m_core.OnHead(attempt, status, m_dialect.ReadResponseInfo(status, headers),
                 m_loop.Now());
   Pump();
@@ -185,7 +185,7 @@
 
 bool GatewayTraffic::OnChunk(AttemptId attempt, std::string_view piece) {
   // An event of a stream is a packet of its own.
-  m_answer_bytes += piece.size() + gateway::kPacketHeadBytes;
+  m_answer_bytes += piece.size() + gateway::kPacketHeaderBytes;
   const auto transfer = m_transfers.find(attempt);
   if (transfer == m_transfers.end()) return true;
   if (!transfer->second.streamed) transfer->second.body.append(piece);
--- a/src/dotterelshift/app/link_guard.cc
+++ b/src/dotterelshift/app/link_guard.cc
@@ -65,9 +65,9 @@
 
 void LinkGuard::SetOptions(http::ServerOptions& options) {
   if (m_admission.IsBounded()) {
-    const double requests = m_bytes_per_second *
-                            std::chrono::duration<double>(kBacklog).count() /
-                            gateway::LinkAdmissionOptions().first_request_bytes;
+    const double requests =
+        m_bytes_per_second * std::chrono::duration<double>(kBacklog).count() /
+        gateway::LinkAdmissionOptions().initial_request_bytes;
     options.listen_backlog = static_cast<int>(
         std::min<double>(options.listen_backlog, std::max(1.0, requests)));
   }
@@ -78,11 +78,11 @@
   options.connections.on_turned_away = [this] {
     ++m_summary.turned_away;
     ++m_turned_away;
-    m_admission.OnTurnedAway();
+    m_admission.OnRejected();
   };
   options.connections.on_unused_end = [this] {
     ++m_summary.unused_ends;
-    m_admission.OnUnusedEnd();
+    m_admission.OnClosedUnused();
   };
 }
 
@@ -90,7 +90,7 @@
   ++m_summary.requests;
   if (request.kept) {
     ++m_summary.kept_requests;
-    m_admission.OnKeptRequest(BytesOf(request));
+    m_admission.OnKeepAliveRequest(BytesOf(request));
   } else {
     m_admission.OnFirstRequest(BytesOf(request));
   }
@@ -128,27 +128,28 @@
   const gateway::LinkBytes fresh =
       traffic.endpoints - last.endpoints + peers + requests;
   m_admission.OnBytes(fresh, now);
-  m_admission.SetHeldOut(traffic.held_out);
+  m_admission.SetQueuedOutbound(traffic.held_out);
   m_summary.peer_bytes = m_summary.peer_bytes + peers;
   m_summary.bytes = m_summary.bytes + fresh;
   // What was handed over is counted among it, and waits since then.
   const uint64_t waits = std::exchange(m_handed_over, 0);
   m_wait_out.OnBytes(fresh.out - std::min(fresh.out, waits), now);
-  m_summary.longest_busy =
-      std::max(m_summary.longest_busy, m_admission.BusyFor());
+  m_summary.max_busy_time =
+      std::max(m_summary.max_busy_time, m_admission.BusyFor());
   m_shedder.OnBytes(std::max(fresh.in, fresh.out), now);
-  const gateway::Entrance entrance = m_admission.Decide(now);
-  if (entrance != gateway::Entrance::kTakes) m_last_paused = now;
+  const gateway::AdmissionDecision entrance = m_admission.Decide(now);
+  if (entrance != gateway::AdmissionDecision::kAccept) m_last_paused = now;
   if (entrance != m_entrance) Enter(entrance, server, now);
 }
 
-void LinkGuard::Enter(gateway::Entrance entrance, http::Server& server,
+void LinkGuard::Enter(gateway::AdmissionDecision entrance, http::Server& server,
                       Instant now) {
-  const bool listens = entrance != gateway::Entrance::kShut;
-  const bool listened = m_entrance != gateway::Entrance::kShut;
+  const bool listens = entrance != gateway::AdmissionDecision::kStopAccepting;
+  const bool listened =
+      m_entrance != gateway::AdmissionDecision::kStopAccepting;
   if (listens && !listened && !Listen(server, now)) return;
   if (!listens) StopListening(server, now);
-  server.TurnAway(entrance == gateway::Entrance::kTurnsAway);
+  server.TurnAway(entrance == gateway::AdmissionDecision::kReject);
   m_entrance = entrance;
 }
 
@@ -183,7 +184,8 @@
 void LinkGuard::Watch(http::Server& server, const peers::HubCounters& peers,
                       Instant now) {
   WatchShedding(now);
-  if (m_admission.DrainsQueue() && now - m_idle_closed >= kIdleClosedEvery) {
+  if (m_admission.IsDrainingQueue() &&
+      now - m_idle_closed >= kIdleClosedEvery) {
     m_idle_closed = now;
     server.CloseIdle();
   }
@@ -200,10 +202,11 @@
 }
 
 void LinkGuard::WatchShedding(Instant now) {
-  if (m_entrance != gateway::Entrance::kTakes) m_shedder.OnTurnedAway(now);
+  if (m_entrance != gateway::AdmissionDecision::kAccept)
+    m_shedder.OnRejected(now);
   if (m_shedder.IsShedding(now) == m_shedding) return;
   m_shedding = !m_shedding;
-  const double percent = 100 * m_shedder.FilledPart(now);
+  const double percent = 100 * m_shedder.Utilization(now);
   telemetry::Log(telemetry::LogLevel::kWarning,
                  m_shedding ? "link_full" : "link_clear",
                  {{"filled_percent", std::to_string(std::lround(percent))}});
@@ -211,7 +214,7 @@
 
 void LinkGuard::LogSummary(const http::Server& server,
                            const peers::HubCounters& peers, Instant now) {
-  if (m_entrance == gateway::Entrance::kShut)
+  if (m_entrance == gateway::AdmissionDecision::kStopAccepting)
     m_summary.shut += now - m_summary.shut_counted_to;
   Summary last = std::exchange(m_summary, {});
   m_summary.since = now;
@@ -222,8 +225,8 @@
                       std::chrono::duration<double>(now - last.since).count();
   const auto filled =
       static_cast<double>(std::max(last.bytes.in, last.bytes.out));
-  const Duration longest_wait = m_wait_out.TakeLongest();
-  const bool waited = longest_wait >= kWaitWorthALine;
+  const Duration max_wait = m_wait_out.TakeMaxWait();
+  const bool waited = max_wait >= kWaitWorthALine;
   if (most <= 0 || (filled < most * kWorthALine && !waited)) return;
   telemetry::Log(
       telemetry::LogLevel::kInfo, "link_load",
@@ -238,11 +241,11 @@
        {"accepted", std::to_string(last.accepted)},
        {"unused_ends", std::to_string(last.unused_ends)},
        {"turned_away", std::to_string(last.turned_away)},
-       {"busy_in_ms", Ms(last.longest_busy)},
+       {"busy_in_ms", Ms(last.max_busy_time)},
        {"shuts", std::to_string(last.shuts)},
        {"shut_ms", Ms(last.shut)},
        {"wait_out_ms", Ms(WaitOut(now))},
-       {"longest_wait_out_ms", Ms(longest_wait)},
+       {"longest_wait_out_ms", Ms(max_wait)},
        {"handed_over", std::to_string(last.handed_over)},
        {"behind_100ms", std::to_string(last.over_100ms)},
        {"behind_300ms", std::to_string(last.over_300ms)},
--- a/src/dotterelshift/app/link_guard.h
+++ b/src/dotterelshift/app/link_guard.h
@@ -79,7 +79,7 @@
     size_t shuts = 0;
     Duration shut{};
     Instant shut_counted_to{};  // while it goes on
-    Duration longest_busy{};    // without a gap on the way in
+    Duration max_busy_time{};   // without a gap on the way in
     // Requests handed over to endpoints, and before what waits.
     size_t handed_over = 0;
     size_t over_100ms = 0;
@@ -91,7 +91,8 @@
     Duration longest_control_trip{};
   };
 
-  void Enter(gateway::Entrance entrance, http::Server& server, Instant now);
+  void Enter(gateway::AdmissionDecision entrance, http::Server& server,
+             Instant now);
   void StopListening(http::Server& server, Instant now);
   bool Listen(http::Server& server, Instant now);
   void WatchShedding(Instant now);
@@ -107,7 +108,7 @@
   uint64_t m_received_bytes = 0;  // of callers' requests, until then
   Summary m_summary;
   std::map<wire::FrameBody, uint64_t> m_frame_bytes;  // at the last summary
-  gateway::Entrance m_entrance = gateway::Entrance::kTakes;
+  gateway::AdmissionDecision m_entrance = gateway::AdmissionDecision::kAccept;
   Instant m_last_paused{};  // a moment at which connections were not taken
   Instant m_idle_closed{};
   bool m_listen_failed = false;
--- a/src/dotterelshift/app/other_entries.cc
+++ b/src/dotterelshift/app/other_entries.cc
@@ -13,7 +13,7 @@
 
 // The timer only has the loop turn.
 OtherEntries::OtherEntries(loop::Loop& loop, peers::Hub& hub,
-                           const gateway::LoadNotePacerOptions& notes)
+                           const gateway::LoadUpdatePacerOptions& notes)
     : m_hub(hub), m_note_pacer(notes), m_note_timer(loop, [] {}) {}
 
 std::vector<HostId> OtherEntries::Hosts() const {
@@ -25,12 +25,12 @@
 }
 
 void OtherEntries::SendNotes(gateway::FleetLoad& load, Instant now) {
-  if (!load.HasNotes()) return;
+  if (!load.HasLoadUpdates()) return;
   if (!m_note_pacer.MaySend(now))
     return m_note_timer.ArmAt(m_note_pacer.Next());
   const std::vector<HostId> hosts = Hosts();
   wire::LoadNotesT body;
-  body.notes = load.TakeNotes(m_note_pacer.Most(hosts.size()));
+  body.notes = load.TakeLoadUpdates(m_note_pacer.Most(hosts.size()));
   m_note_pacer.OnSent(body.notes.size(), hosts.size(), now);
   if (body.notes.empty()) return;
   const wire::FrameT frame = peers::MakeFrame(std::move(body));
--- a/src/dotterelshift/app/other_entries.h
+++ b/src/dotterelshift/app/other_entries.h
@@ -5,7 +5,7 @@
 #include <vector>   // for vector
 
 #include "dotterelshift/gateway/fleet_load.h"       // for FleetLoad
-#include "dotterelshift/gateway/load_note_pacer.h"  // for LoadNotePacer
+#include "dotterelshift/gateway/load_note_pacer.h"  // for LoadUpdatePacer
 #include "dotterelshift/loop/loop.h"                // for Loop, Timer
 #include "dotterelshift/peers/hub.h"                // for Hub
 #include "dotterelshift/wire/frames_generated.h"    // for FrameT
@@ -17,7 +17,7 @@
  public:
   // `hub` outlives this.
   OtherEntries(loop::Loop& loop, peers::Hub& hub,
-               const gateway::LoadNotePacerOptions& notes);
+               const gateway::LoadUpdatePacerOptions& notes);
 
   // Tells all of them what has changed at endpoints, once there is room for it.
   // Called in each turn of the loop; has the loop turn again where it must
@@ -31,7 +31,7 @@
   std::vector<HostId> Hosts() const;
 
   peers::Hub& m_hub;
-  gateway::LoadNotePacer m_note_pacer;
+  gateway::LoadUpdatePacer m_note_pacer;
   loop::Timer m_note_timer;
   size_t m_next_asked = 0;
 };
--- a/src/dotterelshift/gateway/core.cc
+++ b/src/dotterelshift/gateway/core.cc
@@ -118,17 +118,17 @@
       active.info.prompt.prompt_tokens + active.info.prompt.output_limit;
   if (worst_case == 0 || active.team.empty()) return Place(active, now);
   switch (m_dependencies.budgets->Reserve(active.team, worst_case, now)) {
-    case BudgetAnswer::kReserved:
+    case BudgetDecision::kReserved:
       active.reserved = worst_case;
       active.has_reservation = true;
       return Place(active, now);
-    case BudgetAnswer::kNoTotal:
+    case BudgetDecision::kUnlimited:
       return Place(active, now);
-    case BudgetAnswer::kWait:
+    case BudgetDecision::kWait:
       break;
-    case BudgetAnswer::kKept:
+    case BudgetDecision::kKept:
       return FailForBudget(active, ErrorKind::kBudgetUnavailable, now);
-    case BudgetAnswer::kExhausted:
+    case BudgetDecision::kExhausted:
       return FailForBudget(active, ErrorKind::kBudgetExhausted, now);
   }
   if (active.stage != Stage::kWaitsForBudget || active.wait_until == Instant{})
--- a/src/dotterelshift/gateway/core_link_test.cc
+++ b/src/dotterelshift/gateway/core_link_test.cc
@@ -278,7 +278,7 @@
     PublishPlain(600ms);
     FillLink(100ms);
     SubmitRequest("/calm/", kPrompt, 1);
-    CPPUNIT_ASSERT(!m_load->HasNotes());
+    CPPUNIT_ASSERT(!m_load->HasLoadUpdates());
     for (const char* id : {"p1", "p3"}) Announce(id, "plain", true);
     m_core->OnEndpointsChanged(m_directory, m_now);
     Run(100ms);
@@ -449,7 +449,7 @@
   // Responses and frames occupy the link for this time.
   void FillLink(Duration time) {
     const double seconds = std::chrono::duration<double>(time).count();
-    const double fraction = SendPacerOptions().used_part;
+    const double fraction = SendPacerOptions().used_fraction;
     m_pacer->OnBytes(static_cast<uint64_t>(seconds * kSlowLink * fraction),
                      m_now);
   }
--- a/src/dotterelshift/gateway/core_placement.cc
+++ b/src/dotterelshift/gateway/core_placement.cc
@@ -28,7 +28,7 @@
                 RetryAfter(active, placement->wait, now), now);
   }
   if (!CanSendNow(active, now)) return WaitForLink(active, now);
-  m_dependencies.load->OnGiven(*placement, active.info.prompt, now);
+  m_dependencies.load->OnAssigned(*placement, active.info.prompt, now);
   active.attempt = {};
   active.attempt.placement = *placement;
   active.stage = Stage::kSlotReserved;
@@ -101,7 +101,7 @@
       {"team", active.team},
       {"queued_ms", Ms(now - active.arrived)},
       {"tokens_to_read",
-       std::to_string(active.attempt.placement.tokens_to_read)},
+       std::to_string(active.attempt.placement.tokens_to_prefill)},
       {"running_there", std::to_string(m_dependencies.load->Running(
                             active.attempt.placement.endpoint))},
       {"send", std::to_string(active.sends)},
--- a/src/dotterelshift/gateway/core_response.cc
+++ b/src/dotterelshift/gateway/core_response.cc
@@ -113,7 +113,7 @@
 }
 
 void CoreImpl::OnFirstEvent(ActiveRequest& active, Instant now) {
-  m_dependencies.load->OnRead(active.attempt.placement.endpoint, now);
+  m_dependencies.load->OnPrefilled(active.attempt.placement.endpoint, now);
   if (active.first_event == Instant{}) active.first_event = now;
   active.prefilled = true;
 }
@@ -149,7 +149,7 @@
       --active.runs;
     }
   } else {
-    m_dependencies.load->OnGood(endpoint);
+    m_dependencies.load->OnSucceeded(endpoint);
     ReportClearedContent(active);
   }
   if (active.stage == Stage::kAnswering) {
@@ -172,7 +172,7 @@
   if (active.attempt.response_info.address_reassigned)
     m_dependencies.load->OnUnreachable(endpoint, now);
   else
-    m_dependencies.load->OnFull(endpoint, now);
+    m_dependencies.load->OnOverloaded(endpoint, now);
   Log("endpoint_refused", active,
       {{"endpoint", active.attempt.endpoint.id},
        {"status", std::to_string(active.attempt.status)}});
--- a/src/dotterelshift/gateway/core_test.cc
+++ b/src/dotterelshift/gateway/core_test.cc
@@ -310,7 +310,7 @@
     Publish(1'000'000);
     Request("/stream/", 100);
     CPPUNIT_ASSERT(m_last.empty());
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, m_budgets->TakeBorrows().size());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, m_budgets->TakeBorrowRequests().size());
     wire::TokenLoanT loan;
     loan.budget = "team";
     loan.tokens = 200;
--- a/src/dotterelshift/gateway/dead_fleet_test.cc
+++ b/src/dotterelshift/gateway/dead_fleet_test.cc
@@ -213,20 +213,20 @@
 
   void ServeWaiting(Entry& entry) {
     std::erase_if(entry.waiting, [&](Request& request) {
-      const BudgetAnswer answer =
+      const BudgetDecision answer =
           entry.grants->Reserve(request.team, request.worst_case, m_now);
-      if (answer == BudgetAnswer::kReserved) {
+      if (answer == BudgetDecision::kReserved) {
         request.ends =
             m_now + std::chrono::milliseconds(200 + m_random() % 800);
         entry.running.push_back(request);
         return true;
       }
-      return answer != BudgetAnswer::kWait ||
+      return answer != BudgetDecision::kWait ||
              m_now - request.since > kTokenWait;
     });
     for (wire::CommandT& command : entry.grants->TakeCommands(m_now))
       Propose(entry, std::move(command));
-    for (const wire::TokenBorrowT& borrow : entry.grants->TakeBorrows())
+    for (const wire::TokenBorrowT& borrow : entry.grants->TakeBorrowRequests())
       for (int i = 0; i < kLenders; ++i) Borrow(entry, borrow);
   }
 
--- a/src/dotterelshift/gateway/fleet_load.cc
+++ b/src/dotterelshift/gateway/fleet_load.cc
@@ -66,7 +66,8 @@
     const auto engine = m_engines.find(service);
     if (engine == m_engines.end()) continue;
     const auto tokens = static_cast<double>(engine->second.cache_tokens);
-    load.cache.SetCapacity(static_cast<Tokens>(tokens * m_options.cache_part));
+    load.cache.SetCapacity(
+        static_cast<Tokens>(tokens * m_options.cache_fraction));
   }
 }
 
@@ -78,11 +79,12 @@
                              const Prompt& prompt, Instant now) const {
   Placement placement;
   placement.endpoint = key;
-  placement.tokens_to_read =
+  placement.tokens_to_prefill =
       std::max<Tokens>(0, prompt.prompt_tokens - load.cache.Held(prompt.parts));
-  placement.wait = std::max<Duration>(0s, load.read_until - now);
-  placement.read = Milliseconds(static_cast<double>(placement.tokens_to_read) /
-                                m_options.read_tokens_per_ms);
+  placement.wait = std::max<Duration>(0s, load.prefill_until - now);
+  placement.read =
+      Milliseconds(static_cast<double>(placement.tokens_to_prefill) /
+                   m_options.prefill_tokens_per_ms);
   return placement;
 }
 
@@ -94,20 +96,21 @@
   constexpr double kNoSlotMs = 200;
   if (running >= load.slots) cost += kNoSlotMs * (running - load.slots + 1);
   if (load.contact.data_centre != m_options.data_centre)
-    cost += m_sees_all ? m_options.other_centre_ms : m_options.unseen_centre_ms;
+    cost += m_observes_all ? m_options.other_data_centre_ms
+                           : m_options.unobserved_data_centre_ms;
   return cost;
 }
 
 std::optional<Placement> FleetLoad::Choose(
     const ServiceName& service, const Prompt& prompt,
-    const std::vector<EndpointKey>& not_these, Instant now) const {
+    const std::vector<EndpointKey>& excluded, Instant now) const {
   const auto keys = m_by_service.find(service);
   if (keys == m_by_service.end()) return std::nullopt;
   std::optional<Placement> best;
   double best_cost = 0;
   for (const EndpointKey key : keys->second) {
     const Load& load = m_loads.at(key);
-    if (!MayUse(load, now) || Contains(not_these, key)) continue;
+    if (!MayUse(load, now) || Contains(excluded, key)) continue;
     const Placement placement = PlaceAt(key, load, prompt, now);
     const double cost = CostOf(load, placement);
     if (best && cost >= best_cost) continue;
@@ -125,42 +128,42 @@
       [&](EndpointKey key) { return MayUse(m_loads.at(key), now); });
 }
 
-void FleetLoad::Book(Load& load, Tokens tokens, Instant now) {
-  load.read_until =
-      std::max(load.read_until, now) +
-      Milliseconds(static_cast<double>(tokens) / m_options.read_tokens_per_ms);
+void FleetLoad::QueuePrefill(Load& load, Tokens tokens, Instant now) {
+  load.prefill_until = std::max(load.prefill_until, now) +
+                       Milliseconds(static_cast<double>(tokens) /
+                                    m_options.prefill_tokens_per_ms);
 }
 
-void FleetLoad::OnGiven(const Placement& placement, const Prompt& prompt,
-                        Instant now) {
+void FleetLoad::OnAssigned(const Placement& placement, const Prompt& prompt,
+                           Instant now) {
   const auto found = m_loads.find(placement.endpoint);
   if (found == m_loads.end()) return;
   Load& load = found->second;
   ++load.own;
-  Book(load, placement.tokens_to_read, now);
-  NoteChange(placement.endpoint, placement.tokens_to_read, 1);
+  QueuePrefill(load, placement.tokens_to_prefill, now);
+  RecordChange(placement.endpoint, placement.tokens_to_prefill, 1);
   for (const PromptSegment& part : prompt.parts) {
     load.cache.Touch(part.hash, part.tokens);
-    m_part_notes.emplace_back(placement.endpoint, part.hash, 0,
-                              static_cast<int32_t>(part.tokens), 0);
+    m_segment_updates.emplace_back(placement.endpoint, part.hash, 0,
+                                   static_cast<int32_t>(part.tokens), 0);
   }
 }
 
-void FleetLoad::OnRead(EndpointKey endpoint, Instant now) {
+void FleetLoad::OnPrefilled(EndpointKey endpoint, Instant now) {
   const auto found = m_loads.find(endpoint);
   if (found == m_loads.end()) return;
   // It is the only request there, so no other prompt is queued.
-  if (RunningAt(found->second) == 1) found->second.read_until = now;
+  if (RunningAt(found->second) == 1) found->second.prefill_until = now;
 }
 
 void FleetLoad::OnEnded(EndpointKey endpoint) {
   const auto found = m_loads.find(endpoint);
   if (found == m_loads.end() || found->second.own == 0) return;
   --found->second.own;
-  NoteChange(endpoint, 0, -1);
+  RecordChange(endpoint, 0, -1);
 }
 
-void FleetLoad::OnGood(EndpointKey endpoint) {
+void FleetLoad::OnSucceeded(EndpointKey endpoint) {
   const auto found = m_loads.find(endpoint);
   if (found != m_loads.end()) found->second.failures = 0;
 }
@@ -170,38 +173,39 @@
   if (found == m_loads.end()) return;
   Load& load = found->second;
   ++load.failures;
-  if (load.failures < m_options.failures_borne) return;
-  const int doublings = std::min(load.failures - m_options.failures_borne, 8);
-  load.avoid_until = now + std::min(m_options.avoid_least * (1 << doublings),
-                                    m_options.avoid_most);
+  if (load.failures < m_options.failure_threshold) return;
+  const int doublings =
+      std::min(load.failures - m_options.failure_threshold, 8);
+  load.avoid_until = now + std::min(m_options.min_avoid_time * (1 << doublings),
+                                    m_options.max_avoid_time);
 }
 
 void FleetLoad::OnUnreachable(EndpointKey endpoint, Instant now) {
   const auto found = m_loads.find(endpoint);
   if (found == m_loads.end()) return;
   Load& load = found->second;
-  load.failures = std::max(load.failures, m_options.failures_borne - 1);
+  load.failures = std::max(load.failures, m_options.failure_threshold - 1);
   load.cache.Clear();
   OnFailed(endpoint, now);
 }
 
-void FleetLoad::OnFull(EndpointKey endpoint, Instant now) {
+void FleetLoad::OnOverloaded(EndpointKey endpoint, Instant now) {
   const auto found = m_loads.find(endpoint);
   if (found != m_loads.end())
     found->second.full_until = now + m_options.full_for;
 }
 
-void FleetLoad::NoteChange(EndpointKey endpoint, Tokens prompt_tokens,
-                           int requests) {
+void FleetLoad::RecordChange(EndpointKey endpoint, Tokens prompt_tokens,
+                             int requests) {
   Change& change = m_changes[endpoint];
   change.prompt_tokens += static_cast<int32_t>(prompt_tokens);
   change.requests += requests;
 }
 
 // An endpoint's sums are sent with the first update for one of its segments.
-std::vector<wire::LoadNote> FleetLoad::TakeNotes(size_t most) {
+std::vector<wire::LoadNote> FleetLoad::TakeLoadUpdates(size_t most) {
   std::map<EndpointKey, Change> changes = std::exchange(m_changes, {});
-  std::vector<wire::LoadNote> notes = std::exchange(m_part_notes, {});
+  std::vector<wire::LoadNote> notes = std::exchange(m_segment_updates, {});
   const size_t parts = most - std::min(most, changes.size());
   if (notes.size() > parts)
     notes.erase(notes.begin(), notes.end() - static_cast<ptrdiff_t>(parts));
@@ -227,9 +231,9 @@
   load.others = static_cast<uint32_t>(std::max(0, others));
 }
 
-void FleetLoad::OnNotes(const HostId& from, const wire::LoadNotesT& notes,
-                        Instant now) {
-  auto& of_entry = m_of_entries[from];
+void FleetLoad::OnLoadUpdates(const HostId& from, const wire::LoadNotesT& notes,
+                              Instant now) {
+  auto& of_entry = m_requests_by_entry[from];
   for (const wire::LoadNote& note : notes.notes) {
     const auto found = m_loads.find(note.endpoint());
     if (found == m_loads.end()) continue;
@@ -238,13 +242,13 @@
     const int change = std::max(note.requests(), -count);
     count += change;
     ChangeOthers(load, change);
-    if (note.prompt_tokens() > 0) Book(load, note.prompt_tokens(), now);
+    if (note.prompt_tokens() > 0) QueuePrefill(load, note.prompt_tokens(), now);
     if (note.part() != 0) load.cache.Touch(note.part(), note.part_tokens());
   }
 }
 
 void FleetLoad::OnEntryGone(const HostId& entry) {
-  const auto node = m_of_entries.extract(entry);
+  const auto node = m_requests_by_entry.extract(entry);
   if (node.empty()) return;
   for (const auto& [endpoint, count] : node.mapped()) {
     const auto found = m_loads.find(endpoint);
--- a/src/dotterelshift/gateway/fleet_load_test.cc
+++ b/src/dotterelshift/gateway/fleet_load_test.cc
@@ -13,12 +13,12 @@
 
 class FleetLoadTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FleetLoadTest);
-  CPPUNIT_TEST(LongPromptsBookOneAfterTheOther);
-  CPPUNIT_TEST(NotesOfOtherEntriesCountAsOwnWork);
-  CPPUNIT_TEST(SharedPartsDrawRequestsUntilTheirOwnerIsBusy);
-  CPPUNIT_TEST(WhatAnEntryHadUnderWayEndsWithIt);
-  CPPUNIT_TEST(NotesThatGatherAreSummedAndPartsLeftOutFirst);
-  CPPUNIT_TEST(FailuresInARowAreAvoidedForAWhile);
+  CPPUNIT_TEST(LongPromptsAreQueuedSequentially);
+  CPPUNIT_TEST(UpdatesOfOtherEntriesCountAsLoad);
+  CPPUNIT_TEST(CachedSegmentsAttractRequestsUntilTheirEndpointIsBusy);
+  CPPUNIT_TEST(RequestsOfALostEntryAreRemoved);
+  CPPUNIT_TEST(BatchedUpdatesAreSummedAndSegmentsDroppedFirst);
+  CPPUNIT_TEST(RepeatedlyFailingEndpointIsAvoidedForAWhile);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -58,13 +58,13 @@
   Placement Give(const Prompt& prompt) {
     const auto placement = m_load->Choose("llm", prompt, {}, m_now);
     CPPUNIT_ASSERT(placement.has_value());
-    m_load->OnGiven(*placement, prompt, m_now);
+    m_load->OnAssigned(*placement, prompt, m_now);
     return *placement;
   }
 
   // Three long prompts arrive at once for two endpoints; no two are prefilled
   // at the same time.
-  void LongPromptsBookOneAfterTheOther() {
+  void LongPromptsAreQueuedSequentially() {
     const Placement first = Give(PromptOf(kLong));
     const Placement second = Give(PromptOf(kLong));
     const Placement third = Give(PromptOf(kLong));
@@ -73,10 +73,10 @@
     CPPUNIT_ASSERT(third.wait == first.read);
   }
 
-  void NotesOfOtherEntriesCountAsOwnWork() {
+  void UpdatesOfOtherEntriesCountAsLoad() {
     wire::LoadNotesT notes;
     notes.notes.emplace_back(KeyOf("a"), 7, kLong, kLong, 1);
-    m_load->OnNotes("other", notes, m_now);
+    m_load->OnLoadUpdates("other", notes, m_now);
     CPPUNIT_ASSERT_EQUAL(uint32_t{1}, m_load->Running(KeyOf("a")));
     CPPUNIT_ASSERT_EQUAL(KeyOf("b"), Give(PromptOf(kLong)).endpoint);
     // The segment that the other entry had prefilled there is not prefilled
@@ -84,10 +84,10 @@
     m_now += 1s;
     const Placement placement = Give(PromptOf(kLong, 7));
     CPPUNIT_ASSERT_EQUAL(KeyOf("a"), placement.endpoint);
-    CPPUNIT_ASSERT_EQUAL(Tokens{0}, placement.tokens_to_read);
+    CPPUNIT_ASSERT_EQUAL(Tokens{0}, placement.tokens_to_prefill);
   }
 
-  void SharedPartsDrawRequestsUntilTheirOwnerIsBusy() {
+  void CachedSegmentsAttractRequestsUntilTheirEndpointIsBusy() {
     const EndpointKey owner = Give(PromptOf(kLong, 9)).endpoint;
     m_now += 1s;
     CPPUNIT_ASSERT_EQUAL(owner, Give(PromptOf(kLong, 9)).endpoint);
@@ -95,32 +95,32 @@
     // the slower choice.
     wire::LoadNotesT notes;
     for (int i = 0; i < 3; ++i) notes.notes.emplace_back(owner, 0, kLong, 0, 1);
-    m_load->OnNotes("other", notes, m_now);
+    m_load->OnLoadUpdates("other", notes, m_now);
     CPPUNIT_ASSERT(owner != Give(PromptOf(kLong, 9)).endpoint);
   }
 
-  void WhatAnEntryHadUnderWayEndsWithIt() {
+  void RequestsOfALostEntryAreRemoved() {
     wire::LoadNotesT notes;
     notes.notes.emplace_back(KeyOf("a"), 0, 0, 0, 1);
     notes.notes.emplace_back(KeyOf("a"), 0, 0, 0, 1);
-    m_load->OnNotes("other", notes, m_now);
+    m_load->OnLoadUpdates("other", notes, m_now);
     m_load->OnEntryGone("other");
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, m_load->Running(KeyOf("a")));
     // A late end of such a request is not subtracted from other requests.
     wire::LoadNotesT late;
     late.notes.emplace_back(KeyOf("a"), 0, 0, 0, -1);
-    m_load->OnNotes("other", late, m_now);
+    m_load->OnLoadUpdates("other", late, m_now);
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, m_load->Running(KeyOf("a")));
   }
 
   // Guards against request counts at other entries that stay wrong because
   // updates were dropped from a batch.
-  void NotesThatGatherAreSummedAndPartsLeftOutFirst() {
+  void BatchedUpdatesAreSummedAndSegmentsDroppedFirst() {
     std::vector<EndpointKey> given;
     for (uint64_t part = 1; part <= 6; ++part)
       given.push_back(Give(PromptOf(kLong, part)).endpoint);
     m_load->OnEnded(given.front());
-    const std::vector<wire::LoadNote> notes = m_load->TakeNotes(3);
+    const std::vector<wire::LoadNote> notes = m_load->TakeLoadUpdates(3);
     CPPUNIT_ASSERT(notes.size() <= 3);
     int requests = 0;
     Tokens tokens = 0;
@@ -130,19 +130,19 @@
     }
     CPPUNIT_ASSERT_EQUAL(5, requests);
     CPPUNIT_ASSERT_EQUAL(6 * kLong, tokens);
-    CPPUNIT_ASSERT(m_load->TakeNotes().empty());
+    CPPUNIT_ASSERT(m_load->TakeLoadUpdates().empty());
     // A request that began and ended since the last batch needs no update.
     m_load->OnEnded(Give(PromptOf(0)).endpoint);
-    CPPUNIT_ASSERT(m_load->TakeNotes().empty());
+    CPPUNIT_ASSERT(m_load->TakeLoadUpdates().empty());
   }
 
-  void FailuresInARowAreAvoidedForAWhile() {
+  void RepeatedlyFailingEndpointIsAvoidedForAWhile() {
     const EndpointKey bad = KeyOf("a");
     m_load->OnFailed(bad, m_now);
     m_load->OnFailed(bad, m_now);
     for (int i = 0; i < 5; ++i)
       CPPUNIT_ASSERT_EQUAL(KeyOf("b"), Give(PromptOf(100)).endpoint);
-    m_now += FleetLoadOptions().avoid_most;
+    m_now += FleetLoadOptions().max_avoid_time;
     CPPUNIT_ASSERT_EQUAL(bad, Give(PromptOf(100)).endpoint);
     m_load->OnUnreachable(KeyOf("a"), m_now);
     m_load->OnUnreachable(KeyOf("b"), m_now);
--- a/src/dotterelshift/gateway/held_grants.cc
+++ b/src/dotterelshift/gateway/held_grants.cc
@@ -36,7 +36,7 @@
     // The remainder of a changed total is not known yet.
     if (total != *team.total) m_remainders.erase(team.team);
     total = *team.total;
-    if (!m_handles.contains(team.team)) m_unknown[team.team] = {};
+    if (!m_handles.contains(team.team)) m_demand_unknown[team.team] = {};
     const budget::BudgetHandle handle =
         m_ledger->Open(team.team, PolicyOf(team.team));
     const bool fresh = m_handles.emplace(team.team, handle).second;
@@ -49,8 +49,8 @@
   policy.policy = wire::TeamPolicy::RefusalsFirst;
   policy.way = wire::GrantWay::Unwitnessed;
   policy.partition = m_options.partition;
-  if (!m_unknown.contains(team)) return policy;
-  const double part = m_options.first_part /
+  if (!m_demand_unknown.contains(team)) return policy;
+  const double part = m_options.initial_fraction /
                       static_cast<double>(std::max<size_t>(1, m_entries));
   policy.least =
       static_cast<Tokens>(static_cast<double>(m_totals.at(team)) * part);
@@ -59,60 +59,60 @@
 
 // Teams whose demand is known now hold what their demand requires, without the
 // initial minimum.
-void HeldGrants::LearnDemand(Instant now) {
-  for (auto it = m_unknown.begin(); it != m_unknown.end();) {
-    const bool known = it->second != Instant{} &&
-                       now - it->second >= m_options.demand_known_after;
+void HeldGrants::ApplyKnownDemand(Instant now) {
+  for (auto it = m_demand_unknown.begin(); it != m_demand_unknown.end();) {
+    const bool known =
+        it->second != Instant{} && now - it->second >= m_options.demand_warmup;
     if (!known) {
       ++it;
       continue;
     }
     const TeamId team = it->first;
-    it = m_unknown.erase(it);
+    it = m_demand_unknown.erase(it);
     if (m_handles.contains(team)) m_ledger->Open(team, PolicyOf(team));
   }
 }
 
-BudgetAnswer HeldGrants::Reserve(const TeamId& team, Tokens worst_case,
-                                 Instant now) {
+BudgetDecision HeldGrants::Reserve(const TeamId& team, Tokens worst_case,
+                                   Instant now) {
   const auto handle = m_handles.find(team);
-  if (handle == m_handles.end()) return BudgetAnswer::kNoTotal;
-  const auto unknown = m_unknown.find(team);
-  if (unknown != m_unknown.end() && unknown->second == Instant{})
+  if (handle == m_handles.end()) return BudgetDecision::kUnlimited;
+  const auto unknown = m_demand_unknown.find(team);
+  if (unknown != m_demand_unknown.end() && unknown->second == Instant{})
     unknown->second = now;
-  if (const auto kept = KeptAnswer(team, handle->second, worst_case, now))
+  if (const auto kept = ThrottleDecision(team, handle->second, worst_case, now))
     return *kept;
   switch (m_ledger->Reserve(handle->second, worst_case, now)) {
     case budget::ReserveResult::kReservedStanding:
     case budget::ReserveResult::kReserved:
       if (const auto trickle = m_trickles.find(team);
           trickle != m_trickles.end())
-        trickle->second.gathered -= static_cast<double>(worst_case);
-      return BudgetAnswer::kReserved;
+        trickle->second.accumulated -= static_cast<double>(worst_case);
+      return BudgetDecision::kReserved;
     case budget::ReserveResult::kWait:
     case budget::ReserveResult::kExhausted:
       break;
   }
-  if (IsBeyondTotal(team, handle->second, worst_case, now))
-    return BudgetAnswer::kExhausted;
-  AskToBorrow(team, handle->second, worst_case, now);
-  return BudgetAnswer::kWait;
+  if (ExceedsTotal(team, handle->second, worst_case, now))
+    return BudgetDecision::kExhausted;
+  QueueBorrowRequest(team, handle->second, worst_case, now);
+  return BudgetDecision::kWait;
 }
 
 // Result of a reservation while only the last fraction of a total is left; none
 // if the request may have its tokens. A request larger than the bucket can
 // never be served, so its caller is not told to retry.
-std::optional<BudgetAnswer> HeldGrants::KeptAnswer(const TeamId& team,
-                                                   budget::BudgetHandle handle,
-                                                   Tokens worst_case,
-                                                   Instant now) {
+std::optional<BudgetDecision> HeldGrants::ThrottleDecision(
+    const TeamId& team, budget::BudgetHandle handle, Tokens worst_case,
+    Instant now) {
   const auto remainder = m_remainders.find(team);
-  const bool known = remainder != m_remainders.end() &&
-                     now - remainder->second.heard < m_options.trickle_memory;
+  const bool known =
+      remainder != m_remainders.end() &&
+      now - remainder->second.received_at < m_options.trickle_max_age;
   const Tokens left =
       known ? remainder->second.tokens + m_ledger->Held(handle) : 0;
   const double below =
-      static_cast<double>(m_totals[team]) * m_options.trickle_below;
+      static_cast<double>(m_totals[team]) * m_options.trickle_threshold;
   if (!known || static_cast<double>(left) >= below) {
     m_trickles.erase(team);
     return std::nullopt;
@@ -120,25 +120,26 @@
   const auto seconds = [](Duration duration) {
     return std::chrono::duration<double>(duration).count();
   };
-  const double rate = below / seconds(m_options.trickle_over) /
+  const double rate = below / seconds(m_options.trickle_duration) /
                       static_cast<double>(std::max<size_t>(1, m_entries));
   const auto [trickle, fresh] = m_trickles.try_emplace(team);
   if (fresh) trickle->second.since = now;
-  const double gathered =
-      trickle->second.gathered + rate * seconds(now - trickle->second.since);
+  const double accumulated =
+      trickle->second.accumulated + rate * seconds(now - trickle->second.since);
   trickle->second.since = now;
-  const double most = rate * seconds(m_options.trickle_gathers);
-  trickle->second.gathered = std::min(gathered, most);
+  const double most = rate * seconds(m_options.trickle_burst);
+  trickle->second.accumulated = std::min(accumulated, most);
   const auto needed = static_cast<double>(worst_case);
-  if (needed <= trickle->second.gathered) return std::nullopt;
-  return needed > most ? BudgetAnswer::kExhausted : BudgetAnswer::kKept;
+  if (needed <= trickle->second.accumulated) return std::nullopt;
+  return needed > most ? BudgetDecision::kExhausted : BudgetDecision::kKept;
 }
 
-bool HeldGrants::IsBeyondTotal(const TeamId& team, budget::BudgetHandle handle,
-                               Tokens worst_case, Instant now) const {
+bool HeldGrants::ExceedsTotal(const TeamId& team, budget::BudgetHandle handle,
+                              Tokens worst_case, Instant now) const {
   const auto remainder = m_remainders.find(team);
   if (remainder == m_remainders.end()) return false;
-  const bool fresh = now - remainder->second.heard < m_options.remainder_memory;
+  const bool fresh =
+      now - remainder->second.received_at < m_options.remainder_max_age;
   return fresh &&
          remainder->second.tokens + m_ledger->Held(handle) < worst_case;
 }
@@ -147,19 +148,21 @@
                                Instant now) const {
   const auto remainder = m_remainders.find(team);
   if (!m_connected || remainder == m_remainders.end()) return false;
-  const bool fresh = now - remainder->second.heard < m_options.trickle_memory;
+  const bool fresh =
+      now - remainder->second.received_at < m_options.trickle_max_age;
   return fresh &&
          remainder->second.tokens / m_options.likely_requests >= worst_case;
 }
 
-void HeldGrants::AskToBorrow(const TeamId& team, budget::BudgetHandle handle,
-                             Tokens worst_case, Instant now) {
+void HeldGrants::QueueBorrowRequest(const TeamId& team,
+                                    budget::BudgetHandle handle,
+                                    Tokens worst_case, Instant now) {
   Instant& last = m_last_borrow[team];
   if (last != Instant{} && now - last < m_options.borrow_every) return;
   last = now;
   const Tokens idle = m_ledger->Held(handle) - m_ledger->Reserved(handle);
   const Tokens demand = m_ledger->DemandPerSecond(handle, now);
-  wire::TokenBorrowT& borrow = m_borrows.emplace_back();
+  wire::TokenBorrowT& borrow = m_borrow_requests.emplace_back();
   borrow.budget = team;
   borrow.minimum = worst_case - idle;
   borrow.demand_per_second = demand;
@@ -208,7 +211,7 @@
   const auto remainder = m_remainders.find(team);
   if (remainder == m_remainders.end()) return position;
   position.left_elsewhere = remainder->second.tokens;
-  position.left_age = now - remainder->second.heard;
+  position.left_age = now - remainder->second.received_at;
   return position;
 }
 
@@ -232,7 +235,7 @@
 
 bool HeldGrants::OnAnswer(const wire::CommandAnswerT& answer, Instant now) {
   if (answer.id != nullptr) {
-    m_asks.erase(answer.id->sequence);
+    m_pending_requests.erase(answer.id->sequence);
     m_reports.OnAnswer(answer.id->sequence);
   }
   const wire::GrantAnswerT* grant = answer.body.AsGrantAnswer();
@@ -249,26 +252,27 @@
   if (now >= m_next_report) {
     m_next_report = now + m_options.report_every;
     AddReport(m_reports.Take(), &commands);
-    LearnDemand(now);
+    ApplyKnownDemand(now);
   }
   for (const budget::GrantWish& wish : m_ledger->TakeWishes(now)) {
     // The link to control resends a request under its first id; a second
     // request would be granted in addition.
     const bool doubled = wish.kind == budget::GrantWish::Kind::kAsk &&
-                         IsAsking(m_ledger->IdOf(wish.budget));
+                         HasPendingRequest(m_ledger->IdOf(wish.budget));
     if (!doubled) commands.push_back(CommandOf(wish));
   }
   return commands;
 }
 
-bool HeldGrants::IsAsking(const TeamId& team) const {
-  return std::any_of(m_asks.begin(), m_asks.end(),
-                     [&](const auto& ask) { return ask.second == team; });
+bool HeldGrants::HasPendingRequest(const TeamId& team) const {
+  return std::any_of(
+      m_pending_requests.begin(), m_pending_requests.end(),
+      [&](const auto& request) { return request.second == team; });
 }
 
 std::vector<wire::CommandT> HeldGrants::TakeLastCommands(Instant now) {
   std::vector<wire::CommandT> commands;
-  AddReport(m_reports.TakeLast(), &commands);
+  AddReport(m_reports.TakeFinal(), &commands);
   for (const budget::GrantWish& wish : m_ledger->ReturnAll(now))
     commands.push_back(CommandOf(wish));
   return commands;
@@ -296,7 +300,7 @@
   body.minimum = wish.minimum;
   body.demand_per_second = wish.demand_per_second;
   wire::CommandT command = MakeCommand(std::move(body));
-  m_asks[command.id->sequence] = id;
+  m_pending_requests[command.id->sequence] = id;
   return command;
 }
 
--- a/src/dotterelshift/gateway/held_grants_test.cc
+++ b/src/dotterelshift/gateway/held_grants_test.cc
@@ -7,13 +7,13 @@
 
 class HeldGrantsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HeldGrantsTest);
-  CPPUNIT_TEST(EachBudgetIsAskedForBeforeItIsDrawnOn);
-  CPPUNIT_TEST(AnAskUnderWayIsNotDoubled);
-  CPPUNIT_TEST(IdleHoldingsStayToBeLentInACut);
-  CPPUNIT_TEST(WhatIsBeyondTheTotalIsKnownAtOnce);
-  CPPUNIT_TEST(TheLastOfATotalTricklesToSmallRequests);
+  CPPUNIT_TEST(EachBudgetIsRequestedBeforeFirstUse);
+  CPPUNIT_TEST(PendingGrantRequestIsNotDuplicated);
+  CPPUNIT_TEST(IdleHoldingsCanBeLentDuringAPartition);
+  CPPUNIT_TEST(RequestBeyondTheTotalIsRejectedAtOnce);
+  CPPUNIT_TEST(LastOfATotalIsRationedToSmallRequests);
   CPPUNIT_TEST(SpendIsReportedOnceAndTheRestReturned);
-  CPPUNIT_TEST(WhileControlIsAwayOneReportIsOwed);
+  CPPUNIT_TEST(ControlOutageLeavesOneReportToSend);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -32,12 +32,13 @@
  private:
   std::vector<wire::CommandT> Take() { return m_grants->TakeCommands(m_now); }
 
-  static std::vector<const wire::RequestGrantT*> Asks(
+  static std::vector<const wire::RequestGrantT*> GrantRequests(
       const std::vector<wire::CommandT>& commands) {
-    std::vector<const wire::RequestGrantT*> asks;
+    std::vector<const wire::RequestGrantT*> requests;
     for (const wire::CommandT& command : commands)
-      if (const auto* ask = command.body.AsRequestGrant()) asks.push_back(ask);
-    return asks;
+      if (const auto* request = command.body.AsRequestGrant())
+        requests.push_back(request);
+    return requests;
   }
 
   void Answer(uint64_t sequence, Tokens tokens, Tokens free) {
@@ -56,33 +57,33 @@
   // Takes the first grant request and grants it.
   void GrantFirst(Tokens tokens, Tokens free) {
     const auto commands = Take();
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, Asks(commands).size());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, GrantRequests(commands).size());
     Answer(m_sequence, tokens, free);
   }
 
-  void EachBudgetIsAskedForBeforeItIsDrawnOn() {
+  void EachBudgetIsRequestedBeforeFirstUse() {
     const auto commands = Take();
-    const auto asks = Asks(commands);
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, asks.size());
+    const auto requests = GrantRequests(commands);
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, requests.size());
     // A quarter of what all four entries together hold initially.
-    const auto part =
-        static_cast<Tokens>(HeldGrantsOptions().first_part * 1'000'000 / 4);
-    CPPUNIT_ASSERT_EQUAL(part, asks[0]->wanted);
+    const auto part = static_cast<Tokens>(HeldGrantsOptions().initial_fraction *
+                                          1'000'000 / 4);
+    CPPUNIT_ASSERT_EQUAL(part, requests[0]->wanted);
   }
 
-  void AnAskUnderWayIsNotDoubled() {
+  void PendingGrantRequestIsNotDuplicated() {
     Take();
     for (int i = 0; i < 10; ++i) {
       m_now += 300ms;
       m_grants->Reserve("t", 5000, m_now);
-      CPPUNIT_ASSERT(Asks(Take()).empty());
+      CPPUNIT_ASSERT(GrantRequests(Take()).empty());
     }
   }
 
   // All callers of a team may be at one entry. The tokens that other entries
   // hold for the team are then idle there, and are all that is available once
   // control is unreachable.
-  void IdleHoldingsStayToBeLentInACut() {
+  void IdleHoldingsCanBeLentDuringAPartition() {
     GrantFirst(87'500, 900'000);
     m_now += 20s;
     for (const wire::CommandT& command : Take())
@@ -107,32 +108,32 @@
     CPPUNIT_ASSERT(moves >= 1);
   }
 
-  void WhatIsBeyondTheTotalIsKnownAtOnce() {
+  void RequestBeyondTheTotalIsRejectedAtOnce() {
     GrantFirst(100'000, 50'000);
     CPPUNIT_ASSERT(m_grants->Reserve("t", 90'000, m_now) ==
-                   BudgetAnswer::kReserved);
+                   BudgetDecision::kReserved);
     CPPUNIT_ASSERT(m_grants->Reserve("t", 120'000, m_now) ==
-                   BudgetAnswer::kWait);
+                   BudgetDecision::kWait);
     CPPUNIT_ASSERT(m_grants->Reserve("t", 160'000, m_now) ==
-                   BudgetAnswer::kExhausted);
+                   BudgetDecision::kExhausted);
     // An outdated remainder is not used.
-    m_now += HeldGrantsOptions().remainder_memory;
+    m_now += HeldGrantsOptions().remainder_max_age;
     CPPUNIT_ASSERT(m_grants->Reserve("t", 160'000, m_now) ==
-                   BudgetAnswer::kWait);
+                   BudgetDecision::kWait);
     CPPUNIT_ASSERT(m_grants->Reserve("free", 1600, m_now) ==
-                   BudgetAnswer::kNoTotal);
+                   BudgetDecision::kUnlimited);
   }
 
   // 28,000 of a million are left when 40 requests a second arrive at each of
   // four entries: 15 s later, small requests are still served.
-  void TheLastOfATotalTricklesToSmallRequests() {
+  void LastOfATotalIsRationedToSmallRequests() {
     GrantFirst(20'000, 8'000);
     Tokens small = 0;
     Tokens late = 0;
     for (int ms = 0; ms < 20'000; ms += 25, m_now += 25ms) {
       const bool large = ms % 100 == 0;
       const Tokens size = large ? 15'000 : 1'500;
-      if (m_grants->Reserve("t", size, m_now) != BudgetAnswer::kReserved)
+      if (m_grants->Reserve("t", size, m_now) != BudgetDecision::kReserved)
         continue;
       CPPUNIT_ASSERT(!large);
       m_grants->Settle("t", size, size, true, m_now);
@@ -146,7 +147,7 @@
   void SpendIsReportedOnceAndTheRestReturned() {
     GrantFirst(10'000, 900'000);
     CPPUNIT_ASSERT(m_grants->Reserve("t", 4000, m_now) ==
-                   BudgetAnswer::kReserved);
+                   BudgetDecision::kReserved);
     m_grants->Settle("t", 4000, 2500, true, m_now);
     m_now += 1s;
     Tokens reported = 0;
@@ -167,7 +168,7 @@
 
   // All of control restarts and needs ten seconds: what each entry then sends
   // must not grow with that time.
-  void WhileControlIsAwayOneReportIsOwed() {
+  void ControlOutageLeavesOneReportToSend() {
     GrantFirst(80'000, 900'000);
     m_grants->SetConnected(false, m_now);
     wire::TokenBorrowT borrow;
--- a/src/dotterelshift/gateway/link_admission_test.cc
+++ b/src/dotterelshift/gateway/link_admission_test.cc
@@ -14,7 +14,7 @@
 constexpr size_t kPromptBytes = 6'000;
 
 // Responses, control updates and closes are delayed behind admitted requests.
-constexpr Duration kLongestQueue = 300ms;
+constexpr Duration kMaxQueue = 300ms;
 
 Duration Seconds(double seconds) {
   return std::chrono::duration_cast<Duration>(
@@ -43,14 +43,16 @@
 
   // An admitted caller sends its prompt; returns whether it was admitted.
   bool Connect(size_t prompt_bytes) {
-    if (m_admission.Decide(m_now) != Entrance::kTakes) return false;
+    if (m_admission.Decide(m_now) != AdmissionDecision::kAccept) return false;
     m_admission.OnConnected();
-    Bring(prompt_bytes, true);
+    SendPrompt(prompt_bytes, true);
     return true;
   }
 
   // Callers that were admitted earlier send this much at once.
-  void BringOnKept(size_t prompt_bytes) { Bring(prompt_bytes, false); }
+  void SendOnKeptConnection(size_t prompt_bytes) {
+    SendPrompt(prompt_bytes, false);
+  }
 
   // Lets time pass without new callers.
   void Rest(Duration time) {
@@ -60,35 +62,35 @@
 
   Instant Now() const { return m_now; }
   bool IsIdle() const { return m_prompts.empty(); }
-  Duration Longest() const { return m_longest; }
+  Duration MaxQueueTime() const { return m_max_wait; }
   double Carried() const { return m_carried; }
 
  private:
   struct Prompt {
-    Instant whole;
+    Instant complete_at;
     size_t bytes;
     bool first;
   };
 
-  void Bring(size_t bytes, bool first) {
+  void SendPrompt(size_t bytes, bool first) {
     m_free_at = std::max(m_free_at, m_now) +
                 Seconds(static_cast<double>(bytes) / m_rate);
     m_carried += static_cast<double>(bytes);
     m_prompts.push_back({m_free_at, bytes, first});
-    m_longest = std::max(m_longest, m_free_at - m_now);
+    m_max_wait = std::max(m_max_wait, m_free_at - m_now);
   }
 
   // Bytes are counted once per iteration, even if there are none.
   void Deliver() {
     uint64_t bytes = 0;
-    while (!m_prompts.empty() && m_prompts.front().whole <= m_now) {
+    while (!m_prompts.empty() && m_prompts.front().complete_at <= m_now) {
       const Prompt prompt = m_prompts.front();
       m_prompts.pop_front();
       bytes += prompt.bytes;
       if (prompt.first)
         m_admission.OnFirstRequest(prompt.bytes);
       else
-        m_admission.OnKeptRequest(prompt.bytes);
+        m_admission.OnKeepAliveRequest(prompt.bytes);
     }
     m_admission.OnBytes({bytes, 0}, m_now);
   }
@@ -99,27 +101,27 @@
   Instant m_now{1000s};
   Instant m_free_at{};
   std::deque<Prompt> m_prompts;
-  Duration m_longest{};
+  Duration m_max_wait{};
   double m_carried = 0;
 };
 
 class LinkAdmissionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LinkAdmissionTest);
-  CPPUNIT_TEST(NothingQueuesForLongBeforeAFullLinkThatStaysInUse);
-  CPPUNIT_TEST(LongPromptsQueueNoLonger);
-  CPPUNIT_TEST(WhatTheLinkCarriesIsLetIn);
-  CPPUNIT_TEST(UnusedConnectionsKeepCallersOutForAMomentOnly);
-  CPPUNIT_TEST(WhatEndsUnusedIsNotOnTheWay);
-  CPPUNIT_TEST(NobodyIsLetInWhileAQueueStands);
-  CPPUNIT_TEST(LoadThatDoesNotEndKeepsNoEntryAwayForGood);
-  CPPUNIT_TEST(NobodyIsLetInWhileTheWayOutIsFull);
-  CPPUNIT_TEST(CallersAreTurnedAwayWhileRequestsWaitForTheWayOut);
-  CPPUNIT_TEST(WithoutAKnownLinkNothingIsDecided);
+  CPPUNIT_TEST(QueueStaysShortOnASaturatedLink);
+  CPPUNIT_TEST(LongPromptsDoNotLengthenTheQueue);
+  CPPUNIT_TEST(LoadWithinTheLinkRateIsAdmitted);
+  CPPUNIT_TEST(UnusedConnectionsBlockCallersOnlyBriefly);
+  CPPUNIT_TEST(UnusedConnectionReleasesItsReservation);
+  CPPUNIT_TEST(RejectsWhileAQueueStands);
+  CPPUNIT_TEST(SustainedLoadDoesNotBlockAnEntryForever);
+  CPPUNIT_TEST(RejectsWhileTheOutboundLinkIsFull);
+  CPPUNIT_TEST(RejectsWhileRequestsQueueForTheOutboundLink);
+  CPPUNIT_TEST(UnknownLinkRateDisablesTheLimit);
   CPPUNIT_TEST_SUITE_END();
 
  private:
   static bool Takes(LinkAdmission& admission, Instant now) {
-    return admission.Decide(now) == Entrance::kTakes;
+    return admission.Decide(now) == AdmissionDecision::kAccept;
   }
 
   static LinkAdmission Make(double bytes_per_second) {
@@ -130,25 +132,25 @@
 
   // Guards against responses and control updates that are delayed for seconds
   // behind prompts.
-  void NothingQueuesForLongBeforeAFullLinkThatStaysInUse() {
+  void QueueStaysShortOnASaturatedLink() {
     for (const double demand : {3.0, 10.0}) {
       LinkAdmission admission = Make(kLink);
       Link link(admission, kLink);
       link.Run(demand, kPromptBytes, 20s);
-      CPPUNIT_ASSERT(link.Longest() <= kLongestQueue);
+      CPPUNIT_ASSERT(link.MaxQueueTime() <= kMaxQueue);
       CPPUNIT_ASSERT(link.Carried() >= 0.8 * 20 * kLink);
     }
   }
 
-  void LongPromptsQueueNoLonger() {
+  void LongPromptsDoNotLengthenTheQueue() {
     LinkAdmission admission = Make(kLink);
     Link link(admission, kLink);
     link.Run(1, 60'000, 5s);
     link.Run(3, 60'000, 20s);
-    CPPUNIT_ASSERT(link.Longest() <= kLongestQueue);
+    CPPUNIT_ASSERT(link.MaxQueueTime() <= kMaxQueue);
   }
 
-  void WhatTheLinkCarriesIsLetIn() {
+  void LoadWithinTheLinkRateIsAdmitted() {
     LinkAdmission admission = Make(kLink);
     Link link(admission, kLink);
     link.Run(0.5, kPromptBytes, 20s);
@@ -157,7 +159,7 @@
 
   // Guards against an entry that is blocked for all callers by connections on
   // which no request is ever sent.
-  void UnusedConnectionsKeepCallersOutForAMomentOnly() {
+  void UnusedConnectionsBlockCallersOnlyBriefly() {
     LinkAdmission admission = Make(kLink);
     Instant now(1000s);
     while (Takes(admission, now)) admission.OnConnected();
@@ -166,34 +168,34 @@
     CPPUNIT_ASSERT(Takes(admission, now));
   }
 
-  void WhatEndsUnusedIsNotOnTheWay() {
+  void UnusedConnectionReleasesItsReservation() {
     LinkAdmission admission = Make(kLink);
     const Instant now(1000s);
     int connections = 0;
     for (; Takes(admission, now); ++connections) admission.OnConnected();
-    for (; connections > 0; --connections) admission.OnUnusedEnd();
+    for (; connections > 0; --connections) admission.OnClosedUnused();
     CPPUNIT_ASSERT(Takes(admission, now));
   }
 
   // Guards against an entry that admits callers while five seconds of prompts
   // are still queued in front of its link, and against one that stays closed
   // afterwards.
-  void NobodyIsLetInWhileAQueueStands() {
+  void RejectsWhileAQueueStands() {
     LinkAdmission admission = Make(kLink);
     Link link(admission, kLink);
-    for (int i = 0; i < 1'000; ++i) link.BringOnKept(kPromptBytes);
+    for (int i = 0; i < 1'000; ++i) link.SendOnKeptConnection(kPromptBytes);
     link.Rest(500ms);
     while (!link.IsIdle()) {
       CPPUNIT_ASSERT(!Takes(admission, link.Now()));
       link.Rest(20ms);
     }
-    link.Rest(LinkAdmissionOptions().longest_debt * 2);
+    link.Rest(LinkAdmissionOptions().max_debt * 2);
     CPPUNIT_ASSERT(Takes(admission, link.Now()));
   }
 
   // A caller that overloads any entry it reaches must not keep all entries out
   // of rotation.
-  void LoadThatDoesNotEndKeepsNoEntryAwayForGood() {
+  void SustainedLoadDoesNotBlockAnEntryForever() {
     LinkAdmission admission = Make(kLink);
     Link link(admission, kLink);
     for (int second = 0; second < 20; ++second) {
@@ -204,7 +206,7 @@
   }
 
   // Outbound traffic is bounded like inbound traffic.
-  void NobodyIsLetInWhileTheWayOutIsFull() {
+  void RejectsWhileTheOutboundLinkIsFull() {
     LinkAdmission admission = Make(kLink);
     const Instant now(1000s);
     CPPUNIT_ASSERT(Takes(admission, now));
@@ -214,18 +216,18 @@
 
   // Guards against admitting callers that would wait here although another
   // entry could serve them at once.
-  void CallersAreTurnedAwayWhileRequestsWaitForTheWayOut() {
+  void RejectsWhileRequestsQueueForTheOutboundLink() {
     LinkAdmission admission = Make(kLink);
     const Instant now(1000s);
-    admission.SetHeldOut(static_cast<uint64_t>(0.05 * kLink));
+    admission.SetQueuedOutbound(static_cast<uint64_t>(0.05 * kLink));
     CPPUNIT_ASSERT(Takes(admission, now));
-    admission.SetHeldOut(static_cast<uint64_t>(0.2 * kLink));
-    CPPUNIT_ASSERT(admission.Decide(now) == Entrance::kTurnsAway);
-    admission.SetHeldOut(0);
+    admission.SetQueuedOutbound(static_cast<uint64_t>(0.2 * kLink));
+    CPPUNIT_ASSERT(admission.Decide(now) == AdmissionDecision::kReject);
+    admission.SetQueuedOutbound(0);
     CPPUNIT_ASSERT(Takes(admission, now));
   }
 
-  void WithoutAKnownLinkNothingIsDecided() {
+  void UnknownLinkRateDisablesTheLimit() {
     LinkAdmission admission = Make(0);
     const Instant now(1000s);
     for (int i = 0; i < 10'000; ++i) admission.OnConnected();
--- a/src/dotterelshift/gateway/link_busy_time.cc
+++ b/src/dotterelshift/gateway/link_busy_time.cc
@@ -16,13 +16,14 @@
   const Instant before = std::exchange(m_since, now);
   if (before == Instant{}) return;
   const Duration passed = now - before;
-  const double full = m_options.full_part * m_options.bytes_per_second;
-  m_missing = std::max(0.0, m_missing + full * Seconds(passed) - bytes);
+  const double full = m_options.full_fraction * m_options.bytes_per_second;
+  m_shortfall_bytes =
+      std::max(0.0, m_shortfall_bytes + full * Seconds(passed) - bytes);
   m_busy_for += passed;
-  const Duration turns = passed + std::exchange(m_last_turn, passed);
-  const Duration gap = std::clamp(turns, m_options.gap, m_options.most_gap);
-  if (m_missing < full * Seconds(gap)) return;
-  m_missing = 0;
+  const Duration turns = passed + std::exchange(m_last_iteration, passed);
+  const Duration gap = std::clamp(turns, m_options.gap, m_options.max_gap);
+  if (m_shortfall_bytes < full * Seconds(gap)) return;
+  m_shortfall_bytes = 0;
   m_busy_for = 0s;
 }
 
--- a/src/dotterelshift/gateway/link_busy_time_test.cc
+++ b/src/dotterelshift/gateway/link_busy_time_test.cc
@@ -11,10 +11,10 @@
 
 class LinkBusyTimeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LinkBusyTimeTest);
-  CPPUNIT_TEST(AFullLinkIsBusyForAsLongAsItIsFull);
-  CPPUNIT_TEST(ALateTurnIsNoGap);
-  CPPUNIT_TEST(ALinkInUseByHalfIsNeverBusyForLong);
-  CPPUNIT_TEST(AGapStartsItAnew);
+  CPPUNIT_TEST(BusyTimeCoversTheWholeFullPeriod);
+  CPPUNIT_TEST(LateEventLoopIterationIsNoGap);
+  CPPUNIT_TEST(HalfUsedLinkIsNeverBusyForLong);
+  CPPUNIT_TEST(GapResetsTheBusyTime);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -36,19 +36,19 @@
     }
   }
 
-  void AFullLinkIsBusyForAsLongAsItIsFull() {
+  void BusyTimeCoversTheWholeFullPeriod() {
     Carry(0.95, 2s, 2ms);
     CPPUNIT_ASSERT(m_busy.BusyFor() == 2s);
   }
 
   // Bytes received during a long iteration are counted at its end.
-  void ALateTurnIsNoGap() {
+  void LateEventLoopIterationIsNoGap() {
     Carry(0.95, 500ms, 2ms);
     Carry(0.95, 100ms, 100ms);
     CPPUNIT_ASSERT(m_busy.BusyFor() == 600ms);
   }
 
-  void ALinkInUseByHalfIsNeverBusyForLong() {
+  void HalfUsedLinkIsNeverBusyForLong() {
     Duration longest = 0s;
     for (int i = 0; i < 1'000; ++i) {
       Carry(0.5, 2ms, 2ms);
@@ -57,7 +57,7 @@
     CPPUNIT_ASSERT(longest < 100ms);
   }
 
-  void AGapStartsItAnew() {
+  void GapResetsTheBusyTime() {
     Carry(0.95, 1s, 2ms);
     Carry(0, 40ms, 2ms);
     CPPUNIT_ASSERT(m_busy.BusyFor() < 40ms);
--- a/src/dotterelshift/gateway/link_load_shedder.cc
+++ b/src/dotterelshift/gateway/link_load_shedder.cc
@@ -13,35 +13,35 @@
 
 void LinkLoadShedder::OnBytes(size_t bytes, Instant now) {
   if (m_options.bytes_per_second <= 0 || bytes == 0) return;
-  m_rate = FilledPart(now) * m_options.bytes_per_second;
+  m_rate = Utilization(now) * m_options.bytes_per_second;
   m_rate += static_cast<double>(bytes) / Seconds(m_options.window);
   m_since = now;
 }
 
-double LinkLoadShedder::FilledPart(Instant now) const {
+double LinkLoadShedder::Utilization(Instant now) const {
   if (m_options.bytes_per_second <= 0 || m_rate == 0) return 0;
   const double windows = Seconds(now - m_since) / Seconds(m_options.window);
   return m_rate * std::exp(-windows) / m_options.bytes_per_second;
 }
 
-void LinkLoadShedder::OnTurnedAway(Instant now) {
-  const bool just_back =
-      m_back_since != Instant{} && now - m_back_since < m_options.stay_least;
+void LinkLoadShedder::OnRejected(Instant now) {
+  const bool just_back = m_restored_at != Instant{} &&
+                         now - m_restored_at < m_options.min_stay_time;
   if (m_shedding_since == Instant{} && !just_back) m_shedding_since = now;
 }
 
 bool LinkLoadShedder::IsShedding(Instant now) {
-  const double filled = FilledPart(now);
+  const double filled = Utilization(now);
   if (m_shedding_since == Instant{}) {
-    if (filled >= m_options.full_part) m_shedding_since = now;
+    if (filled >= m_options.full_fraction) m_shedding_since = now;
     return m_shedding_since != Instant{};
   }
   const Duration away = now - m_shedding_since;
   const bool clear =
-      away >= m_options.shed_least && filled <= m_options.clear_part;
-  if (clear || away >= m_options.shed_most) {
+      away >= m_options.min_shed_time && filled <= m_options.clear_fraction;
+  if (clear || away >= m_options.max_shed_time) {
     m_shedding_since = Instant{};
-    m_back_since = now;
+    m_restored_at = now;
   }
   return m_shedding_since != Instant{};
 }
--- a/src/dotterelshift/gateway/link_load_shedder_test.cc
+++ b/src/dotterelshift/gateway/link_load_shedder_test.cc
@@ -11,12 +11,12 @@
 
 class LinkLoadShedderTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LinkLoadShedderTest);
-  CPPUNIT_TEST(AHotCallerSendsTheEntryAwayAndItComesBack);
-  CPPUNIT_TEST(ASteadyShareOfTheLinkIsServed);
-  CPPUNIT_TEST(LoadThatDoesNotEndKeepsNoEntryAwayForGood);
-  CPPUNIT_TEST(CallersTurnedAwaySendTheEntryAwayAtOnce);
-  CPPUNIT_TEST(CallersTurnedAwayKeepNoEntryAwayForGood);
-  CPPUNIT_TEST(WithoutAKnownLinkNothingIsDecided);
+  CPPUNIT_TEST(OverloadTakesTheEntryOutOfRotationTemporarily);
+  CPPUNIT_TEST(ModerateLoadIsNotShed);
+  CPPUNIT_TEST(SustainedLoadDoesNotBlockAnEntryForever);
+  CPPUNIT_TEST(RejectedCallerStartsSheddingAtOnce);
+  CPPUNIT_TEST(RejectedCallersDoNotShedAnEntryForever);
+  CPPUNIT_TEST(UnknownLinkRateDisablesTheLimit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -44,22 +44,22 @@
   }
 
   // 25 long prompts a second exceed the link's rate.
-  void AHotCallerSendsTheEntryAwayAndItComesBack() {
+  void OverloadTakesTheEntryOutOfRotationTemporarily() {
     LinkLoadShedder shedder = Make(kLink);
     CPPUNIT_ASSERT(Load(shedder, 25, 1s));
-    m_now += LinkLoadShedderOptions().shed_least - 1s;
+    m_now += LinkLoadShedderOptions().min_shed_time - 1s;
     CPPUNIT_ASSERT(shedder.IsShedding(m_now));
     m_now += 1s;
     CPPUNIT_ASSERT(!shedder.IsShedding(m_now));
   }
 
-  void ASteadyShareOfTheLinkIsServed() {
+  void ModerateLoadIsNotShed() {
     LinkLoadShedder shedder = Make(kLink);
     CPPUNIT_ASSERT(!Load(shedder, 8, 30s));
-    CPPUNIT_ASSERT(shedder.FilledPart(m_now) > 0.3);
+    CPPUNIT_ASSERT(shedder.Utilization(m_now) > 0.3);
   }
 
-  void LoadThatDoesNotEndKeepsNoEntryAwayForGood() {
+  void SustainedLoadDoesNotBlockAnEntryForever() {
     LinkLoadShedder shedder = Make(kLink);
     CPPUNIT_ASSERT(Load(shedder, 25, 1s));
     bool back = false;
@@ -73,25 +73,25 @@
 
   // Guards against rejecting callers for a second longer than the load balancer
   // needs.
-  void CallersTurnedAwaySendTheEntryAwayAtOnce() {
+  void RejectedCallerStartsSheddingAtOnce() {
     LinkLoadShedder shedder = Make(kLink);
     CPPUNIT_ASSERT(!shedder.IsShedding(m_now));
-    shedder.OnTurnedAway(m_now);
+    shedder.OnRejected(m_now);
     CPPUNIT_ASSERT(shedder.IsShedding(m_now));
   }
 
-  void CallersTurnedAwayKeepNoEntryAwayForGood() {
+  void RejectedCallersDoNotShedAnEntryForever() {
     LinkLoadShedder shedder = Make(kLink);
     Duration in_rotation = 0s;
     const Instant end = m_now + 30s;
     for (; m_now < end; m_now += 50ms) {
-      shedder.OnTurnedAway(m_now);
+      shedder.OnRejected(m_now);
       if (!shedder.IsShedding(m_now)) in_rotation += 50ms;
     }
     CPPUNIT_ASSERT(in_rotation >= 6s);
   }
 
-  void WithoutAKnownLinkNothingIsDecided() {
+  void UnknownLinkRateDisablesTheLimit() {
     LinkLoadShedder shedder = Make(0);
     CPPUNIT_ASSERT(!Load(shedder, 100, 5s));
   }
--- a/src/dotterelshift/gateway/link_wait.cc
+++ b/src/dotterelshift/gateway/link_wait.cc
@@ -11,13 +11,13 @@
                                               m_bytes_per_second);
   m_idle_at =
       std::max(m_idle_at, now) + std::chrono::duration_cast<Duration>(carried);
-  m_longest = std::max(m_longest, Wait(now));
+  m_max_wait = std::max(m_max_wait, Wait(now));
 }
 
 Duration LinkWait::Wait(Instant now) const {
   return std::max<Duration>(0s, m_idle_at - now);
 }
 
-Duration LinkWait::TakeLongest() { return std::exchange(m_longest, {}); }
+Duration LinkWait::TakeMaxWait() { return std::exchange(m_max_wait, {}); }
 
 }  // namespace dotterelshift::gateway
--- a/src/dotterelshift/gateway/link_wait_test.cc
+++ b/src/dotterelshift/gateway/link_wait_test.cc
@@ -10,14 +10,14 @@
 
 class LinkWaitTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LinkWaitTest);
-  CPPUNIT_TEST(BytesWaitForThoseBeforeThem);
-  CPPUNIT_TEST(AnIdleLinkOwesNothing);
-  CPPUNIT_TEST(TheLongestIsOfOneSpan);
+  CPPUNIT_TEST(BytesQueueBehindEarlierBytes);
+  CPPUNIT_TEST(IdleTimeIsNotCredited);
+  CPPUNIT_TEST(MaximumIsPerReadInterval);
   CPPUNIT_TEST(WithoutARateThereIsNoWait);
   CPPUNIT_TEST_SUITE_END();
 
  private:
-  void BytesWaitForThoseBeforeThem() {
+  void BytesQueueBehindEarlierBytes() {
     m_wait.OnBytes(kTenth, m_now);
     m_wait.OnBytes(2 * kTenth, m_now);
     CPPUNIT_ASSERT(m_wait.Wait(m_now) == 300ms);
@@ -28,7 +28,7 @@
   }
 
   // Idle time is not credited to later writes.
-  void AnIdleLinkOwesNothing() {
+  void IdleTimeIsNotCredited() {
     m_wait.OnBytes(kTenth, m_now);
     m_now += 5s;
     CPPUNIT_ASSERT(m_wait.Wait(m_now) == 0s);
@@ -36,21 +36,21 @@
     CPPUNIT_ASSERT(m_wait.Wait(m_now) == 100ms);
   }
 
-  void TheLongestIsOfOneSpan() {
+  void MaximumIsPerReadInterval() {
     m_wait.OnBytes(4 * kTenth, m_now);
     m_now += 300ms;
     m_wait.OnBytes(kTenth, m_now);
-    CPPUNIT_ASSERT(m_wait.TakeLongest() == 400ms);
-    CPPUNIT_ASSERT(m_wait.TakeLongest() == 0s);
+    CPPUNIT_ASSERT(m_wait.TakeMaxWait() == 400ms);
+    CPPUNIT_ASSERT(m_wait.TakeMaxWait() == 0s);
     m_wait.OnBytes(kTenth, m_now);
-    CPPUNIT_ASSERT(m_wait.TakeLongest() == 300ms);
+    CPPUNIT_ASSERT(m_wait.TakeMaxWait() == 300ms);
   }
 
   void WithoutARateThereIsNoWait() {
     LinkWait wait(0);
     wait.OnBytes(kTenth, m_now);
     CPPUNIT_ASSERT(wait.Wait(m_now) == 0s);
-    CPPUNIT_ASSERT(wait.TakeLongest() == 0s);
+    CPPUNIT_ASSERT(wait.TakeMaxWait() == 0s);
   }
 
   LinkWait m_wait{kLink};
--- a/src/dotterelshift/gateway/load_note_pacer_test.cc
+++ b/src/dotterelshift/gateway/load_note_pacer_test.cc
@@ -11,33 +11,33 @@
 constexpr double kFastLink = 125'000'000;  // 1 Gbit/s
 constexpr size_t kEntries = 20;
 
-class LoadNotePacerTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LoadNotePacerTest);
-  CPPUNIT_TEST(NotesOfABusyEntryLeaveItsSlowLinkToRequests);
-  CPPUNIT_TEST(NotesAreToldWithinATenthOfASecond);
-  CPPUNIT_TEST(OnAFastLinkNotesGoAtOnce);
+class LoadUpdatePacerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LoadUpdatePacerTest);
+  CPPUNIT_TEST(UpdatesStayWithinTheirFractionOfASlowLink);
+  CPPUNIT_TEST(UpdatesWaitAtMostATenthOfASecond);
+  CPPUNIT_TEST(UpdatesAreNotDelayedOnAFastLink);
   CPPUNIT_TEST_SUITE_END();
 
  private:
   // Runs for ten seconds with one update per `gap`.
   struct Result {
     double bytes = 0;
-    Duration longest_wait{};
+    Duration max_wait{};
   };
   static Result Run(double bytes_per_second, Duration gap) {
-    LoadNotePacerOptions options;
+    LoadUpdatePacerOptions options;
     options.bytes_per_second = bytes_per_second;
-    LoadNotePacer pacer(options);
+    LoadUpdatePacer pacer(options);
     Result result;
     size_t notes = 0;
     Instant oldest{};
     for (Instant now(1000s); now < Instant(1010s); now += gap) {
       if (notes++ == 0) oldest = now;
       if (!pacer.MaySend(now)) continue;
-      result.longest_wait = std::max(result.longest_wait, now - oldest);
+      result.max_wait = std::max(result.max_wait, now - oldest);
       const size_t sent = std::min(notes, pacer.Most(kEntries));
       result.bytes += static_cast<double>(
-          kEntries * (options.frame_bytes + sent * options.note_bytes));
+          kEntries * (options.frame_bytes + sent * options.update_bytes));
       pacer.OnSent(sent, kEntries, now);
       notes = 0;
     }
@@ -46,22 +46,22 @@
 
   // Guards against a heavily loaded entry whose updates fill its host's
   // outbound link.
-  void NotesOfABusyEntryLeaveItsSlowLinkToRequests() {
+  void UpdatesStayWithinTheirFractionOfASlowLink() {
     const Result result = Run(kSlowLink, 2ms);
     CPPUNIT_ASSERT(result.bytes <=
-                   LoadNotePacerOptions().part * 10 * kSlowLink * 1.01);
+                   LoadUpdatePacerOptions().part * 10 * kSlowLink * 1.01);
   }
 
-  void NotesAreToldWithinATenthOfASecond() {
-    CPPUNIT_ASSERT(Run(kSlowLink, 10ms).longest_wait <= 100ms);
-    CPPUNIT_ASSERT(Run(kSlowLink, 1ms).longest_wait <= 100ms);
+  void UpdatesWaitAtMostATenthOfASecond() {
+    CPPUNIT_ASSERT(Run(kSlowLink, 10ms).max_wait <= 100ms);
+    CPPUNIT_ASSERT(Run(kSlowLink, 1ms).max_wait <= 100ms);
   }
 
-  void OnAFastLinkNotesGoAtOnce() {
-    CPPUNIT_ASSERT(Run(kFastLink, 2ms).longest_wait == 0ms);
+  void UpdatesAreNotDelayedOnAFastLink() {
+    CPPUNIT_ASSERT(Run(kFastLink, 2ms).max_wait == 0ms);
   }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(LoadNotePacerTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LoadUpdatePacerTest);
 
 }  // namespace
 }  // namespace dotterelshift::gateway
--- a/src/dotterelshift/gateway/retry_share.cc
+++ b/src/dotterelshift/gateway/retry_share.cc
@@ -35,8 +35,8 @@
   };
   const double slack =
       static_cast<double>(m_options.slack) / static_cast<double>(m_entries);
-  const double allowed =
-      m_options.used_part * (m_options.ratio * sum(counts.requests) + slack);
+  const double allowed = m_options.used_fraction *
+                         (m_options.ratio * sum(counts.requests) + slack);
   if (sum(counts.repeats) + 1 > allowed) return false;
   ++counts.repeats.at(counts.newest % kBuckets);
   return true;
--- a/src/dotterelshift/gateway/retry_share_test.cc
+++ b/src/dotterelshift/gateway/retry_share_test.cc
@@ -10,7 +10,7 @@
 class RetryShareTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RetryShareTest);
   CPPUNIT_TEST(AllSharesTogetherStayWithinTheAllowance);
-  CPPUNIT_TEST(ServicesAreCountedApart);
+  CPPUNIT_TEST(ServicesAreCountedSeparately);
   CPPUNIT_TEST_SUITE_END();
 
   // Eight entries, each of which retries as often as it may, under a load with
@@ -55,10 +55,10 @@
     CPPUNIT_ASSERT(repeats_in_window > 0);
   }
 
-  void ServicesAreCountedApart() {
+  void ServicesAreCountedSeparately() {
     RetryShareOptions options;
     options.slack = 2;
-    options.used_part = 1;
+    options.used_fraction = 1;
     RetryShare share(options);
     const Instant now(1000s);
     CPPUNIT_ASSERT(share.Take("a", now));
--- a/src/dotterelshift/gateway/part_cache.cc
+++ b/src/dotterelshift/gateway/segment_cache.cc
@@ -1,13 +1,13 @@
-#include "dotterelshift/gateway/part_cache.h"
+#include "dotterelshift/gateway/segment_cache.h"
 
 namespace dotterelshift::gateway {
 
-void PartCache::SetCapacity(Tokens capacity) {
+void SegmentCache::SetCapacity(Tokens capacity) {
   m_capacity = capacity;
   Trim();
 }
 
-void PartCache::Touch(uint64_t part, Tokens tokens) {
+void SegmentCache::Touch(uint64_t part, Tokens tokens) {
   const auto known = m_places.find(part);
   if (known != m_places.end()) {
     m_held += tokens - known->second->tokens;
@@ -21,7 +21,7 @@
   Trim();
 }
 
-Tokens PartCache::Held(const std::vector<PromptSegment>& parts) const {
+Tokens SegmentCache::Held(const std::vector<PromptSegment>& parts) const {
   Tokens held = 0;
   for (const PromptSegment& part : parts) {
     if (!m_places.contains(part.hash)) break;
@@ -30,13 +30,13 @@
   return held;
 }
 
-void PartCache::Clear() {
+void SegmentCache::Clear() {
   m_order.clear();
   m_places.clear();
   m_held = 0;
 }
 
-void PartCache::Trim() {
+void SegmentCache::Trim() {
   while (m_held > m_capacity && !m_order.empty()) {
     m_held -= m_order.back().tokens;
     m_places.erase(m_order.back().part);
--- a/src/dotterelshift/gateway/send_pacer.cc
+++ b/src/dotterelshift/gateway/send_pacer.cc
@@ -19,33 +19,34 @@
       std::chrono::duration<double>(bytes / Rate()));
 }
 
-double SendPacer::Room(uint64_t bytes) const {
-  return std::max(BytesIn(m_options.least_held),
-                  BytesIn(m_options.most_held) - static_cast<double>(bytes));
+double SendPacer::MaxQueuedBefore(uint64_t bytes) const {
+  return std::max(BytesIn(m_options.min_queued),
+                  BytesIn(m_options.max_queued) - static_cast<double>(bytes));
 }
 
-double SendPacer::HeldBytes(Instant now) const {
-  return std::max(0.0, m_bytes - BytesIn(now - m_carried_to));
+double SendPacer::QueuedBytes(Instant now) const {
+  return std::max(0.0, m_bytes - BytesIn(now - m_drained_until));
 }
 
 bool SendPacer::MaySend(uint64_t bytes, Instant now) const {
-  return !IsBounded() || HeldBytes(now) <= Room(bytes) + kRounding;
+  return !IsBounded() || QueuedBytes(now) <= MaxQueuedBefore(bytes) + kRounding;
 }
 
 Instant SendPacer::Next(uint64_t bytes) const {
-  if (!IsBounded()) return m_carried_to;
-  return m_carried_to + TimeOf(std::max(0.0, m_bytes - Room(bytes)));
+  if (!IsBounded()) return m_drained_until;
+  return m_drained_until +
+         TimeOf(std::max(0.0, m_bytes - MaxQueuedBefore(bytes)));
 }
 
 Duration SendPacer::WaitBehind(uint64_t bytes_before, uint64_t bytes,
                                Instant now) const {
   if (!IsBounded()) return 0s;
-  const double before = HeldBytes(now) + static_cast<double>(bytes_before);
-  return TimeOf(std::max(0.0, before - Room(bytes)));
+  const double before = QueuedBytes(now) + static_cast<double>(bytes_before);
+  return TimeOf(std::max(0.0, before - MaxQueuedBefore(bytes)));
 }
 
 Duration SendPacer::Held(Instant now) const {
-  return IsBounded() ? TimeOf(HeldBytes(now)) : 0s;
+  return IsBounded() ? TimeOf(QueuedBytes(now)) : 0s;
 }
 
 void SendPacer::OnPrompt(AttemptId attempt, uint64_t bytes, Instant now) {
@@ -57,10 +58,10 @@
 void SendPacer::OnNotSent(AttemptId attempt, Instant now) {
   if (!IsBounded()) return;
   Carry(now);
-  const auto piece = std::ranges::find(m_pieces, attempt, &Piece::attempt);
-  if (piece == m_pieces.end()) return;
-  m_bytes -= piece->bytes;
-  m_pieces.erase(piece);
+  const auto chunk = std::ranges::find(m_chunks, attempt, &Chunk::attempt);
+  if (chunk == m_chunks.end()) return;
+  m_bytes -= chunk->bytes;
+  m_chunks.erase(chunk);
 }
 
 void SendPacer::Add(AttemptId attempt, uint64_t bytes, Instant now) {
@@ -68,28 +69,28 @@
   Carry(now);
   const auto added = static_cast<double>(bytes);
   m_bytes += added;
-  const bool goes_on =
-      attempt == 0 && !m_pieces.empty() && m_pieces.back().attempt == 0;
-  if (goes_on)
-    m_pieces.back().bytes += added;
+  const bool extends_last =
+      attempt == 0 && !m_chunks.empty() && m_chunks.back().attempt == 0;
+  if (extends_last)
+    m_chunks.back().bytes += added;
   else
-    m_pieces.push_back({attempt, added});
+    m_chunks.push_back({attempt, added});
 }
 
 void SendPacer::Carry(Instant now) {
-  double left = BytesIn(now - m_carried_to);
-  m_carried_to = now;
-  while (!m_pieces.empty() && m_pieces.front().bytes <= left) {
-    left -= m_pieces.front().bytes;
-    m_pieces.pop_front();
+  double left = BytesIn(now - m_drained_until);
+  m_drained_until = now;
+  while (!m_chunks.empty() && m_chunks.front().bytes <= left) {
+    left -= m_chunks.front().bytes;
+    m_chunks.pop_front();
   }
-  if (m_pieces.empty()) {
+  if (m_chunks.empty()) {
     m_bytes = 0;
     return;
   }
-  m_pieces.front().bytes -= left;
+  m_chunks.front().bytes -= left;
   m_bytes = 0;
-  for (const Piece& piece : m_pieces) m_bytes += piece.bytes;
+  for (const Chunk& chunk : m_chunks) m_bytes += chunk.bytes;
 }
 
 }  // namespace dotterelshift::gateway
--- a/src/dotterelshift/gateway/send_pacer_test.cc
+++ b/src/dotterelshift/gateway/send_pacer_test.cc
@@ -12,19 +12,19 @@
 
 class SendPacerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SendPacerTest);
-  CPPUNIT_TEST(PromptsGoOnlyAsFastAsTheLinkCarriesThem);
-  CPPUNIT_TEST(ALongPromptIsNotHeldForGood);
-  CPPUNIT_TEST(AnswersTakeTheRoomOfPrompts);
-  CPPUNIT_TEST(TheTimeThatItNamesIsTheOneAtWhichItMay);
-  CPPUNIT_TEST(OnlyWhatIsStillHeldIsGivenBack);
-  CPPUNIT_TEST(AnUnknownLinkHoldsNothingBack);
+  CPPUNIT_TEST(PromptsAreSentAtTheLinkRate);
+  CPPUNIT_TEST(LongPromptIsSentEventually);
+  CPPUNIT_TEST(OtherTrafficDelaysPrompts);
+  CPPUNIT_TEST(NextIsTheEarliestSendTime);
+  CPPUNIT_TEST(OnlyQueuedBytesAreReturned);
+  CPPUNIT_TEST(UnknownLinkRateDelaysNothing);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override { m_now = Instant(1000s); }
 
   // Guards against prompts that are written faster than the link carries them.
-  void PromptsGoOnlyAsFastAsTheLinkCarriesThem() {
+  void PromptsAreSentAtTheLinkRate() {
     SendPacer pacer = Pacer();
     uint64_t sent = 0;
     Duration most{};
@@ -35,12 +35,12 @@
       }
       most = std::max(most, pacer.Held(m_now));
     }
-    CPPUNIT_ASSERT(most <= SendPacerOptions().most_held + 1ms);
+    CPPUNIT_ASSERT(most <= SendPacerOptions().max_queued + 1ms);
     CPPUNIT_ASSERT(static_cast<double>(sent) > 0.85 * 2 * kSlowLink);
   }
 
   // Guards against a prompt that exceeds the limit and would never be sent.
-  void ALongPromptIsNotHeldForGood() {
+  void LongPromptIsSentEventually() {
     SendPacer pacer = Pacer();
     constexpr uint64_t kLong = 1'000'000;
     CPPUNIT_ASSERT(pacer.MaySend(kLong, m_now));
@@ -52,7 +52,7 @@
   }
 
   // Guards against prompts that queue in front of responses and control frames.
-  void AnswersTakeTheRoomOfPrompts() {
+  void OtherTrafficDelaysPrompts() {
     SendPacer pacer = Pacer();
     pacer.OnBytes(200'000, m_now);
     CPPUNIT_ASSERT(!pacer.MaySend(kPrompt, m_now));
@@ -64,7 +64,7 @@
   }
 
   // Guards against a timer that fires repeatedly without a prompt being sent.
-  void TheTimeThatItNamesIsTheOneAtWhichItMay() {
+  void NextIsTheEarliestSendTime() {
     SendPacer pacer = Pacer();
     for (uint64_t bytes = 1; bytes < 100'000; bytes += 997) {
       pacer.OnBytes(bytes, m_now);
@@ -76,7 +76,7 @@
   }
 
   // Guards against returning room for bytes that the link has already carried.
-  void OnlyWhatIsStillHeldIsGivenBack() {
+  void OnlyQueuedBytesAreReturned() {
     SendPacer pacer = Pacer();
     pacer.OnPrompt(1, 22'500, m_now);  // 20 ms
     pacer.OnPrompt(2, 22'500, m_now);
@@ -92,7 +92,7 @@
   }
 
   // Guards against delaying prompts when the link's rate is not known.
-  void AnUnknownLinkHoldsNothingBack() {
+  void UnknownLinkRateDelaysNothing() {
     SendPacer pacer((SendPacerOptions()));
     pacer.OnBytes(1 << 30, m_now);
     pacer.OnPrompt(1, 1 << 30, m_now);
--- a/src/dotterelshift/gateway/spend_reports.cc
+++ b/src/dotterelshift/gateway/spend_reports.cc
@@ -13,16 +13,16 @@
 
 void SpendReports::OnLent(const TeamId& team, const HostRun& to,
                           Tokens tokens) {
-  m_moves[{team, to}] += tokens;
+  m_transfers[{team, to}] += tokens;
 }
 
 std::optional<wire::ReportHoldingsT> SpendReports::Take() {
-  if (m_under_way) return std::nullopt;
-  return TakeLast();
+  if (m_in_flight) return std::nullopt;
+  return TakeFinal();
 }
 
-std::optional<wire::ReportHoldingsT> SpendReports::TakeLast() {
-  if (Gathered() == 0) return std::nullopt;
+std::optional<wire::ReportHoldingsT> SpendReports::TakeFinal() {
+  if (PendingLines() == 0) return std::nullopt;
   wire::ReportHoldingsT report;
   for (const auto& [team, spend] : m_spends) {
     auto line = std::make_unique<wire::ReportSpendT>();
@@ -32,7 +32,7 @@
     line->requests = spend.requests;
     report.spends.push_back(std::move(line));
   }
-  for (const auto& [move, tokens] : m_moves) {
+  for (const auto& [move, tokens] : m_transfers) {
     auto line = std::make_unique<wire::MoveGrantT>();
     line->budget = move.first;
     line->tokens = tokens;
@@ -41,13 +41,13 @@
     report.moves.push_back(std::move(line));
   }
   m_spends.clear();
-  m_moves.clear();
+  m_transfers.clear();
   return report;
 }
 
 bool SpendReports::OnAnswer(uint64_t sequence) {
-  if (m_under_way != sequence) return false;
-  m_under_way.reset();
+  if (m_in_flight != sequence) return false;
+  m_in_flight.reset();
   return true;
 }
 
--- a/src/dotterelshift/gateway/spend_reports_test.cc
+++ b/src/dotterelshift/gateway/spend_reports_test.cc
@@ -7,13 +7,13 @@
 
 class SpendReportsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SpendReportsTest);
-  CPPUNIT_TEST(OneReportIsUnderWayAtATime);
-  CPPUNIT_TEST(WhatGathersIsBoundedByTeamsAndReceivers);
-  CPPUNIT_TEST(TheLastReportDoesNotWait);
+  CPPUNIT_TEST(OneReportIsInFlightAtATime);
+  CPPUNIT_TEST(PendingReportIsBoundedByTeamsAndReceivers);
+  CPPUNIT_TEST(FinalReportDoesNotWait);
   CPPUNIT_TEST_SUITE_END();
 
  private:
-  void OneReportIsUnderWayAtATime() {
+  void OneReportIsInFlightAtATime() {
     CPPUNIT_ASSERT(!m_reports.Take());
     m_reports.OnSpent("t", 100, true);
     CPPUNIT_ASSERT_EQUAL(Tokens{100}, SpentIn(m_reports.Take()));
@@ -32,7 +32,7 @@
 
   // Control is unreachable for a minute of requests of 24 teams and loans to 5
   // entries.
-  void WhatGathersIsBoundedByTeamsAndReceivers() {
+  void PendingReportIsBoundedByTeamsAndReceivers() {
     constexpr int kTeams = 24;
     constexpr int kReceivers = 5;
     constexpr int kEvents = 60'000;
@@ -43,7 +43,7 @@
       m_reports.OnLent(team, {"e" + std::to_string(i % kReceivers), 1}, 3);
       lent += 3;
     }
-    CPPUNIT_ASSERT(m_reports.Gathered() <= kTeams + kTeams * kReceivers);
+    CPPUNIT_ASSERT(m_reports.PendingLines() <= kTeams + kTeams * kReceivers);
     const auto report = m_reports.Take();
     CPPUNIT_ASSERT_EQUAL(Tokens{kEvents} * 10, SpentIn(report));
     Tokens moved = 0;
@@ -51,15 +51,15 @@
     CPPUNIT_ASSERT_EQUAL(lent, moved);
   }
 
-  void TheLastReportDoesNotWait() {
+  void FinalReportDoesNotWait() {
     m_reports.OnSpent("t", 100, true);
     m_reports.Take();
     m_reports.OnSent(7);
     m_reports.OnLent("t", {"e", 1}, 40);
-    const auto last = m_reports.TakeLast();
+    const auto last = m_reports.TakeFinal();
     CPPUNIT_ASSERT(last);
     CPPUNIT_ASSERT_EQUAL(Tokens{40}, last->moves.front()->tokens);
-    CPPUNIT_ASSERT(!m_reports.TakeLast());
+    CPPUNIT_ASSERT(!m_reports.TakeFinal());
   }
 
   static Tokens SpentIn(const std::optional<wire::ReportHoldingsT>& report) {
