--- a/bench/commit_bench.cc
+++ b/bench/commit_bench.cc
@@ -59,7 +59,7 @@
         state::PlanOf(plan, version, "operator", std::move(changes))));
     commands.push_back(m_run.Command(state::ConfirmOf(plan)));
     commands.push_back(
-        m_run.Command(state::GrantAsk("budget", kManyTokens / 100)));
+        m_run.Command(state::GrantRequestOf("budget", kManyTokens / 100)));
     m_replica.Propose(std::move(commands),
                       [done](ErrorKind, const auto&) { done(); });
   }
@@ -117,7 +117,7 @@
 
   loop::Loop& m_loop;
   app::ControlReplica& m_replica;
-  state::TestRun m_run;
+  state::TestSender m_run;
   Incarnation m_incarnation;
   Instant m_end{};
   size_t m_in_proposal = 1;
--- a/bench/grant_simulation.h
+++ b/bench/grant_simulation.h
@@ -70,7 +70,7 @@
 
   void SetUp() {
     m_state = state::MakeState();
-    m_operator = state::TestRun(m_state.get(), "control", 1);
+    m_operator = state::TestSender(m_state.get(), "control", 1);
     m_consumed.assign(kTeams, 0);
     m_reserved.assign(kTeams, 0);
     for (size_t team = 0; team < kTeams; ++team) SetUpTeam(team);
@@ -382,8 +382,8 @@
   void Ask(Entry& entry, size_t team, const GrantWish& wish) {
     entry.asks[team] = Send(
         entry,
-        state::GrantAsk(BudgetOf(team), wish.wanted, wish.demand_per_second,
-                        wish.minimum),
+        state::GrantRequestOf(BudgetOf(team), wish.wanted,
+                              wish.demand_per_second, wish.minimum),
         [this, &entry, team](const wire::CommandAnswerT& answer) {
           const auto* grant = answer.body.AsGrantAnswer();
           entry.ledger->OnGrant(entry.budgets[team],
@@ -453,7 +453,7 @@
   std::priority_queue<Event> m_events;
   uint64_t m_event_number = 0;
   std::unique_ptr<state::State> m_state;
-  state::TestRun m_operator{nullptr, "", 0};
+  state::TestSender m_operator{nullptr, "", 0};
   budget::RecallCore m_recalls;
   std::vector<std::unique_ptr<Entry>> m_entries;
   std::vector<Tokens> m_consumed;  // truly, by team
--- a/bench/state_bench.cc
+++ b/bench/state_bench.cc
@@ -14,7 +14,7 @@
 #include "dotterelshift/budget/ledger.h"        // for Ledger
 #include "dotterelshift/directory/directory.h"  // for Directory
 #include "dotterelshift/state/state.h"          // for State
-#include "dotterelshift/state/state_testing.h"  // for TestRun
+#include "dotterelshift/state/state_testing.h"  // for TestSender
 
 namespace dotterelshift {
 namespace {
@@ -85,7 +85,7 @@
   }
 
   std::unique_ptr<state::State> m_state;
-  state::TestRun m_operator;
+  state::TestSender m_operator;
   std::vector<wire::ChangeT> m_changes;
   size_t m_teams = 0;
   size_t m_budgets = 0;
@@ -152,16 +152,16 @@
           f.AddBudgets(n, 100);
         },
         [n](Filled& f) {
-          state::TestRun entry(&f.GetState(), "entry", 1);
+          state::TestSender entry(&f.GetState(), "entry", 1);
           for (size_t i = 0; i < n; ++i) {
-            auto ask = state::GrantAsk(Filled::BudgetOf(i), 10, 5);
+            auto ask = state::GrantRequestOf(Filled::BudgetOf(i), 10, 5);
             entry.Send(std::move(ask), kStamp);
           }
         });
   });
   PrintSlope("bill", sizes, [&](size_t n) {
     return Measured(one_budget, [n](Filled& f) {
-      state::TestRun entry(&f.GetState(), "entry", 1);
+      state::TestSender entry(&f.GetState(), "entry", 1);
       for (size_t i = 0; i < n; ++i) {
         entry.Send(state::SettlementOf(Filled::BudgetOf(0),
                                        "~" + std::to_string(i), i, 0, 0),
@@ -171,7 +171,7 @@
   });
   PrintSlope("claim", sizes, [&](size_t n) {
     return Measured(one_budget, [n](Filled& f) {
-      state::TestRun entry(&f.GetState(), "entry", 1);
+      state::TestSender entry(&f.GetState(), "entry", 1);
       for (size_t i = 0; i < n; ++i) {
         wire::ClaimT claim;
         claim.team = "team-0";
@@ -183,7 +183,7 @@
   });
   PrintSlope("key of an aged request", sizes, [&](size_t n) {
     return Measured(one_budget, [n](Filled& f) {
-      state::TestRun entry(&f.GetState(), "entry", 1);
+      state::TestSender entry(&f.GetState(), "entry", 1);
       for (size_t i = 0; i < n; ++i) {
         entry.Send(state::SettlementOf(Filled::BudgetOf(0),
                                        "k" + std::to_string(i), i, 0, 0),
@@ -225,7 +225,7 @@
   filled.AddTeams(1, false);
   filled.AddBudgets(100, 100);
   state::State& state = filled.GetState();
-  state::TestRun entry(&state, "entry", 1);
+  state::TestSender entry(&state, "entry", 1);
   std::vector<wire::CommandBatchT> batches(200'000 / batch_size);
   AttemptId attempt = 0;
   size_t commands = 0;
@@ -244,7 +244,7 @@
     commands += batch.commands.size();
   }
   for (size_t i = 0; i < 100; ++i)
-    entry.Send(state::GrantAsk(Filled::BudgetOf(i), 10, 5), kStamp);
+    entry.Send(state::GrantRequestOf(Filled::BudgetOf(i), 10, 5), kStamp);
   const auto start = std::chrono::steady_clock::now();
   for (const wire::CommandBatchT& batch : batches) state.Apply(batch);
   const double seconds = Seconds(std::chrono::steady_clock::now() - start);
--- a/include/dotterelshift/quarantine/blocklist.h
+++ b/include/dotterelshift/quarantine/blocklist.h
@@ -14,7 +14,7 @@
   // How long a content stays blocked after control reported it. The expiry that
   // control sends is a time on control's wall clock, which the entry's cores do
   // not read. Reporting the same expiry again does not extend the block.
-  Duration hold = 600s;
+  Duration block_duration = 600s;
 };
 
 // Contents that control has quarantined. This entry refuses requests with such
@@ -29,7 +29,8 @@
   void OnPush(const wire::QuarantinePushT& push, Instant now);
 
   // Remaining time for which the content is blocked; empty if it is not.
-  std::optional<Duration> BlockedFor(uint64_t content_hash, Instant now) const;
+  std::optional<Duration> RemainingBlock(uint64_t content_hash,
+                                         Instant now) const;
 
   // Removes expired blocks.
   void OnTimer(Instant now);
--- a/include/dotterelshift/quarantine/suspects.h
+++ b/include/dotterelshift/quarantine/suspects.h
@@ -12,7 +12,7 @@
 
 struct SuspectOptions {
   // How long a suspect is kept after the last endpoint died running it.
-  Duration memory = 600s;
+  Duration retention = 600s;
   size_t max_suspects = 4096;  // beyond it the oldest is removed
 };
 
--- a/include/dotterelshift/state/compact_table.h
+++ b/include/dotterelshift/state/compact_table.h
@@ -66,31 +66,31 @@
 
   // Returns null if there is no such row.
   Row* Find(std::string_view id) {
-    const size_t place = PlaceOf(id);
-    return IsTaken(place) ? &At(m_index[place] - 1) : nullptr;
+    const size_t position = PositionOf(id);
+    return IsOccupied(position) ? &At(m_index[position] - 1) : nullptr;
   }
   const Row* Find(std::string_view id) const {
-    const size_t place = PlaceOf(id);
-    return IsTaken(place) ? &At(m_index[place] - 1) : nullptr;
+    const size_t position = PositionOf(id);
+    return IsOccupied(position) ? &At(m_index[position] - 1) : nullptr;
   }
 
   // Returns the slot of the row with this id, and true if the row was added.
   std::pair<Slot, bool> FindOrAdd(const std::string& id) {
     if ((m_size + 1) * 4 > m_index.size() * 3) Grow();
-    const size_t place = PlaceOf(id);
-    if (IsTaken(place)) return {m_index[place] - 1, false};
-    const Slot slot = TakeSlot();
+    const size_t position = PositionOf(id);
+    if (IsOccupied(position)) return {m_index[position] - 1, false};
+    const Slot slot = AllocateSlot();
     At(slot).id = id;
-    m_index[place] = slot + 1;
+    m_index[position] = slot + 1;
     ++m_size;
     return {slot, true};
   }
 
   void Erase(std::string_view id) {
-    size_t hole = PlaceOf(id);
-    if (!IsTaken(hole)) return;
-    const Slot slot = m_index[hole] - 1;
-    CloseHole(hole);
+    size_t gap = PositionOf(id);
+    if (!IsOccupied(gap)) return;
+    const Slot slot = m_index[gap] - 1;
+    BackwardShift(gap);
     At(slot) = Row();
     m_free.push_back(slot);
     --m_size;
@@ -98,52 +98,52 @@
 
  private:
   static constexpr size_t kChunk = 512;
-  static constexpr size_t kLeastIndex = 16;
+  static constexpr size_t kMinIndexSize = 16;
 
-  bool IsTaken(size_t place) const {
-    return place < m_index.size() && m_index[place] != 0;
+  bool IsOccupied(size_t position) const {
+    return position < m_index.size() && m_index[position] != 0;
   }
-  size_t HomeOf(std::string_view id) const {
+  size_t HomePosition(std::string_view id) const {
     return std::hash<std::string_view>()(id) & (m_index.size() - 1);
   }
 
   // Position of the id in the index or, if it is not there, the free position
   // where it would be inserted (linear probing).
-  size_t PlaceOf(std::string_view id) const {
+  size_t PositionOf(std::string_view id) const {
     if (m_index.empty()) return 0;
-    size_t place = HomeOf(id);
-    while (m_index[place] != 0 && At(m_index[place] - 1).id != id)
-      place = (place + 1) & (m_index.size() - 1);
-    return place;
+    size_t position = HomePosition(id);
+    while (m_index[position] != 0 && At(m_index[position] - 1).id != id)
+      position = (position + 1) & (m_index.size() - 1);
+    return position;
   }
 
   // Removes an index entry by backward shift deletion: later entries of the
   // probe sequence move up, so that all of them stay reachable.
-  void CloseHole(size_t hole) {
+  void BackwardShift(size_t gap) {
     const size_t mask = m_index.size() - 1;
-    size_t next = (hole + 1) & mask;
+    size_t next = (gap + 1) & mask;
     while (m_index[next] != 0) {
-      const size_t home = HomeOf(At(m_index[next] - 1).id);
-      const bool movable = ((next - home) & mask) >= ((next - hole) & mask);
+      const size_t home = HomePosition(At(m_index[next] - 1).id);
+      const bool movable = ((next - home) & mask) >= ((next - gap) & mask);
       if (movable) {
-        m_index[hole] = m_index[next];
-        hole = next;
+        m_index[gap] = m_index[next];
+        gap = next;
       }
       next = (next + 1) & mask;
     }
-    m_index[hole] = 0;
+    m_index[gap] = 0;
   }
 
   void Grow() {
-    const size_t size = m_index.empty() ? kLeastIndex : m_index.size() * 2;
+    const size_t size = m_index.empty() ? kMinIndexSize : m_index.size() * 2;
     m_index.assign(size, 0);
     for (Slot slot = 0; slot < m_slots; ++slot) {
       if (At(slot).id.empty()) continue;
-      m_index[PlaceOf(At(slot).id)] = slot + 1;
+      m_index[PositionOf(At(slot).id)] = slot + 1;
     }
   }
 
-  Slot TakeSlot() {
+  Slot AllocateSlot() {
     if (!m_free.empty()) {
       const Slot slot = m_free.back();
       m_free.pop_back();
--- a/include/dotterelshift/state/configuration.h
+++ b/include/dotterelshift/state/configuration.h
@@ -92,9 +92,10 @@
   struct KeyEqual {
     bool operator()(const KeyHash& a, const KeyHash& b) const;
   };
-  using SetTest = std::function<bool(const wire::EndpointSetT&)>;
+  using EndpointSetPredicate = std::function<bool(const wire::EndpointSetT&)>;
   // Whether one of the team's endpoint sets satisfies the predicate.
-  bool AnySetOf(const TeamId& team, const SetTest& test) const;
+  bool AnyEndpointSetOf(const TeamId& team,
+                        const EndpointSetPredicate& test) const;
   void ApplyOne(const wire::ChangeT& change);
   void UpsertKey(const wire::ApiKeyT& key);
   void RemoveKey(const std::string& id);
--- a/include/dotterelshift/state/packed_document.h
+++ b/include/dotterelshift/state/packed_document.h
@@ -9,7 +9,7 @@
 namespace dotterelshift::state {
 
 // Size limit of an unpacked document, in bytes.
-inline constexpr size_t kMostDocumentBytes = 32 << 20;
+inline constexpr size_t kMaxDocumentBytes = 32 << 20;
 
 // Encodes the document as a compressed delta against `base`, which is about as
 // large as their difference. With an empty base the document is compressed by
@@ -19,7 +19,7 @@
 
 // Decodes the result of PackDocument(), given the same base. Throws
 // Error(kBadFrame) if the bytes are damaged or were packed against another
-// base, or if the document is larger than kMostDocumentBytes bytes.
+// base, or if the document is larger than kMaxDocumentBytes bytes.
 std::string UnpackDocument(const std::vector<uint8_t>& packed,
                            std::string_view base);
 
--- a/include/dotterelshift/state/state.h
+++ b/include/dotterelshift/state/state.h
@@ -63,23 +63,23 @@
 
 struct StateOptions {
   // The age from which bills and finished claims are only kept as daily totals.
-  WallMs bill_age_out_ms = 3 * 24 * 3600 * 1000LL;
+  WallMs bill_retention_ms = 3 * 24 * 3600 * 1000LL;
   // Answers kept per incarnation, so that a resend gets its first answer.
-  size_t answers_kept = 4096;
+  size_t max_kept_answers = 4096;
   // Distinct endpoints that died running a content before it is quarantined.
   uint32_t quarantine_after = 3;
-  WallMs quarantine_ms = 600'000;
-  WallMs suspect_memory_ms = 3'600'000;
+  WallMs quarantine_duration_ms = 600'000;
+  WallMs suspect_retention_ms = 3'600'000;
   // How long the request keys of compacted requests are recognised.
-  WallMs expired_key_ms = 30 * 24 * 3600 * 1000LL;
+  WallMs expired_key_retention_ms = 30 * 24 * 3600 * 1000LL;
   // How long a plan that is not confirmed is kept.
-  WallMs plan_age_out_ms = 24 * 3600 * 1000LL;
+  WallMs unconfirmed_plan_retention_ms = 24 * 3600 * 1000LL;
   // How long a repeated confirmation of a plan gets its first answer.
-  WallMs confirmed_plan_ms = 30 * 24 * 3600 * 1000LL;
-  size_t changes_kept = 4096;  // of confirmed plans, for ChangesSince()
-  WallMs lease_ms = 2'000;     // GrantWay::ClockLease: idle timeout after which
-                               // unopened tokens may be granted to others
-  int64_t days_kept = 400;     // that reports reach back
+  WallMs confirmed_plan_retention_ms = 30 * 24 * 3600 * 1000LL;
+  size_t max_kept_changes = 4096;  // of confirmed plans, for ChangesSince()
+  WallMs lease_ms = 2'000;  // GrantWay::ClockLease: idle timeout after which
+                            // unopened tokens may be granted to others
+  int64_t report_retention_days = 400;  // that reports reach back
 };
 
 // Prefix of request keys that an entry generated; a caller's key may not start
@@ -120,7 +120,7 @@
   // The deltas from an older version to the current one, in order. An empty
   // list if deltas that old are no longer kept; the full document has to be
   // sent then.
-  virtual std::vector<wire::RoutesStepT> RoutesSince(
+  virtual std::vector<wire::RoutesStepT> RouteDeltasSince(
       uint64_t version) const = 0;
   // The amounts of all published totals, summed over the teams.
   virtual BudgetAccount PublishedSums() const = 0;
--- a/src/dotterelshift/app/entry_pushes.cc
+++ b/src/dotterelshift/app/entry_pushes.cc
@@ -169,7 +169,7 @@
   const state::PublishedRoutes published = state.GetPublished();
   if (entry.routes.version >= published.version) return 0;
   std::vector<wire::RoutesStepT> steps =
-      state.RoutesSince(entry.routes.version);
+      state.RouteDeltasSince(entry.routes.version);
   const bool whole = steps.empty();
   if (whole) steps.push_back(WholeRoutes(published));
   wire::RoutesPushT push;
--- a/src/dotterelshift/app/entry_pushes_test.cc
+++ b/src/dotterelshift/app/entry_pushes_test.cc
@@ -6,7 +6,7 @@
 
 #include "dotterelshift/app/leader_testing.h"     // for MockReplica
 #include "dotterelshift/state/packed_document.h"  // for PackDocument
-#include "dotterelshift/state/state_testing.h"    // for TestRun
+#include "dotterelshift/state/state_testing.h"    // for TestSender
 
 namespace dotterelshift::app {
 namespace {
@@ -188,7 +188,7 @@
   MockHub m_hub;
   MockReplica m_replica;
   EntryPushes m_pushes{m_hub, m_replica};
-  state::TestRun m_control{m_replica.state.get(), "control", 1};
+  state::TestSender m_control{m_replica.state.get(), "control", 1};
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(EntryPushesTest);
 
--- a/src/dotterelshift/app/replica_group.h
+++ b/src/dotterelshift/app/replica_group.h
@@ -130,7 +130,7 @@
 
   loop::Loop& GetLoop() { return m_loop; }
   ControlReplicaOptions& Options() { return m_options; }
-  state::TestRun& Run() { return m_run; }
+  state::TestSender& Run() { return m_run; }
 
  private:
   struct Host {
@@ -156,7 +156,7 @@
   const std::vector<HostId> m_first_members;
   ControlReplicaOptions m_options;
   std::map<HostId, Host> m_hosts;
-  state::TestRun m_run{nullptr, "operator", 1};
+  state::TestSender m_run{nullptr, "operator", 1};
   int m_plans = 0;
 };
 
--- a/src/dotterelshift/app/replica_simulation.h
+++ b/src/dotterelshift/app/replica_simulation.h
@@ -135,7 +135,7 @@
     return {};
   }
   state::PublishedRoutes GetPublished() const override { return {}; }
-  std::vector<wire::RoutesStepT> RoutesSince(uint64_t) const override {
+  std::vector<wire::RoutesStepT> RouteDeltasSince(uint64_t) const override {
     return {};
   }
   state::BudgetAccount PublishedSums() const override { return {}; }
--- a/src/dotterelshift/app/routes_port_test.cc
+++ b/src/dotterelshift/app/routes_port_test.cc
@@ -7,7 +7,7 @@
 #include "dotterelshift/app/leader_testing.h"     // for MockReplica
 #include "dotterelshift/operators/test_mocks.h"   // for MockBackend
 #include "dotterelshift/state/packed_document.h"  // for PackDocument
-#include "dotterelshift/state/state_testing.h"    // for TestRun
+#include "dotterelshift/state/state_testing.h"    // for TestSender
 
 namespace dotterelshift::app {
 namespace {
@@ -38,7 +38,7 @@
     return next;
   }
 
-  state::TestRun m_run;
+  state::TestSender m_run;
   std::deque<std::pair<wire::CommandT, Callback>> m_proposed;
 };
 
@@ -79,7 +79,7 @@
     Publish(2);
     m_backend.CommitNext();
     Publish(5);
-    state::TestRun other(m_replica.state.get(), "other", 1);
+    state::TestSender other(m_replica.state.get(), "other", 1);
     other.Send(
         RoutesCommand(3, DocumentOf(3), {}, m_replica.state->GetPublished()),
         1);
--- a/src/dotterelshift/app/routes_spread_test.cc
+++ b/src/dotterelshift/app/routes_spread_test.cc
@@ -8,7 +8,7 @@
 #include "dotterelshift/app/leader_testing.h"             // for MockReplica
 #include "dotterelshift/app/routes_port.h"                // for RoutesCommand
 #include "dotterelshift/state/routes_document_testing.h"  // for RoutesDocument
-#include "dotterelshift/state/state_testing.h"            // for TestRun
+#include "dotterelshift/state/state_testing.h"            // for TestSender
 
 namespace dotterelshift::app {
 namespace {
@@ -181,7 +181,7 @@
                   Deliver(host, frame);
                 }};
   EntryPushes m_pushes{m_hub, m_replica};
-  state::TestRun m_control{m_replica.state.get(), "control", 1};
+  state::TestSender m_control{m_replica.state.get(), "control", 1};
   std::string m_document;
   std::map<uint64_t, Instant> m_committed;               // by version
   std::map<HostId, std::map<uint64_t, Instant>> m_held;  // since when
--- a/src/dotterelshift/budget/grant_property_test.cc
+++ b/src/dotterelshift/budget/grant_property_test.cc
@@ -13,7 +13,7 @@
 #include <vector>     // for vector
 
 #include "dotterelshift/budget/ledger.h"        // for Ledger
-#include "dotterelshift/state/grants.h"         // for RecoverDead
+#include "dotterelshift/state/grants.h"         // for RecoverDeadGrant
 #include "dotterelshift/state/state_core.h"     // for MakeStateWith
 #include "dotterelshift/state/state_testing.h"  // for ChangeOf
 
@@ -28,7 +28,7 @@
 // Faulty rules: tokens that a dead incarnation may have spent without control
 // knowing are granted again.
 struct ReissuingRules {
-  static constexpr bool kKeepStandingOfTheDead = false;
+  static constexpr bool kRetainDeadPreauthorized = false;
 };
 
 // An attempt of an entry, from its reservation to its end.
@@ -243,8 +243,9 @@
         m_network.push_back(entry.outbox[entry.ask]);
       } else {
         entry.ask = Propose(
-            entry, state::GrantAsk("b", wish.wanted % 500 + wish.minimum,
-                                   static_cast<Tokens>(Draw(5)), wish.minimum));
+            entry,
+            state::GrantRequestOf("b", wish.wanted % 500 + wish.minimum,
+                                  static_cast<Tokens>(Draw(5)), wish.minimum));
       }
     }
   }
@@ -456,7 +457,7 @@
     Tokens consumed = 0;
     Tokens purchased = 0;
     for (uint64_t seed = 1; seed <= kSchedules; ++seed) {
-      World world(seed, &state::RecoverDead<state::SoundRules>);
+      World world(seed, &state::RecoverDeadGrant<state::SafetyRules>);
       const std::string failure = world.Play();
       CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed) + ": " + failure,
                              failure.empty());
@@ -472,7 +473,7 @@
   void ReissueOfADeadHoldersGrantIsCaught() {
     uint64_t caught = 0;
     for (uint64_t seed = 1; seed <= kSchedules; ++seed) {
-      World world(seed, &state::RecoverDead<ReissuingRules>);
+      World world(seed, &state::RecoverDeadGrant<ReissuingRules>);
       if (world.Play().starts_with("consumed")) ++caught;
     }
     std::cout << "grants: reissued grants detected in " << caught << " of "
--- a/src/dotterelshift/gateway/core.cc
+++ b/src/dotterelshift/gateway/core.cc
@@ -45,7 +45,7 @@
   ErrorKind error = FindRoute(active);
   if (error == ErrorKind::kNone) error = FindTeam(active);
   if (error == ErrorKind::kNone && m_dependencies.blocklist != nullptr &&
-      m_dependencies.blocklist->BlockedFor(active.info.content_hash, now))
+      m_dependencies.blocklist->RemainingBlock(active.info.content_hash, now))
     error = ErrorKind::kQuarantined;
   if (error != ErrorKind::kNone) return Fail(active, error, 0s, now);
   Admit(active, now);
--- a/src/dotterelshift/operators/api_test.cc
+++ b/src/dotterelshift/operators/api_test.cc
@@ -6,7 +6,7 @@
 
 #include "dotterelshift/operators/render.h"      // for ParseDay
 #include "dotterelshift/operators/test_mocks.h"  // for MockBackend
-#include "dotterelshift/state/state_testing.h"   // for TestRun
+#include "dotterelshift/state/state_testing.h"   // for TestSender
 
 namespace dotterelshift::operators {
 namespace {
@@ -287,10 +287,10 @@
     wire::CommandT command;
     command.body.Set(std::move(routes));
     m_backend->Propose(std::move(command), [](ErrorKind, const auto&) {});
-    state::TestRun dead(m_backend->state.get(), "entry-1", 1);
-    dead.Send(state::GrantAsk("ucad", 300), 1);
-    state::TestRun live(m_backend->state.get(), "entry-1", 2);
-    live.Send(state::GrantAsk("ucad", 100), 1);
+    state::TestSender dead(m_backend->state.get(), "entry-1", 1);
+    dead.Send(state::GrantRequestOf("ucad", 300), 1);
+    state::TestSender live(m_backend->state.get(), "entry-1", 2);
+    live.Send(state::GrantRequestOf("ucad", 100), 1);
     const json budget = json::parse(Send("GET", "budget?budget=ucad").body)[0];
     CPPUNIT_ASSERT_EQUAL(1000, budget["bought"].get<int>());
     CPPUNIT_ASSERT_EQUAL(300, budget["stranded"].get<int>());
--- a/src/dotterelshift/operators/test_mocks.h
+++ b/src/dotterelshift/operators/test_mocks.h
@@ -82,8 +82,9 @@
   state::PublishedRoutes GetPublished() const override {
     return m_real.GetPublished();
   }
-  std::vector<wire::RoutesStepT> RoutesSince(uint64_t version) const override {
-    return m_real.RoutesSince(version);
+  std::vector<wire::RoutesStepT> RouteDeltasSince(
+      uint64_t version) const override {
+    return m_real.RouteDeltasSince(version);
   }
   state::BudgetAccount PublishedSums() const override {
     return m_real.PublishedSums();
--- a/src/dotterelshift/orders/order_core_test.cc
+++ b/src/dotterelshift/orders/order_core_test.cc
@@ -2,7 +2,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
-#include "dotterelshift/state/state_testing.h"  // for TestRun
+#include "dotterelshift/state/state_testing.h"  // for TestSender
 
 namespace dotterelshift::orders {
 namespace {
@@ -21,7 +21,7 @@
  public:
   void setUp() override {
     m_state = state::MakeState();
-    m_run = state::TestRun(m_state.get(), "control", 1);
+    m_run = state::TestSender(m_state.get(), "control", 1);
     m_directory = directory::Directory();
     m_core = MakeOrderCore(m_options);
     m_now = Instant(1000s);
@@ -195,7 +195,7 @@
 
   OrderOptions m_options;
   std::unique_ptr<state::State> m_state;
-  state::TestRun m_run{nullptr, "", 0};
+  state::TestSender m_run{nullptr, "", 0};
   directory::Directory m_directory;
   std::unique_ptr<OrderCore> m_core;
   Instant m_now;
--- a/src/dotterelshift/plan/planner_test.cc
+++ b/src/dotterelshift/plan/planner_test.cc
@@ -22,7 +22,7 @@
  public:
   void setUp() override {
     m_state = state::MakeState();
-    m_run = state::TestRun(m_state.get(), "control", 1);
+    m_run = state::TestSender(m_state.get(), "control", 1);
     m_plans = 0;
     Intent intent;
     intent.endpoint_sets.push_back(SetOf("drafting", {"draft", "big"}));
@@ -122,8 +122,8 @@
   }
 
   void RetirementIsToldAndWarnedOf() {
-    state::TestRun entry(m_state.get(), "entry", 5);
-    entry.Send(state::GrantAsk("b", 200, 1), 1);
+    state::TestSender entry(m_state.get(), "entry", 5);
+    entry.Send(state::GrantRequestOf("b", 200, 1), 1);
     Intent intent;
     wire::RetireHolderT body;
     body.host = "entry";
@@ -186,7 +186,7 @@
   }
 
   std::unique_ptr<state::State> m_state;
-  state::TestRun m_run{nullptr, "", 0};
+  state::TestSender m_run{nullptr, "", 0};
   int m_plans = 0;
 };
 
--- a/src/dotterelshift/quarantine/suspects.cc
+++ b/src/dotterelshift/quarantine/suspects.cc
@@ -54,7 +54,7 @@
 
 void Suspects::OnTimer(Instant now) {
   std::erase_if(m_suspects, [this, now](const auto& item) {
-    return now - item.second >= m_options.memory;
+    return now - item.second >= m_options.retention;
   });
 }
 
--- a/src/dotterelshift/serving/arrival.cc
+++ b/src/dotterelshift/serving/arrival.cc
@@ -34,8 +34,8 @@
   const ErrorKind refusal = Identify(request);
   if (refusal != ErrorKind::kNone) {
     Fail(request, refusal, now);
-  } else if (const auto blocked =
-                 m_blocklist.BlockedFor(request->caller.content_hash, now)) {
+  } else if (const auto blocked = m_blocklist.RemainingBlock(
+                 request->caller.content_hash, now)) {
     Fail(request, ErrorKind::kQuarantined, now, WaitSeconds(*blocked));
   } else {
     Enqueue(request, now);
--- a/src/dotterelshift/serving/attempt_end.cc
+++ b/src/dotterelshift/serving/attempt_end.cc
@@ -154,7 +154,7 @@
 void Core::OnReported(Request* request, Instant now) {
   if (request->stage != Stage::kReporting) return;
   const uint64_t content = request->caller.content_hash;
-  if (m_blocklist.BlockedFor(content, now)) request->retry_wanted = false;
+  if (m_blocklist.RemainingBlock(content, now)) request->retry_wanted = false;
   GoOnAfterFailure(request, now);
 }
 
@@ -173,7 +173,8 @@
   if (now >= request.deadline) return false;
   if (request.attempts >= m_options.max_attempts) return false;
   if (!NotRun(end) && !request.caller.idempotent) return false;
-  if (m_blocklist.BlockedFor(request.caller.content_hash, now)) return false;
+  if (m_blocklist.RemainingBlock(request.caller.content_hash, now))
+    return false;
   // An attempt that was not sent caused no load, so that its retry is not
   // counted against the retry budget.
   if (end == AttemptEnd::kNotSent || m_retries.TryTake()) return true;
--- a/src/dotterelshift/serving/request_core.cc
+++ b/src/dotterelshift/serving/request_core.cc
@@ -73,7 +73,7 @@
     const bool waits = request->stage == Stage::kQueued ||
                        request->stage == Stage::kBudget ||
                        request->stage == Stage::kApart;
-    if (waits && m_blocklist.BlockedFor(request->caller.content_hash, now))
+    if (waits && m_blocklist.RemainingBlock(request->caller.content_hash, now))
       blocked.push_back(request.get());
   }
   for (Request* request : blocked) Fail(request, ErrorKind::kQuarantined, now);
--- a/src/dotterelshift/serving/serving_property_test.cc
+++ b/src/dotterelshift/serving/serving_property_test.cc
@@ -199,7 +199,7 @@
 
   // Another host proposes the settlements that this entry spooled.
   void MergeSpool(size_t at) {
-    state::TestRun spooler(m_control.state.get(), "spooler", ++m_spools);
+    state::TestSender spooler(m_control.state.get(), "spooler", ++m_spools);
     wire::RegisterHostT registration;
     spooler.Send(registration, ++m_control.stamp);
     for (const wire::CommandT& command : m_entries[at]->spooled)
--- a/src/dotterelshift/serving/serving_testing.h
+++ b/src/dotterelshift/serving/serving_testing.h
@@ -12,7 +12,7 @@
 #include <vector>     // for vector
 
 #include "dotterelshift/serving/request_core.h"  // for RequestCore
-#include "dotterelshift/state/state_testing.h"   // for TestRun
+#include "dotterelshift/state/state_testing.h"   // for TestSender
 
 // A test environment for the request core, with the real ledger, queue,
 // directory, router and state. The test plays control, endpoints and callers.
@@ -86,7 +86,7 @@
                   std::move(changes), ++stamp);
   }
 
-  state::TestRun m_operator;
+  state::TestSender m_operator;
   int m_plans = 0;
 };
 
--- a/src/dotterelshift/state/answers.cc
+++ b/src/dotterelshift/state/answers.cc
@@ -6,7 +6,7 @@
 namespace {
 
 template <typename Answers>
-auto PlaceOf(Answers& answers, uint64_t sequence) {
+auto PositionOf(Answers& answers, uint64_t sequence) {
   return std::lower_bound(answers.begin(), answers.end(), sequence,
                           [](const KeptAnswer& kept, uint64_t wanted) {
                             return kept.sequence < wanted;
@@ -30,11 +30,11 @@
 
 }  // namespace
 
-Resend LookUpAnswer(const Host& host, const wire::CommandT& command,
-                    wire::CommandAnswerT& answer) {
+Resend FindKeptAnswer(const Host& host, const wire::CommandT& command,
+                      wire::CommandAnswerT& answer) {
   const uint64_t sequence = command.id->sequence;
   if (sequence < host.floor) return Resend::kTooOld;
-  const auto kept = PlaceOf(host.answers, sequence);
+  const auto kept = PositionOf(host.answers, sequence);
   if (kept == host.answers.end() || kept->sequence != sequence)
     return Resend::kNew;
   const auto whole = host.long_answers.find(sequence);
@@ -61,11 +61,11 @@
   if (answer.body.type == wire::AnswerBody::SettleAnswer)
     kept.value = answer.body.AsSettleAnswer()->first_bill ? 1 : 0;
   if (!IsShort(answer)) host.long_answers[kept.sequence] = answer;
-  host.answers.insert(PlaceOf(host.answers, kept.sequence), kept);
+  host.answers.insert(PositionOf(host.answers, kept.sequence), kept);
   while (host.answers.size() > limit) DropOldest(host);
 }
 
-void ForgetAnswers(Host& host, uint64_t below) {
+void DropAnswersBelow(Host& host, uint64_t below) {
   while (!host.answers.empty() && host.answers.front().sequence < below)
     DropOldest(host);
   host.floor = std::max(host.floor, below);
--- a/src/dotterelshift/state/answers.h
+++ b/src/dotterelshift/state/answers.h
@@ -11,11 +11,11 @@
 
 // Whether the command was applied before; if so, `answer` is set to its first
 // answer.
-Resend LookUpAnswer(const Host& host, const wire::CommandT& command,
-                    wire::CommandAnswerT& answer);
+Resend FindKeptAnswer(const Host& host, const wire::CommandT& command,
+                      wire::CommandAnswerT& answer);
 
 // Drops the answers to sequences below `below`, which the sender has received.
-void ForgetAnswers(Host& host, uint64_t below);
+void DropAnswersBelow(Host& host, uint64_t below);
 
 // Stores an answer and drops the oldest ones beyond `limit`.
 void KeepAnswer(Host& host, const wire::CommandAnswerT& answer, size_t limit);
--- a/src/dotterelshift/state/apply_confirm_plan.cc
+++ b/src/dotterelshift/state/apply_confirm_plan.cc
@@ -1,8 +1,8 @@
 #include <algorithm>  // for find
 
 #include "dotterelshift/state/apply.h"           // for Apply
-#include "dotterelshift/state/grants.h"          // for BuryRun
-#include "dotterelshift/state/plan_conflicts.h"  // for FindObstacle
+#include "dotterelshift/state/grants.h"          // for MarkIncarnationDead
+#include "dotterelshift/state/plan_conflicts.h"  // for FindPlanRejection
 #include "dotterelshift/state/plan_orders.h"     // for AddOrders
 
 namespace dotterelshift::state {
@@ -15,23 +15,23 @@
   explicit PlanCheck(const Tables& tables) : m_tables(tables) {}
 
   // Returns an empty string if the change is valid, else what is wrong with it.
-  std::string Look(const wire::ChangeBodyUnion& body) {
+  std::string Check(const wire::ChangeBodyUnion& body) {
     if (body.type == wire::ChangeBody::UpsertBudget)
-      return LookAtBudget(*body.AsUpsertBudget()->budget);
+      return CheckBudgetOwner(*body.AsUpsertBudget()->budget);
     if (body.type != wire::ChangeBody::TopUp) return "";
     const wire::TopUpT& top_up = *body.AsTopUp();
     if (m_tables.top_ups.contains(top_up.id)) return "";
     if (top_up.id.empty()) return "a top-up has no id";
     if (!m_ids.insert(top_up.id).second)
       return "top-up " + top_up.id + " stands twice";
-    return LookAtAmount(top_up);
+    return CheckTopUp(top_up);
   }
 
  private:
   // A budget cannot change its team: its past spend belongs to the reports of
   // the first one.
-  std::string LookAtBudget(const wire::BudgetT& budget) {
-    m_made.insert(budget.id);
+  std::string CheckBudgetOwner(const wire::BudgetT& budget) {
+    m_new_budgets.insert(budget.id);
     if (budget.id.empty()) return "a budget has no id";
     const Account* account = m_tables.accounts.Find(budget.id);
     if (account == nullptr) return "";
@@ -40,11 +40,11 @@
     return "budget " + budget.id + " is, or was, of team " + team;
   }
 
-  std::string LookAtAmount(const wire::TopUpT& top_up) {
+  std::string CheckTopUp(const wire::TopUpT& top_up) {
     const Account* account = m_tables.accounts.Find(top_up.budget);
     const bool known =
         m_tables.configuration.FindBudget(top_up.budget) != nullptr ||
-        m_made.contains(top_up.budget);
+        m_new_budgets.contains(top_up.budget);
     if (!known) return "no budget " + top_up.budget;
     if (top_up.tokens <= 0 || top_up.tokens > kMaxTokens)
       return "top-up " + top_up.id + " is out of range";
@@ -56,16 +56,16 @@
   }
 
   const Tables& m_tables;
-  std::set<std::string> m_made;
+  std::set<std::string> m_new_budgets;
   std::set<std::string> m_ids;
   std::map<BudgetId, Tokens> m_sums;
 };
 
-std::string WrongWith(const Tables& tables, const wire::PlanT& plan) {
+std::string FindPlanError(const Tables& tables, const wire::PlanT& plan) {
   PlanCheck check(tables);
   for (const auto& change : plan.changes) {
-    std::string wrong = check.Look(change->body);
-    if (!wrong.empty()) return wrong;
+    std::string problem = check.Check(change->body);
+    if (!problem.empty()) return problem;
   }
   return "";
 }
@@ -75,13 +75,13 @@
 // may have spent them. The remainder is freed only if it was dead already.
 void Retire(Context& context, const wire::RetireHolderT& body) {
   Tables& tables = context.tables;
-  const std::optional<RunNumber> run =
-      tables.FindRun({body.host, body.incarnation});
+  const std::optional<IncarnationIndex> run =
+      tables.FindIncarnation({body.host, body.incarnation});
   if (!run) return;
   if (tables.runs[*run].dead)
-    RetireRun(tables, *run, context.stamp);
+    RetireIncarnation(tables, *run, context.stamp);
   else
-    BuryRun(tables, *run, context.recover);
+    MarkIncarnationDead(tables, *run, context.recover);
 }
 
 void MakeAccount(Tables& tables, const wire::BudgetT& budget) {
@@ -90,7 +90,7 @@
     tables.accounts.At(slot).team = tables.teams.FindOrAdd(budget.team).first;
 }
 
-void CarryOut(Context& context, const wire::ChangeBodyUnion& body) {
+void ExecuteChange(Context& context, const wire::ChangeBodyUnion& body) {
   Tables& tables = context.tables;
   if (body.type == wire::ChangeBody::UpsertBudget)
     MakeAccount(tables, *body.AsUpsertBudget()->budget);
@@ -103,15 +103,15 @@
 }
 
 // Keeps the bodies of the newest confirmed plans, up to
-// StateOptions::changes_kept changes, and drops the older ones.
-void DropOldBodies(Tables& tables) {
+// StateOptions::max_kept_changes changes, and drops the older ones.
+void DropOldPlanBodies(Tables& tables) {
   size_t kept = 0;
   for (auto entry = tables.plan_by_version.rbegin();
        entry != tables.plan_by_version.rend(); ++entry) {
     StoredPlan& stored = tables.plans.at(entry->second);
     const bool newest = entry == tables.plan_by_version.rbegin();
     kept += stored.plan.changes.size();
-    if (newest || kept <= tables.options.changes_kept) continue;
+    if (newest || kept <= tables.options.max_kept_changes) continue;
     if (!stored.has_body) return;
     stored.has_body = false;
     stored.plan.changes.clear();
@@ -130,9 +130,10 @@
   stored.version = tables.configuration.Version() + 1;
   stored.confirmed = context.stamp;
   tables.configuration.Apply(changes, stored.version);
-  for (const wire::ChangeT& change : changes) CarryOut(context, change.body);
+  for (const wire::ChangeT& change : changes)
+    ExecuteChange(context, change.body);
   tables.plan_by_version[stored.version] = stored.plan.id;
-  DropOldBodies(tables);
+  DropOldPlanBodies(tables);
 }
 
 }  // namespace
@@ -145,12 +146,12 @@
     return Refuse(answer, ErrorKind::kPlanUnknown, command.plan);
   StoredPlan& stored = found->second;
   if (stored.version == 0) {
-    const std::optional<PlanObstacle> obstacle =
-        FindObstacle(tables, stored.plan);
-    if (obstacle) return Refuse(answer, obstacle->kind, obstacle->detail);
-    std::string wrong = WrongWith(tables, stored.plan);
-    if (!wrong.empty())
-      return Refuse(answer, ErrorKind::kBadIntent, std::move(wrong));
+    const std::optional<PlanRejection> rejection =
+        FindPlanRejection(tables, stored.plan);
+    if (rejection) return Refuse(answer, rejection->kind, rejection->detail);
+    std::string problem = FindPlanError(tables, stored.plan);
+    if (!problem.empty())
+      return Refuse(answer, ErrorKind::kBadIntent, std::move(problem));
     if (!command.author.empty()) stored.plan.author = command.author;
     Confirm(context, stored);
   }
--- a/src/dotterelshift/state/apply_open_attempt.cc
+++ b/src/dotterelshift/state/apply_open_attempt.cc
@@ -24,8 +24,8 @@
     return Refuse(answer, ErrorKind::kNoBudget, command.budget);
   Grant* grant = FindGrant(*account, context.run);
   const Tokens unopened =
-      grant == nullptr ? 0 : grant->tokens - grant->Opened();
-  if (!IsAmount(command.reserved))
+      grant == nullptr ? 0 : grant->tokens - grant->OpenedTokens();
+  if (!IsValidAmount(command.reserved))
     return Refuse(answer, ErrorKind::kBadFrame, "amount out of range");
   const bool open = grant != nullptr &&
                     std::any_of(grant->openings.begin(), grant->openings.end(),
--- a/src/dotterelshift/state/apply_published.cc
+++ b/src/dotterelshift/state/apply_published.cc
@@ -16,10 +16,10 @@
 }
 
 // Number of deltas kept for entries that are some versions behind.
-constexpr size_t kMostSteps = 32;
+constexpr size_t kMaxDeltas = 32;
 
 // Larger deltas are not kept: sending the full document takes no longer.
-constexpr size_t kMostStepBytes = 32 << 10;
+constexpr size_t kMaxDeltaBytes = 32 << 10;
 
 // The document that a command publishes. Throws Error(kVersionMoved) if it is a
 // delta from a version other than the current one, and Error(kBadFrame) if it
@@ -35,22 +35,22 @@
   return UnpackDocument(command.packed, published.document);
 }
 
-void KeepStep(Published& published, const wire::PublishRoutesT& command) {
-  const bool leads_on =
-      command.base > 0 && command.packed.size() <= kMostStepBytes;
-  if (!leads_on) return published.steps.clear();
+void AppendDelta(Published& published, const wire::PublishRoutesT& command) {
+  const bool is_kept =
+      command.base > 0 && command.packed.size() <= kMaxDeltaBytes;
+  if (!is_kept) return published.steps.clear();
   wire::RoutesStepT step;
   step.base = command.base;
   step.version = command.version;
   step.packed = command.packed;
   published.steps.push_back(std::move(step));
-  if (published.steps.size() > kMostSteps) published.steps.pop_front();
+  if (published.steps.size() > kMaxDeltas) published.steps.pop_front();
 }
 
-void TakeTotals(Tables& tables, const wire::PublishRoutesT& command) {
+void ApplyTotals(Tables& tables, const wire::PublishRoutesT& command) {
   tables.published.totals.clear();
   for (const auto& total : command.totals) {
-    if (total == nullptr || !IsAmount(total->tokens)) continue;
+    if (total == nullptr || !IsValidAmount(total->tokens)) continue;
     tables.published.totals[total->team] = total->tokens;
     AccountOf(tables, total->team).amounts.purchased = total->tokens;
   }
@@ -70,9 +70,9 @@
     } catch (const Error& error) {
       return Refuse(answer, error.Kind(), error.what());
     }
-    KeepStep(published, command);
+    AppendDelta(published, command);
     published.version = command.version;
-    TakeTotals(context.tables, command);
+    ApplyTotals(context.tables, command);
   }
   wire::RoutesAnswerT body;
   body.version = published.version;
@@ -89,7 +89,7 @@
   Account* account = tables.accounts.Find(command.budget);
   if (account == nullptr)
     return Refuse(answer, ErrorKind::kNoBudget, command.budget);
-  if (!IsAmount(command.spent))
+  if (!IsValidAmount(command.spent))
     return Refuse(answer, ErrorKind::kBadFrame, "amount out of range");
   BudgetAccount& amounts = account->amounts;
   Grant& grant = GrantOf(*account, context.run);
@@ -116,11 +116,11 @@
   Account* account = tables.accounts.Find(command.budget);
   if (account == nullptr)
     return Refuse(answer, ErrorKind::kNoBudget, command.budget);
-  const std::optional<RunNumber> receiver =
-      tables.FindRun({command.to_host, command.to_incarnation});
+  const std::optional<IncarnationIndex> receiver =
+      tables.FindIncarnation({command.to_host, command.to_incarnation});
   if (!receiver)
     return Refuse(answer, ErrorKind::kBadField, "receiver not known");
-  if (!IsAmount(command.tokens))
+  if (!IsValidAmount(command.tokens))
     return Refuse(answer, ErrorKind::kBadFrame, "amount out of range");
   Grant& from = GrantOf(*account, context.run);
   from.tokens -= command.tokens;
@@ -142,11 +142,11 @@
 // receiver is not known, its tokens stay with the sender.
 void Apply(Context& context, const wire::ReportHoldingsT& command,
            wire::CommandAnswerT& answer) {
-  wire::CommandAnswerT of_part;
+  wire::CommandAnswerT item_answer;
   for (const auto& spend : command.spends)
-    if (spend != nullptr) Apply(context, *spend, of_part);
+    if (spend != nullptr) Apply(context, *spend, item_answer);
   for (const auto& move : command.moves)
-    if (move != nullptr) Apply(context, *move, of_part);
+    if (move != nullptr) Apply(context, *move, item_answer);
   Answer(answer, wire::DoneAnswerT());
 }
 
--- a/src/dotterelshift/state/apply_request_grant.cc
+++ b/src/dotterelshift/state/apply_request_grant.cc
@@ -8,31 +8,32 @@
 namespace dotterelshift::state {
 namespace {
 
-// A grant takes at most 1 / kShareOfFree of the free tokens, unless its minimum
+// A grant takes at most 1 / kFreeDivisor of the free tokens, unless its minimum
 // is more, so that near the end of a budget one holder does not keep the last
 // tokens from the others.
-constexpr Tokens kShareOfFree = 4;
+constexpr Tokens kFreeDivisor = 4;
 
 // Takes back the unopened tokens of holders that have sent nothing for
 // StateOptions::lease_ms milliseconds. This needs no trusted clock: the next
 // opening of such a holder is refused, and without an opening it may not
 // dispatch.
-void ReclaimLapsed(Context& context, Account& account) {
+void ReclaimExpiredLeases(Context& context, Account& account) {
   Tables& tables = context.tables;
-  const WallMs silent = context.stamp - tables.options.lease_ms;
+  const WallMs expired_before = context.stamp - tables.options.lease_ms;
   for (Grant& grant : account.MutableGrants()) {
     if (grant.dead || grant.run == context.run) continue;
-    if (tables.runs[grant.run].heard > silent) continue;
-    const Tokens kept = std::min(grant.tokens, grant.Opened() + grant.standing);
+    if (tables.runs[grant.run].last_command > expired_before) continue;
+    const Tokens kept =
+        std::min(grant.tokens, grant.OpenedTokens() + grant.standing);
     account.amounts.granted -= grant.tokens - kept;
     grant.tokens = kept;
   }
 }
 
-Tokens SizeOf(const wire::RequestGrantT& command, Tokens free) {
+Tokens GrantSize(const wire::RequestGrantT& command, Tokens free) {
   // Negative if a published total was lowered below what is held.
   if (free <= 0 || free < command.minimum) return 0;
-  const Tokens share = std::max(command.minimum, free / kShareOfFree);
+  const Tokens share = std::max(command.minimum, free / kFreeDivisor);
   return std::min({std::max(command.wanted, command.minimum), share, free});
 }
 
@@ -40,47 +41,48 @@
 // may hold. What they hold is lost if they all die at once. With half of the
 // remainder they can serve through a cut of ten seconds from control, until the
 // last fifth of a day.
-constexpr Tokens kHeldPercent = 45;
+constexpr Tokens kMaxHeldPercent = 45;
 
 // The reserve of a published total, in thousandths. Entries do not hold it:
 // control grants it to small requests one at a time, so that some of these are
 // still served after all entries died at once with the tokens that they held.
 // It is smaller than the last fraction of a total, which entries spread over
 // time.
-constexpr Tokens kReservePerMille = 8;
+constexpr Tokens kControlReservePerMille = 8;
 
-// A request is small if its minimum is at most 1 / kRequestsOfReserve of the
+// A request is small if its minimum is at most 1 / kReserveDivisor of the
 // reserve.
-constexpr Tokens kRequestsOfReserve = 4;
+constexpr Tokens kReserveDivisor = 4;
 
 // Grants the minimum, which covers the requests that wait, and one second of
 // the holder's demand in any case, and more only while all holders together
-// stay below kHeldPercent of the remainder. With the minimum alone, where
+// stay below kMaxHeldPercent of the remainder. With the minimum alone, where
 // others hold that share and spend little, a holder would serve one request per
 // answer from control.
-Tokens SizeOfPublished(const wire::RequestGrantT& command,
-                       const BudgetAccount& amounts) {
+Tokens PublishedGrantSize(const wire::RequestGrantT& command,
+                          const BudgetAccount& amounts) {
   const Tokens free = amounts.Free();
   if (free <= 0 || free < command.minimum) return 0;
   const Tokens second =
-      std::min(command.demand_per_second, free / kShareOfFree);
+      std::min(command.demand_per_second, free / kFreeDivisor);
   const Tokens left = free + amounts.granted;
-  const Tokens may_hold = left / 100 * kHeldPercent - amounts.granted;
-  const Tokens reserve = amounts.purchased / 1000 * kReservePerMille;
-  const Tokens wanted = std::max(
-      command.minimum, std::min(command.wanted, std::max(may_hold, second)));
+  const Tokens max_additional = left / 100 * kMaxHeldPercent - amounts.granted;
+  const Tokens reserve = amounts.purchased / 1000 * kControlReservePerMille;
+  const Tokens wanted =
+      std::max(command.minimum,
+               std::min(command.wanted, std::max(max_additional, second)));
   const Tokens size = std::min(free - reserve, wanted);
   if (size > 0 && size >= command.minimum) return size;
-  const bool small = command.minimum <= reserve / kRequestsOfReserve;
+  const bool small = command.minimum <= reserve / kReserveDivisor;
   return small ? command.minimum : 0;
 }
 
 // How much the pre-authorized amount grows, which the holder may spend without
 // openings.
-Tokens StandingGrowth(const wire::TeamT& team, const Grant& grant) {
-  const budget::HoldingFacts facts{grant.tokens, grant.tokens - grant.Opened(),
-                                   grant.demand_per_second,
-                                   team.partition_seconds};
+Tokens PreauthorizedIncrease(const wire::TeamT& team, const Grant& grant) {
+  const budget::HoldingFacts facts{
+      grant.tokens, grant.tokens - grant.OpenedTokens(),
+      grant.demand_per_second, team.partition_seconds};
   const Tokens target = budget::WithWay(team.grant_way, [&facts](auto policy) {
     return decltype(policy)::StandingTarget(facts);
   });
@@ -118,24 +120,24 @@
   const std::optional<wire::TeamT> team = TermsOf(tables, command.budget);
   if (account == nullptr || !team)
     return Refuse(answer, ErrorKind::kNoBudget, command.budget);
-  if (!IsAmount(command.wanted) || !IsAmount(command.minimum) ||
-      !IsAmount(command.demand_per_second))
+  if (!IsValidAmount(command.wanted) || !IsValidAmount(command.minimum) ||
+      !IsValidAmount(command.demand_per_second))
     return Refuse(answer, ErrorKind::kBadFrame, "amount out of range");
 
   if (Lapses(*team) && account->amounts.Free() < command.wanted)
-    ReclaimLapsed(context, *account);
+    ReclaimExpiredLeases(context, *account);
   Grant& grant = GrantOf(*account, context.run);
   wire::GrantAnswerT body;
   body.budget = command.budget;
   const bool published = tables.published.totals.contains(command.budget);
-  body.tokens = published ? SizeOfPublished(command, account->amounts)
-                          : SizeOf(command, account->amounts.Free());
+  body.tokens = published ? PublishedGrantSize(command, account->amounts)
+                          : GrantSize(command, account->amounts.Free());
   grant.tokens += body.tokens;
   grant.demand_per_second = command.demand_per_second;
   account->amounts.granted += body.tokens;
   // Published totals are spent without openings, and entries transfer tokens to
   // each other, so the pre-authorized amount equals the whole grant.
-  body.standing = published ? body.tokens : StandingGrowth(*team, grant);
+  body.standing = published ? body.tokens : PreauthorizedIncrease(*team, grant);
   grant.standing += body.standing;
   body.free = account->amounts.Free();
   body.elsewhere = account->amounts.granted - grant.tokens;
--- a/src/dotterelshift/state/apply_return_grant.cc
+++ b/src/dotterelshift/state/apply_return_grant.cc
@@ -12,8 +12,8 @@
     return Refuse(answer, ErrorKind::kNoBudget, command.budget);
   Grant* grant = FindGrant(*account, context.run);
   const Tokens unopened =
-      grant == nullptr ? 0 : grant->tokens - grant->Opened();
-  if (!IsAmount(command.tokens) || !IsAmount(command.standing))
+      grant == nullptr ? 0 : grant->tokens - grant->OpenedTokens();
+  if (!IsValidAmount(command.tokens) || !IsValidAmount(command.standing))
     return Refuse(answer, ErrorKind::kBadFrame, "amount out of range");
   if (grant != nullptr) {
     // The grant may hold less, if an expired lease was reclaimed before.
--- a/src/dotterelshift/state/apply_settle.cc
+++ b/src/dotterelshift/state/apply_settle.cc
@@ -10,14 +10,15 @@
 
 // The incarnation that spent the tokens: the sender, unless it settles the
 // spool of another incarnation.
-std::optional<RunNumber> Spender(const Context& context,
-                                 const wire::SettleT& settle) {
+std::optional<IncarnationIndex> Spender(const Context& context,
+                                        const wire::SettleT& settle) {
   if (settle.holder.empty()) return context.run;
-  return context.tables.FindRun({settle.holder, settle.holder_incarnation});
+  return context.tables.FindIncarnation(
+      {settle.holder, settle.holder_incarnation});
 }
 
 // Ends the committed opening of the attempt. Returns false if it had none.
-bool EndOpening(Grant& grant, uint64_t attempt) {
+bool CloseOpening(Grant& grant, uint64_t attempt) {
   const auto found = std::find_if(
       grant.openings.begin(), grant.openings.end(),
       [attempt](const Opening& o) { return o.attempt == attempt; });
@@ -28,8 +29,8 @@
 
 // What the settlement adds to the spend. The openings of a retired incarnation
 // were counted as spent in full before.
-Tokens Uncounted(const Tables& tables, RunNumber spender,
-                 const wire::SettleT& settle) {
+Tokens UncountedSpend(const Tables& tables, IncarnationIndex spender,
+                      const wire::SettleT& settle) {
   const bool written_off = tables.runs[spender].retired && settle.witnessed;
   return written_off ? 0 : settle.spent;
 }
@@ -37,21 +38,21 @@
 // Charges the spend to the holder's grant, then to the free tokens of the
 // account, and counts the rest as overdrawn, which only a faulty holder or a
 // mistaken retirement causes.
-void Charge(Context& context, Account& account, RunNumber spender,
+void Charge(Context& context, Account& account, IncarnationIndex spender,
             const wire::SettleT& settle) {
   BudgetAccount& amounts = account.amounts;
-  Tokens rest = Uncounted(context.tables, spender, settle);
+  Tokens rest = UncountedSpend(context.tables, spender, settle);
   Grant* grant = FindGrant(account, spender);
   if (grant != nullptr) {
-    EndOpening(*grant, settle.attempt);
-    const Tokens taken = std::min(rest, grant->tokens);
-    grant->tokens -= taken;
-    (grant->dead ? amounts.lost : amounts.granted) -= taken;
-    amounts.settled += taken;
-    rest -= taken;
+    CloseOpening(*grant, settle.attempt);
+    const Tokens charged = std::min(rest, grant->tokens);
+    grant->tokens -= charged;
+    (grant->dead ? amounts.lost : amounts.granted) -= charged;
+    amounts.settled += charged;
+    rest -= charged;
     if (!settle.witnessed)
       grant->standing = std::max<Tokens>(0, grant->standing - settle.spent);
-    if (grant->dead) FreeUncovered(account, *grant, context.recover);
+    if (grant->dead) ReleaseUncovered(account, *grant, context.recover);
   }
   const Tokens from_free = std::min(rest, amounts.Free());
   amounts.settled += from_free;
@@ -60,7 +61,7 @@
   DropIfEmpty(account, spender);
 }
 
-void Count(std::vector<uint64_t>& counts, int64_t value) {
+void AddToHistogram(std::vector<uint64_t>& counts, int64_t value) {
   constexpr size_t kBuckets = std::size(kTimeBucketsMs);
   counts.resize(kBuckets + 1);
   const auto* bound = std::lower_bound(std::begin(kTimeBucketsMs),
@@ -87,14 +88,14 @@
   ++day.answered;
   const std::string& label =
       settle.request_class.empty() ? "default" : settle.request_class;
-  Count(day.first_token_ms[label], settle.first_token_ms);
-  Count(day.total_ms[label], settle.total_ms);
+  AddToHistogram(day.first_token_ms[label], settle.first_token_ms);
+  AddToHistogram(day.total_ms[label], settle.total_ms);
 }
 
 // Ends the claim of a request. A request that was not run releases its claim,
 // so that a resend may run.
-void EndClaim(Tables& tables, const RequestDigest& digest, RunNumber spender,
-              const wire::SettleT& settle) {
+void EndClaim(Tables& tables, const RequestDigest& digest,
+              IncarnationIndex spender, const wire::SettleT& settle) {
   ClaimEntry* claim = FindClaim(tables, digest);
   if (claim == nullptr || !settle.last_attempt || claim->run != spender) return;
   // A duplicate settlement of an earlier claim does not concern this one.
@@ -108,9 +109,9 @@
   claim->progress = ClaimProgress::kRan;
 }
 
-bool IsSane(const wire::SettleT& settle) {
-  return IsAmount(settle.spent) && IsAmount(settle.billed) &&
-         IsAmount(settle.reserved) && settle.billed <= settle.spent;
+bool HasValidAmounts(const wire::SettleT& settle) {
+  return IsValidAmount(settle.spent) && IsValidAmount(settle.billed) &&
+         IsValidAmount(settle.reserved) && settle.billed <= settle.spent;
 }
 
 }  // namespace
@@ -121,9 +122,9 @@
   Account* account = tables.accounts.Find(settle.budget);
   if (account == nullptr)
     return Refuse(answer, ErrorKind::kNoBudget, settle.budget);
-  if (!IsSane(settle))
+  if (!HasValidAmounts(settle))
     return Refuse(answer, ErrorKind::kBadFrame, "amount out of range");
-  const std::optional<RunNumber> spender = Spender(context, settle);
+  const std::optional<IncarnationIndex> spender = Spender(context, settle);
   if (!spender)
     return Refuse(answer, ErrorKind::kStaleIncarnation, "holder not known");
 
@@ -142,7 +143,7 @@
   body.first_bill = billable && !IsBilled(tables, digest);
   Charge(context, *account, *spender, settle);
   if (body.first_bill) account->amounts.billed += settle.billed;
-  Report(context, *account, settle, Uncounted(tables, *spender, settle),
+  Report(context, *account, settle, UncountedSpend(tables, *spender, settle),
          body.first_bill);
   AddAttempt(tables, digest, settle.request_key,
              {settle.attempt, *spender, body.first_bill});
--- a/src/dotterelshift/state/apply_store_plan.cc
+++ b/src/dotterelshift/state/apply_store_plan.cc
@@ -4,9 +4,9 @@
 namespace {
 
 // Limit of unconfirmed plans; beyond it the oldest one is dropped.
-constexpr size_t kMaxWaiting = 200;
+constexpr size_t kMaxUnconfirmedPlans = 200;
 
-void DropOldestWaiting(Tables& tables) {
+void DropOldestUnconfirmed(Tables& tables) {
   size_t waiting = 0;
   auto oldest = tables.plans.end();
   for (auto plan = tables.plans.begin(); plan != tables.plans.end(); ++plan) {
@@ -16,7 +16,7 @@
                        plan->second.stored < oldest->second.stored;
     if (older) oldest = plan;
   }
-  if (waiting > kMaxWaiting) tables.plans.erase(oldest);
+  if (waiting > kMaxUnconfirmedPlans) tables.plans.erase(oldest);
 }
 
 }  // namespace
@@ -31,12 +31,12 @@
   StoredPlan fresh;
   fresh.plan = *command.plan;
   fresh.stored = context.stamp;
-  const auto place =
+  const auto position =
       tables.plans.try_emplace(command.plan->id, std::move(fresh)).first;
   wire::PlanAnswerT body;
   body.plan = command.plan->id;
-  body.version = place->second.version;
-  DropOldestWaiting(tables);
+  body.version = position->second.version;
+  DropOldestUnconfirmed(tables);
   Answer(answer, std::move(body));
 }
 
--- a/src/dotterelshift/state/apply_suspect.cc
+++ b/src/dotterelshift/state/apply_suspect.cc
@@ -6,7 +6,7 @@
 // A content that was never the only request in flight when its endpoints died
 // is quarantined after this many times as many endpoints, because another
 // request may be the cause.
-constexpr uint32_t kFactorInCompany = 2;
+constexpr uint32_t kSharedEndpointFactor = 2;
 
 // Contents beyond this number are not tracked, which bounds the memory under a
 // flood of reports.
@@ -23,16 +23,16 @@
     return Refuse(answer, ErrorKind::kOverloaded, "too many suspects");
   Suspect& suspect = tables.suspects[command.content_hash];
   const bool forgotten =
-      known && suspect.last + options.suspect_memory_ms < context.stamp;
+      known && suspect.last + options.suspect_retention_ms < context.stamp;
   if (forgotten) suspect = Suspect();
   suspect.last = context.stamp;
   suspect.alone = suspect.alone || command.alone;
   const uint32_t limit =
-      options.quarantine_after * (suspect.alone ? 1 : kFactorInCompany);
+      options.quarantine_after * (suspect.alone ? 1 : kSharedEndpointFactor);
   const bool counts = suspect.endpoints.size() < limit;
   if (counts) suspect.endpoints.insert(command.endpoint);
   if (suspect.endpoints.size() >= limit)
-    suspect.quarantined_until = context.stamp + options.quarantine_ms;
+    suspect.quarantined_until = context.stamp + options.quarantine_duration_ms;
   wire::SuspectAnswerT body;
   body.content_hash = command.content_hash;
   body.endpoints = static_cast<uint32_t>(suspect.endpoints.size());
--- a/src/dotterelshift/state/compact_table_test.cc
+++ b/src/dotterelshift/state/compact_table_test.cc
@@ -16,12 +16,12 @@
 
 class CompactTableTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CompactTableTest);
-  CPPUNIT_TEST(AgreesWithAMapUnderRandomChanges);
-  CPPUNIT_TEST(RowsKeepTheirPlace);
+  CPPUNIT_TEST(MatchesStdMapUnderRandomChanges);
+  CPPUNIT_TEST(RowAddressesAreStable);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AgreesWithAMapUnderRandomChanges() {
+  void MatchesStdMapUnderRandomChanges() {
     CompactTable<Row> table;
     std::map<std::string, int> model;
     std::mt19937_64 random(5);
@@ -48,7 +48,7 @@
     CPPUNIT_ASSERT_EQUAL(model.size(), table.size());
   }
 
-  void RowsKeepTheirPlace() {
+  void RowAddressesAreStable() {
     CompactTable<Row> table;
     const Row* first = &table.At(table.FindOrAdd("first").first);
     for (int i = 0; i < 5000; ++i) table.FindOrAdd(std::to_string(i));
--- a/src/dotterelshift/state/configuration.cc
+++ b/src/dotterelshift/state/configuration.cc
@@ -14,7 +14,7 @@
   return std::find(list.begin(), list.end(), name) != list.end();
 }
 
-bool Names(const wire::EndpointSetT& set, const std::string& name) {
+bool Includes(const wire::EndpointSetT& set, const std::string& name) {
   return Contains(set.models, name) || Contains(set.services, name);
 }
 
@@ -47,9 +47,9 @@
 
 // Whether any endpoint set has the name in the given list.
 template <typename Sets>
-bool AnySetNames(const Sets& sets,
-                 std::vector<std::string> wire::EndpointSetT::*list,
-                 const std::string& name) {
+bool AnySetIncludes(const Sets& sets,
+                    std::vector<std::string> wire::EndpointSetT::*list,
+                    const std::string& name) {
   return std::any_of(sets.begin(), sets.end(), [&](const auto& entry) {
     return Contains(entry.second.*list, name);
   });
@@ -162,8 +162,8 @@
   row = budget;
   std::vector<Slot>& budgets = m_budgets_of_team[budget.team];
   const auto at = std::lower_bound(budgets.begin(), budgets.end(), budget.id,
-                                   [this](Slot place, const BudgetId& id) {
-                                     return m_budgets.At(place).id < id;
+                                   [this](Slot position, const BudgetId& id) {
+                                     return m_budgets.At(position).id < id;
                                    });
   budgets.insert(at, slot);
 }
@@ -237,7 +237,8 @@
   return ids;
 }
 
-bool Configuration::AnySetOf(const TeamId& team, const SetTest& test) const {
+bool Configuration::AnyEndpointSetOf(const TeamId& team,
+                                     const EndpointSetPredicate& test) const {
   const wire::TeamT* found = FindTeam(team);
   if (found == nullptr) return false;
   return std::any_of(found->endpoint_sets.begin(), found->endpoint_sets.end(),
@@ -249,31 +250,33 @@
 
 Reach Configuration::ReachOfModel(const TeamId& team,
                                   const ModelName& model) const {
-  const bool allowed = AnySetOf(team, [&](const wire::EndpointSetT& set) {
-    return Contains(set.models, model);
-  });
+  const bool allowed =
+      AnyEndpointSetOf(team, [&](const wire::EndpointSetT& set) {
+        return Contains(set.models, model);
+      });
   if (allowed) return Reach::kAllowed;
   const bool known =
       FindPlacement(model) != nullptr ||
-      AnySetNames(m_endpoint_sets, &wire::EndpointSetT::models, model);
+      AnySetIncludes(m_endpoint_sets, &wire::EndpointSetT::models, model);
   return known ? Reach::kOutOfReach : Reach::kUnknown;
 }
 
 Reach Configuration::ReachOfService(const TeamId& team,
                                     const std::string& service) const {
-  const bool allowed = AnySetOf(team, [&](const wire::EndpointSetT& set) {
-    return Contains(set.services, service);
-  });
+  const bool allowed =
+      AnyEndpointSetOf(team, [&](const wire::EndpointSetT& set) {
+        return Contains(set.services, service);
+      });
   if (allowed) return Reach::kAllowed;
-  return AnySetNames(m_endpoint_sets, &wire::EndpointSetT::services, service)
+  return AnySetIncludes(m_endpoint_sets, &wire::EndpointSetT::services, service)
              ? Reach::kOutOfReach
              : Reach::kUnknown;
 }
 
 bool Configuration::MayUse(const TeamId& team, const EndpointId& endpoint,
                            const std::string& model_or_service) const {
-  return AnySetOf(team, [&](const wire::EndpointSetT& set) {
-    if (!Names(set, model_or_service)) return false;
+  return AnyEndpointSetOf(team, [&](const wire::EndpointSetT& set) {
+    if (!Includes(set, model_or_service)) return false;
     return set.endpoints.empty() || Contains(set.endpoints, endpoint);
   });
 }
--- a/src/dotterelshift/state/configuration_test.cc
+++ b/src/dotterelshift/state/configuration_test.cc
@@ -70,8 +70,8 @@
   CPPUNIT_TEST_SUITE(ConfigurationTest);
   CPPUNIT_TEST(TeamIsFoundByItsKeyOnly);
   CPPUNIT_TEST(ReachFollowsEndpointSets);
-  CPPUNIT_TEST(RemovedTeamTakesKeysAndBudgetsAlong);
-  CPPUNIT_TEST(ChangesMakeTheSameConfiguration);
+  CPPUNIT_TEST(RemovingATeamRemovesItsKeysAndBudgets);
+  CPPUNIT_TEST(AsChangesRebuildsTheConfiguration);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -115,7 +115,7 @@
     CPPUNIT_ASSERT(!c.MayUse("nobody", "e1", "draft"));
   }
 
-  void RemovedTeamTakesKeysAndBudgetsAlong() {
+  void RemovingATeamRemovesItsKeysAndBudgets() {
     CPPUNIT_ASSERT((m_configuration.BudgetsOf("dakar") ==
                     std::vector<BudgetId>{"b1", "b2"}));
     wire::RemoveTeamT body;
@@ -128,7 +128,7 @@
     CPPUNIT_ASSERT(m_configuration.BudgetsOf("dakar").empty());
   }
 
-  void ChangesMakeTheSameConfiguration() {
+  void AsChangesRebuildsTheConfiguration() {
     Configuration copy;
     copy.Apply(m_configuration.AsChanges(), 7);
     CPPUNIT_ASSERT(BytesOf(copy.AsChanges()) ==
--- a/src/dotterelshift/state/checks.cc
+++ b/src/dotterelshift/state/consistency_checks.cc
@@ -1,4 +1,4 @@
-#include "dotterelshift/state/checks.h"
+#include "dotterelshift/state/consistency_checks.h"
 
 #include <algorithm>  // for sort
 #include <map>        // for map
--- a/src/dotterelshift/state/checks.h
+++ b/src/dotterelshift/state/consistency_checks.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHIFT_STATE_CHECKS_H_
-#define DOTTERELSHIFT_STATE_CHECKS_H_
+#ifndef DOTTERELSHIFT_STATE_CONSISTENCY_CHECKS_H_
+#define DOTTERELSHIFT_STATE_CONSISTENCY_CHECKS_H_
 
 #include <string>  // for string
 #include <vector>  // for vector
@@ -14,4 +14,4 @@
 
 }  // namespace dotterelshift::state
 
-#endif  // DOTTERELSHIFT_STATE_CHECKS_H_
+#endif  // DOTTERELSHIFT_STATE_CONSISTENCY_CHECKS_H_
--- a/src/dotterelshift/state/grants.cc
+++ b/src/dotterelshift/state/grants.cc
@@ -5,7 +5,7 @@
 namespace dotterelshift::state {
 namespace {
 
-auto Place(Account& account, RunNumber run) {
+auto Place(Account& account, IncarnationIndex run) {
   std::vector<Grant>& grants = account.MutableGrants();
   return std::find_if(grants.begin(), grants.end(),
                       [run](const Grant& grant) { return grant.run == run; });
@@ -14,7 +14,7 @@
 // Counts the openings of a retired incarnation as spent, the worst case.
 void WriteOffOpenings(Tables& tables, Account& account, Grant& grant,
                       WallMs stamp) {
-  const Tokens spent = std::min(grant.tokens, grant.Opened());
+  const Tokens spent = std::min(grant.tokens, grant.OpenedTokens());
   grant.tokens -= spent;
   grant.openings.clear();
   account.amounts.lost -= spent;
@@ -25,13 +25,13 @@
 
 }  // namespace
 
-Grant* FindGrant(Account& account, RunNumber run) {
+Grant* FindGrant(Account& account, IncarnationIndex run) {
   if (account.Grants().empty()) return nullptr;
   const auto found = Place(account, run);
   return found == account.MutableGrants().end() ? nullptr : &*found;
 }
 
-Grant& GrantOf(Account& account, RunNumber run) {
+Grant& GrantOf(Account& account, IncarnationIndex run) {
   Grant* found = FindGrant(account, run);
   if (found != nullptr) return *found;
   std::vector<Grant>& grants = account.MutableGrants();
@@ -39,7 +39,7 @@
   return grants.back();
 }
 
-void DropIfEmpty(Account& account, RunNumber run) {
+void DropIfEmpty(Account& account, IncarnationIndex run) {
   std::vector<Grant>& grants = account.MutableGrants();
   const auto found = Place(account, run);
   if (found == grants.end()) return account.DropGrantsIfEmpty();
@@ -50,7 +50,8 @@
   account.DropGrantsIfEmpty();
 }
 
-void BuryRun(Tables& tables, RunNumber run, RecoverGrant recover) {
+void MarkIncarnationDead(Tables& tables, IncarnationIndex run,
+                         RecoverGrant recover) {
   tables.runs[run].dead = true;
   for (const auto& [budget, account] : tables.accounts) {
     Grant* grant = FindGrant(account, run);
@@ -64,13 +65,13 @@
   }
 }
 
-void FreeUncovered(Account& account, Grant& grant, RecoverGrant recover) {
+void ReleaseUncovered(Account& account, Grant& grant, RecoverGrant recover) {
   const Recovery recovery = recover(grant);
   account.amounts.lost -= recovery.freed;
   grant.tokens = recovery.lost;
 }
 
-void RetireRun(Tables& tables, RunNumber run, WallMs stamp) {
+void RetireIncarnation(Tables& tables, IncarnationIndex run, WallMs stamp) {
   tables.runs[run].retired = true;
   for (const auto& [budget, account] : tables.accounts) {
     Grant* grant = FindGrant(account, run);
--- a/src/dotterelshift/state/packed_document.cc
+++ b/src/dotterelshift/state/packed_document.cc
@@ -14,20 +14,20 @@
 namespace {
 
 // Fast, yet finds the unchanged text in documents of several megabytes.
-constexpr int kLevel = 3;
+constexpr int kCompressionLevel = 3;
 
 // Bounds of the window size in zstd, as powers of two of bytes.
-constexpr int kLeastWindow = 10;
-constexpr int kMostWindow = 27;
+constexpr int kMinWindowLog = 10;
+constexpr int kMaxWindowLog = 27;
 
 // A packed document starts with a hash of its base. Without it, a wrong base
 // would go unnoticed if the delta copies none of the bytes that differ.
 using BaseHash = XXH64_hash_t;
 
-struct FreeCompressor {
+struct CompressorDeleter {
   void operator()(ZSTD_CCtx* context) const { ZSTD_freeCCtx(context); }
 };
-struct FreeDecompressor {
+struct DecompressorDeleter {
   void operator()(ZSTD_DCtx* context) const { ZSTD_freeDCtx(context); }
 };
 
@@ -42,22 +42,23 @@
 
 // A window that covers both the base and the document, so that matches are
 // found anywhere in them.
-int WindowOf(size_t bytes) {
-  return std::clamp(static_cast<int>(std::bit_width(bytes)), kLeastWindow,
-                    kMostWindow);
+int WindowLogFor(size_t bytes) {
+  return std::clamp(static_cast<int>(std::bit_width(bytes)), kMinWindowLog,
+                    kMaxWindowLog);
 }
 
 }  // namespace
 
 std::vector<uint8_t> PackDocument(std::string_view document,
                                   std::string_view base) {
-  const std::unique_ptr<ZSTD_CCtx, FreeCompressor> context(ZSTD_createCCtx());
+  const std::unique_ptr<ZSTD_CCtx, CompressorDeleter> context(
+      ZSTD_createCCtx());
   const auto set = [&](ZSTD_cParameter parameter, int value) {
     Checked(ZSTD_CCtx_setParameter(context.get(), parameter, value),
             ErrorKind::kInternal);
   };
-  set(ZSTD_c_compressionLevel, kLevel);
-  set(ZSTD_c_windowLog, WindowOf(document.size() + base.size()));
+  set(ZSTD_c_compressionLevel, kCompressionLevel);
+  set(ZSTD_c_windowLog, WindowLogFor(document.size() + base.size()));
   set(ZSTD_c_checksumFlag, 1);
   Checked(ZSTD_CCtx_refPrefix(context.get(), base.data(), base.size()),
           ErrorKind::kInternal);
@@ -86,9 +87,10 @@
   const uint8_t* frame = packed.data() + sizeof hash;
   const size_t frame_bytes = packed.size() - sizeof hash;
   const auto size = ZSTD_getFrameContentSize(frame, frame_bytes);
-  if (size > kMostDocumentBytes)  // also true if unknown, or not a frame
+  if (size > kMaxDocumentBytes)  // also true if unknown, or not a frame
     throw Error(ErrorKind::kBadFrame, "packed document of unknown size");
-  const std::unique_ptr<ZSTD_DCtx, FreeDecompressor> context(ZSTD_createDCtx());
+  const std::unique_ptr<ZSTD_DCtx, DecompressorDeleter> context(
+      ZSTD_createDCtx());
   Checked(ZSTD_DCtx_refPrefix(context.get(), base.data(), base.size()),
           ErrorKind::kBadFrame);
   std::string document(size, '\0');
--- a/src/dotterelshift/state/packed_document_test.cc
+++ b/src/dotterelshift/state/packed_document_test.cc
@@ -10,8 +10,8 @@
 
 class PackedDocumentTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PackedDocumentTest);
-  CPPUNIT_TEST(AChangeIsAsLargeAsWhatChanged);
-  CPPUNIT_TEST(AnyDocumentComesBack);
+  CPPUNIT_TEST(PackedSizeFollowsTheChange);
+  CPPUNIT_TEST(AnyDocumentRoundTrips);
   CPPUNIT_TEST(AnotherBaseIsRefused);
   CPPUNIT_TEST(DamagedBytesAreRefused);
   CPPUNIT_TEST_SUITE_END();
@@ -26,19 +26,19 @@
     return false;
   }
 
-  void AChangeIsAsLargeAsWhatChanged() {
-    constexpr size_t kMostBytes = 2 << 10;
+  void PackedSizeFollowsTheChange() {
+    constexpr size_t kMaxBytes = 2 << 10;
     for (const size_t routes : {10, 1'400, 19'000}) {
       const std::string base = RoutesDocument({.version = 7, .routes = routes});
       const std::string next = RoutesDocument(
           {.version = 8, .routes = routes, .changed = routes / 2});
       const auto packed = PackDocument(next, base);
-      CPPUNIT_ASSERT(packed.size() <= kMostBytes);
+      CPPUNIT_ASSERT(packed.size() <= kMaxBytes);
       CPPUNIT_ASSERT(UnpackDocument(packed, base) == next);
     }
   }
 
-  void AnyDocumentComesBack() {
+  void AnyDocumentRoundTrips() {
     const std::string large = RoutesDocument({.routes = 100});
     const std::string documents[] = {"", "x", "{}", large, large + large};
     for (const std::string& base : documents) {
--- a/src/dotterelshift/state/plan_conflicts.cc
+++ b/src/dotterelshift/state/plan_conflicts.cc
@@ -10,108 +10,110 @@
 // How a change accesses an object. Two plans may both read or both add to an
 // object. They conflict if both write or remove it, and if one removes what the
 // other accesses in any way.
-enum Use : uint8_t { kRead = 1, kAdd = 2, kWrite = 4, kRemove = 8 };
-using Uses = std::map<std::string, uint8_t>;
+enum Access : uint8_t { kRead = 1, kAdd = 2, kWrite = 4, kRemove = 8 };
+using AccessMap = std::map<std::string, uint8_t>;
 
-void UseBody(const wire::UpsertTeamT& body, Uses& uses) {
-  uses["team " + body.team->id] |= kWrite;
+void AddBodyAccess(const wire::UpsertTeamT& body, AccessMap& accesses) {
+  accesses["team " + body.team->id] |= kWrite;
   for (const std::string& set : body.team->endpoint_sets)
-    uses["endpoint set " + set] |= kRead;
+    accesses["endpoint set " + set] |= kRead;
 }
-void UseBody(const wire::RemoveTeamT& body, Uses& uses) {
-  uses["team " + body.id] |= kRemove;
+void AddBodyAccess(const wire::RemoveTeamT& body, AccessMap& accesses) {
+  accesses["team " + body.id] |= kRemove;
 }
-void UseBody(const wire::UpsertKeyT& body, Uses& uses) {
-  uses["key " + body.key->id] |= kWrite;
-  uses["team " + body.key->team] |= kRead;
+void AddBodyAccess(const wire::UpsertKeyT& body, AccessMap& accesses) {
+  accesses["key " + body.key->id] |= kWrite;
+  accesses["team " + body.key->team] |= kRead;
 }
-void UseBody(const wire::RemoveKeyT& body, Uses& uses) {
-  uses["key " + body.id] |= kRemove;
+void AddBodyAccess(const wire::RemoveKeyT& body, AccessMap& accesses) {
+  accesses["key " + body.id] |= kRemove;
 }
-void UseBody(const wire::UpsertBudgetT& body, Uses& uses) {
-  uses["budget " + body.budget->id] |= kWrite;
-  uses["team " + body.budget->team] |= kRead;
+void AddBodyAccess(const wire::UpsertBudgetT& body, AccessMap& accesses) {
+  accesses["budget " + body.budget->id] |= kWrite;
+  accesses["team " + body.budget->team] |= kRead;
 }
-void UseBody(const wire::TopUpT& body, Uses& uses) {
-  uses["budget " + body.budget] |= kAdd;
+void AddBodyAccess(const wire::TopUpT& body, AccessMap& accesses) {
+  accesses["budget " + body.budget] |= kAdd;
 }
-void UseBody(const wire::UpsertEndpointSetT& body, Uses& uses) {
-  uses["endpoint set " + body.endpoint_set->id] |= kWrite;
+void AddBodyAccess(const wire::UpsertEndpointSetT& body, AccessMap& accesses) {
+  accesses["endpoint set " + body.endpoint_set->id] |= kWrite;
 }
-void UseBody(const wire::RemoveEndpointSetT& body, Uses& uses) {
-  uses["endpoint set " + body.id] |= kRemove;
+void AddBodyAccess(const wire::RemoveEndpointSetT& body, AccessMap& accesses) {
+  accesses["endpoint set " + body.id] |= kRemove;
 }
-void UseBody(const wire::UpsertPlacementT& body, Uses& uses) {
-  uses["placement " + body.placement->model] |= kWrite;
+void AddBodyAccess(const wire::UpsertPlacementT& body, AccessMap& accesses) {
+  accesses["placement " + body.placement->model] |= kWrite;
 }
-void UseBody(const wire::RemovePlacementT& body, Uses& uses) {
-  uses["placement " + body.model] |= kRemove;
+void AddBodyAccess(const wire::RemovePlacementT& body, AccessMap& accesses) {
+  accesses["placement " + body.model] |= kRemove;
 }
-void UseBody(const wire::RetireHolderT& body, Uses& uses) {
-  uses["holder " + body.host] |= kWrite;
+void AddBodyAccess(const wire::RetireHolderT& body, AccessMap& accesses) {
+  accesses["holder " + body.host] |= kWrite;
 }
 // All changes of replicas conflict: replicas are replaced one at a time.
-void UseBody(const wire::AddReplicaT&, Uses& uses) {
-  uses["replicas"] |= kWrite;
+void AddBodyAccess(const wire::AddReplicaT&, AccessMap& accesses) {
+  accesses["replicas"] |= kWrite;
 }
-void UseBody(const wire::RemoveReplicaT&, Uses& uses) {
-  uses["replicas"] |= kWrite;
+void AddBodyAccess(const wire::RemoveReplicaT&, AccessMap& accesses) {
+  accesses["replicas"] |= kWrite;
 }
 
-void UseChange(const wire::ChangeBodyUnion& body, Uses& uses) {
+void AddChangeAccess(const wire::ChangeBodyUnion& body, AccessMap& accesses) {
   using wire::ChangeBody;
   switch (body.type) {
     case ChangeBody::UpsertTeam:
-      return UseBody(*body.AsUpsertTeam(), uses);
+      return AddBodyAccess(*body.AsUpsertTeam(), accesses);
     case ChangeBody::RemoveTeam:
-      return UseBody(*body.AsRemoveTeam(), uses);
+      return AddBodyAccess(*body.AsRemoveTeam(), accesses);
     case ChangeBody::UpsertKey:
-      return UseBody(*body.AsUpsertKey(), uses);
+      return AddBodyAccess(*body.AsUpsertKey(), accesses);
     case ChangeBody::RemoveKey:
-      return UseBody(*body.AsRemoveKey(), uses);
+      return AddBodyAccess(*body.AsRemoveKey(), accesses);
     case ChangeBody::UpsertBudget:
-      return UseBody(*body.AsUpsertBudget(), uses);
+      return AddBodyAccess(*body.AsUpsertBudget(), accesses);
     case ChangeBody::TopUp:
-      return UseBody(*body.AsTopUp(), uses);
+      return AddBodyAccess(*body.AsTopUp(), accesses);
     case ChangeBody::UpsertEndpointSet:
-      return UseBody(*body.AsUpsertEndpointSet(), uses);
+      return AddBodyAccess(*body.AsUpsertEndpointSet(), accesses);
     case ChangeBody::RemoveEndpointSet:
-      return UseBody(*body.AsRemoveEndpointSet(), uses);
+      return AddBodyAccess(*body.AsRemoveEndpointSet(), accesses);
     case ChangeBody::UpsertPlacement:
-      return UseBody(*body.AsUpsertPlacement(), uses);
+      return AddBodyAccess(*body.AsUpsertPlacement(), accesses);
     case ChangeBody::RemovePlacement:
-      return UseBody(*body.AsRemovePlacement(), uses);
+      return AddBodyAccess(*body.AsRemovePlacement(), accesses);
     case ChangeBody::RetireHolder:
-      return UseBody(*body.AsRetireHolder(), uses);
+      return AddBodyAccess(*body.AsRetireHolder(), accesses);
     case ChangeBody::AddReplica:
-      return UseBody(*body.AsAddReplica(), uses);
+      return AddBodyAccess(*body.AsAddReplica(), accesses);
     case ChangeBody::RemoveReplica:
-      return UseBody(*body.AsRemoveReplica(), uses);
+      return AddBodyAccess(*body.AsRemoveReplica(), accesses);
     case ChangeBody::NONE:
       return;
   }
 }
 
-Uses UsesOf(const wire::PlanT& plan) {
-  Uses uses;
-  for (const auto& change : plan.changes) UseChange(change->body, uses);
-  return uses;
+AccessMap AccessesOf(const wire::PlanT& plan) {
+  AccessMap accesses;
+  for (const auto& change : plan.changes)
+    AddChangeAccess(change->body, accesses);
+  return accesses;
 }
 
-bool Clash(uint8_t one, uint8_t other) {
-  const auto changes = [](uint8_t use) {
-    return (use & (kWrite | kRemove)) != 0;
+bool Conflicts(uint8_t one, uint8_t other) {
+  const auto changes = [](uint8_t access) {
+    return (access & (kWrite | kRemove)) != 0;
   };
   if (changes(one) && changes(other)) return true;
   return ((one & kRemove) != 0 && other != 0) ||
          ((other & kRemove) != 0 && one != 0);
 }
 
-std::string ClashesOf(const Uses& mine, const wire::PlanT& other) {
+std::string ConflictingObjects(const AccessMap& mine,
+                               const wire::PlanT& other) {
   std::string objects;
-  for (const auto& [object, use] : UsesOf(other)) {
+  for (const auto& [object, access] : AccessesOf(other)) {
     const auto found = mine.find(object);
-    if (found == mine.end() || !Clash(found->second, use)) continue;
+    if (found == mine.end() || !Conflicts(found->second, access)) continue;
     if (!objects.empty()) objects += ", ";
     objects += object;
   }
@@ -120,34 +122,34 @@
 
 }  // namespace
 
-std::optional<PlanObstacle> FindObstacle(const Tables& tables,
-                                         const wire::PlanT& plan) {
-  const Uses mine = UsesOf(plan);
-  PlanObstacle obstacle;
+std::optional<PlanRejection> FindPlanRejection(const Tables& tables,
+                                               const wire::PlanT& plan) {
+  const AccessMap mine = AccessesOf(plan);
+  PlanRejection rejection;
   const uint64_t newest = tables.configuration.Version();
   if (plan.base_version > newest)
-    return PlanObstacle{ErrorKind::kPlanStale, "its base is not known here"};
+    return PlanRejection{ErrorKind::kPlanStale, "its base is not known here"};
   for (uint64_t version = plan.base_version + 1; version <= newest; ++version) {
     const auto id = tables.plan_by_version.find(version);
     const StoredPlan* other = id == tables.plan_by_version.end()
                                   ? nullptr
                                   : &tables.plans.at(id->second);
     if (other == nullptr || !other->has_body)
-      return PlanObstacle{ErrorKind::kPlanStale,
-                          "its base is too old to compare; plan again"};
-    const std::string objects = ClashesOf(mine, other->plan);
+      return PlanRejection{ErrorKind::kPlanStale,
+                           "its base is too old to compare; plan again"};
+    const std::string objects = ConflictingObjects(mine, other->plan);
     if (objects.empty()) continue;
     const bool equal_base = other->plan.base_version == plan.base_version;
-    const bool first = obstacle.kind == ErrorKind::kNone;
+    const bool first = rejection.kind == ErrorKind::kNone;
     if (first)
-      obstacle.kind =
+      rejection.kind =
           equal_base ? ErrorKind::kPlanConflict : ErrorKind::kPlanStale;
-    obstacle.detail += (first ? "" : "; ") + objects + " changed by " +
-                       other->plan.author + " (plan " + other->plan.id +
-                       ", version " + std::to_string(version) + ")";
+    rejection.detail += (first ? "" : "; ") + objects + " changed by " +
+                        other->plan.author + " (plan " + other->plan.id +
+                        ", version " + std::to_string(version) + ")";
   }
-  if (obstacle.kind == ErrorKind::kNone) return std::nullopt;
-  return obstacle;
+  if (rejection.kind == ErrorKind::kNone) return std::nullopt;
+  return rejection;
 }
 
 }  // namespace dotterelshift::state
--- a/src/dotterelshift/state/plan_conflicts.h
+++ b/src/dotterelshift/state/plan_conflicts.h
@@ -11,7 +11,7 @@
 namespace dotterelshift::state {
 
 // Why a plan can no longer be confirmed.
-struct PlanObstacle {
+struct PlanRejection {
   ErrorKind kind = ErrorKind::kNone;
   std::string detail;  // who changed which objects since
 };
@@ -20,8 +20,8 @@
 // kPlanConflict if a plan with the same base changed the same objects, and
 // kPlanStale if one with another base did, or if the changes since the base are
 // no longer kept. Empty if the plan may be confirmed.
-std::optional<PlanObstacle> FindObstacle(const Tables& tables,
-                                         const wire::PlanT& plan);
+std::optional<PlanRejection> FindPlanRejection(const Tables& tables,
+                                               const wire::PlanT& plan);
 
 }  // namespace dotterelshift::state
 
--- a/src/dotterelshift/state/plan_orders.cc
+++ b/src/dotterelshift/state/plan_orders.cc
@@ -22,10 +22,10 @@
 }
 
 // Appends what an endpoint of the new placement still has to load or change.
-void OrdersOfEndpoint(const EndpointId& endpoint,
-                      const wire::ModelPlacementT* before,
-                      const wire::ModelPlacementT& after,
-                      std::vector<wire::OrderT>* orders) {
+void AppendEndpointOrders(const EndpointId& endpoint,
+                          const wire::ModelPlacementT* before,
+                          const wire::ModelPlacementT& after,
+                          std::vector<wire::OrderT>* orders) {
   const bool had = before != nullptr && Contains(before->endpoints, endpoint);
   const bool load = !had || before->version != after.version;
   if (load)
@@ -59,7 +59,7 @@
   std::vector<wire::OrderT> orders;
   if (after != nullptr)
     for (const EndpointId& endpoint : after->endpoints)
-      OrdersOfEndpoint(endpoint, before, *after, &orders);
+      AppendEndpointOrders(endpoint, before, *after, &orders);
   if (before == nullptr) return orders;
   for (const EndpointId& endpoint : before->endpoints) {
     const bool stays = after != nullptr && Contains(after->endpoints, endpoint);
--- a/src/dotterelshift/state/published_test.cc
+++ b/src/dotterelshift/state/published_test.cc
@@ -5,7 +5,7 @@
 #include "dotterelshift/base/error.h"             // for ErrorKind
 #include "dotterelshift/state/packed_document.h"  // for PackDocument
 #include "dotterelshift/state/state.h"            // for State
-#include "dotterelshift/state/state_testing.h"    // for TestRun
+#include "dotterelshift/state/state_testing.h"    // for TestSender
 
 namespace dotterelshift::state {
 namespace {
@@ -21,12 +21,12 @@
   return routes;
 }
 
-wire::RequestGrantT AskOf(Tokens wanted, Tokens minimum) {
-  wire::RequestGrantT ask;
-  ask.budget = "t";
-  ask.wanted = wanted;
-  ask.minimum = minimum;
-  return ask;
+wire::RequestGrantT PublishedGrantRequest(Tokens wanted, Tokens minimum) {
+  wire::RequestGrantT grant_request;
+  grant_request.budget = "t";
+  grant_request.wanted = wanted;
+  grant_request.minimum = minimum;
+  return grant_request;
 }
 
 wire::ReportSpendT SpendOf(Tokens spent) {
@@ -49,17 +49,17 @@
 class PublishedTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PublishedTest);
   CPPUNIT_TEST(HighestVersionIsInForce);
-  CPPUNIT_TEST(StepsLeadFromVersionToVersion);
-  CPPUNIT_TEST(AStepFromAVersionThatIsNotInForceIsRefused);
-  CPPUNIT_TEST(EntriesHoldOnlyAPartOfWhatIsLeft);
-  CPPUNIT_TEST(AHolderGetsASecondOfItsDemandBeyondThatPart);
-  CPPUNIT_TEST(TokensHandedOnAreCountedOnceInAnyOrder);
-  CPPUNIT_TEST(AReceiverThatIsNotKnownIsNoFaultOfTheSender);
-  CPPUNIT_TEST(AReportCountsEachOfItsParts);
-  CPPUNIT_TEST(WhatADeadEntryHeldIsNeverGrantedAgain);
-  CPPUNIT_TEST(AFleetThatDiesLeavesSomethingForSmallRequests);
-  CPPUNIT_TEST(ALoweredTotalGrantsNothingMore);
-  CPPUNIT_TEST(SpendNeverExceedsTheTotalInAnySchedule);
+  CPPUNIT_TEST(DeltasLeadFromVersionToVersion);
+  CPPUNIT_TEST(DeltaFromAnotherVersionIsRefused);
+  CPPUNIT_TEST(HeldShareOfTheRemainderIsCapped);
+  CPPUNIT_TEST(HolderGetsOneSecondOfDemandAboveTheCap);
+  CPPUNIT_TEST(TransferredTokensAreCountedOnceInAnyOrder);
+  CPPUNIT_TEST(UnknownReceiverDoesNotMakeTheSenderStale);
+  CPPUNIT_TEST(ReportItemsCountIndependently);
+  CPPUNIT_TEST(TokensOfADeadEntryAreNeverGrantedAgain);
+  CPPUNIT_TEST(ReserveServesSmallRequestsAfterAFleetCrash);
+  CPPUNIT_TEST(LoweredTotalGrantsNothingMore);
+  CPPUNIT_TEST(SpendStaysWithinTheTotalInRandomSchedules);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -74,10 +74,12 @@
   }
 
  private:
-  static void Register(TestRun& run) { run.Send(wire::RegisterHostT(), 1); }
+  static void Register(TestSender& run) { run.Send(wire::RegisterHostT(), 1); }
 
-  Tokens Grant(TestRun& run, Tokens wanted, Tokens minimum) {
-    return run.Send(AskOf(wanted, minimum), 1).body.AsGrantAnswer()->tokens;
+  Tokens Grant(TestSender& run, Tokens wanted, Tokens minimum) {
+    return run.Send(PublishedGrantRequest(wanted, minimum), 1)
+        .body.AsGrantAnswer()
+        ->tokens;
   }
   const BudgetAccount& Account() { return *m_state->FindAccount("t"); }
 
@@ -97,7 +99,7 @@
   }
 
   // Publishes a document as a delta from the current version.
-  wire::PublishRoutesT StepTo(uint64_t version, const std::string& document) {
+  wire::PublishRoutesT DeltaTo(uint64_t version, const std::string& document) {
     const PublishedRoutes in_force = m_state->GetPublished();
     wire::PublishRoutesT step;
     step.version = version;
@@ -108,33 +110,33 @@
 
   // A replica that has restored a snapshot applies further deltas, but has none
   // of the older ones.
-  void StepsLeadFromVersionToVersion() {
-    m_control->Send(StepTo(4, "four"), 2);
+  void DeltasLeadFromVersionToVersion() {
+    m_control->Send(DeltaTo(4, "four"), 2);
     const auto copy = MakeState();
     copy->Restore(m_state->Snapshot());
-    TestRun copied(copy.get(), "other", 1);
-    const wire::PublishRoutesT step = StepTo(7, "seven");
+    TestSender copied(copy.get(), "other", 1);
+    const wire::PublishRoutesT step = DeltaTo(7, "seven");
     m_control->Send(wire::PublishRoutesT(step), 3);
     copied.Send(wire::PublishRoutesT(step), 3);
     for (const auto* state : {m_state.get(), copy.get()})
       CPPUNIT_ASSERT_EQUAL(std::string("seven"),
                            std::string(state->GetPublished().document));
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, m_state->RoutesSince(1).size());
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, m_state->RoutesSince(4).size());
-    CPPUNIT_ASSERT(m_state->RoutesSince(2).empty());
-    CPPUNIT_ASSERT(copy->RoutesSince(1).empty());
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, m_state->RouteDeltasSince(1).size());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, m_state->RouteDeltasSince(4).size());
+    CPPUNIT_ASSERT(m_state->RouteDeltasSince(2).empty());
+    CPPUNIT_ASSERT(copy->RouteDeltasSince(1).empty());
     // A full document discards the deltas before it.
     m_control->Send(RoutesOf(9, 1000), 4);
-    CPPUNIT_ASSERT(m_state->RoutesSince(7).empty());
+    CPPUNIT_ASSERT(m_state->RouteDeltasSince(7).empty());
   }
 
-  void AStepFromAVersionThatIsNotInForceIsRefused() {
-    const wire::PublishRoutesT late = StepTo(6, "six");
-    m_control->Send(StepTo(4, "four"), 2);
+  void DeltaFromAnotherVersionIsRefused() {
+    const wire::PublishRoutesT late = DeltaTo(6, "six");
+    m_control->Send(DeltaTo(4, "four"), 2);
     const auto answer = m_control->Send(wire::PublishRoutesT(late), 3);
     CPPUNIT_ASSERT(static_cast<ErrorKind>(answer.error) ==
                    ErrorKind::kVersionMoved);
-    wire::PublishRoutesT damaged = StepTo(6, "six");
+    wire::PublishRoutesT damaged = DeltaTo(6, "six");
     damaged.packed.pop_back();
     const auto refused = m_control->Send(std::move(damaged), 4);
     CPPUNIT_ASSERT(static_cast<ErrorKind>(refused.error) ==
@@ -144,7 +146,7 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{4}, m_state->GetPublished().version);
   }
 
-  void EntriesHoldOnlyAPartOfWhatIsLeft() {
+  void HeldShareOfTheRemainderIsCapped() {
     CPPUNIT_ASSERT_EQUAL(Tokens{450}, Grant(*m_a, 1000, 0));
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, Grant(*m_b, 1000, 0));
     // A waiting request is covered beyond that share.
@@ -154,21 +156,21 @@
 
   // With the minimum alone, a holder would serve one request per answer from
   // control while others hold the whole share.
-  void AHolderGetsASecondOfItsDemandBeyondThatPart() {
+  void HolderGetsOneSecondOfDemandAboveTheCap() {
     CPPUNIT_ASSERT_EQUAL(Tokens{450}, Grant(*m_a, 1000, 0));
-    wire::RequestGrantT ask = AskOf(1000, 10);
-    ask.demand_per_second = 100;
+    wire::RequestGrantT grant_request = PublishedGrantRequest(1000, 10);
+    grant_request.demand_per_second = 100;
     const auto granted = [&] {
-      return m_b->Send(ask, 1).body.AsGrantAnswer()->tokens;
+      return m_b->Send(grant_request, 1).body.AsGrantAnswer()->tokens;
     };
     CPPUNIT_ASSERT_EQUAL(Tokens{100}, granted());
     // But no more than a quarter of the free tokens.
-    ask.demand_per_second = 900;
+    grant_request.demand_per_second = 900;
     CPPUNIT_ASSERT_EQUAL(Tokens{112}, granted());
   }
 
   // The receiver's spend arrives before the sender reports the transfer.
-  void TokensHandedOnAreCountedOnceInAnyOrder() {
+  void TransferredTokensAreCountedOnceInAnyOrder() {
     Grant(*m_a, 400, 400);
     m_b->Send(SpendOf(150), 2);
     CPPUNIT_ASSERT_EQUAL(Tokens{600}, Account().Free());
@@ -186,19 +188,19 @@
   // To a sender, kStaleIncarnation means that a newer incarnation has replaced
   // it, and it exits. A transfer to a receiver that has just started must not
   // cause that error.
-  void AReceiverThatIsNotKnownIsNoFaultOfTheSender() {
+  void UnknownReceiverDoesNotMakeTheSenderStale() {
     Grant(*m_a, 400, 400);
     const auto answer = m_a->Send(MoveOf(200, {"just started", 7}), 2);
     CPPUNIT_ASSERT(static_cast<ErrorKind>(answer.error) ==
                    ErrorKind::kBadField);
-    TestRun started(m_state.get(), "just started", 7);
+    TestSender started(m_state.get(), "just started", 7);
     Register(started);
     started.Send(SpendOf(200), 3);
     CPPUNIT_ASSERT_EQUAL(Tokens{600}, Account().Free());
   }
 
   // An item that is refused does not affect the others.
-  void AReportCountsEachOfItsParts() {
+  void ReportItemsCountIndependently() {
     Grant(*m_a, 400, 400);
     wire::ReportHoldingsT report;
     wire::ReportSpendT unknown = SpendOf(10);
@@ -223,11 +225,11 @@
     }
   }
 
-  void WhatADeadEntryHeldIsNeverGrantedAgain() {
+  void TokensOfADeadEntryAreNeverGrantedAgain() {
     Grant(*m_a, 400, 400);
     m_b->Send(SpendOf(100), 2);  // received from a, which dies before
                                  // it reports the transfer
-    TestRun again(m_state.get(), "a", 2);
+    TestSender again(m_state.get(), "a", 2);
     Register(again);
     CPPUNIT_ASSERT_EQUAL(Tokens{600}, Account().Free());
     CPPUNIT_ASSERT_EQUAL(Tokens{400}, Account().lost);
@@ -235,34 +237,34 @@
     // until it is used up.
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, Grant(again, 1000, 593));
     CPPUNIT_ASSERT_EQUAL(Tokens{592}, Grant(again, 1000, 592));
-    for (int piece = 0; piece < 4; ++piece)
+    for (int request = 0; request < 4; ++request)
       CPPUNIT_ASSERT_EQUAL(Tokens{2}, Grant(again, 1000, 2));
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, Grant(again, 1000, 1));
   }
 
   // Requests of all sizes draw tokens until control grants nothing more except
   // to small ones. Then all entries die with the tokens that they hold.
-  void AFleetThatDiesLeavesSomethingForSmallRequests() {
+  void ReserveServesSmallRequestsAfterAFleetCrash() {
     constexpr Tokens kTotal = 1'000'000;
     constexpr Tokens kSmall = 2'000;
-    constexpr Tokens kLeast = kTotal / 200;
+    constexpr Tokens kMinServed = kTotal / 200;
     m_control->Send(RoutesOf(2, kTotal), 2);
     for (const Tokens size : {80'000, 40'000, 20'000, 10'000})
       while (Grant(*m_a, kTotal, size) > 0 || Grant(*m_b, kTotal, size) > 0) {
       }
-    TestRun a(m_state.get(), "a", 2);
-    TestRun b(m_state.get(), "b", 2);
+    TestSender a(m_state.get(), "a", 2);
+    TestSender b(m_state.get(), "b", 2);
     Register(a);
     Register(b);
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, Grant(a, kTotal, 10'000));
     Tokens served = 0;
     for (Tokens granted = 1; granted > 0; served += granted)
       granted = Grant(a, kTotal, kSmall);
-    CPPUNIT_ASSERT(served >= kLeast);
+    CPPUNIT_ASSERT(served >= kMinServed);
     CPPUNIT_ASSERT(Account().Free() >= 0);
   }
 
-  void ALoweredTotalGrantsNothingMore() {
+  void LoweredTotalGrantsNothingMore() {
     Grant(*m_a, 400, 400);
     m_control->Send(RoutesOf(2, 100), 2);
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, Grant(*m_b, 10, 0));
@@ -271,7 +273,7 @@
 
   // Entries request grants, spend, transfer tokens, report late and die in
   // random order. What they really consumed must stay within the total.
-  void SpendNeverExceedsTheTotalInAnySchedule() {
+  void SpendStaysWithinTheTotalInRandomSchedules() {
     constexpr int kSchedules = 300;
     constexpr int kSteps = 200;
     for (int seed = 0; seed < kSchedules; ++seed) {
@@ -302,7 +304,7 @@
         case 3:
           return Report(entry);
         case 4:
-          return HandOn(entry);
+          return Transfer(entry);
         case 5:
           if (m_random() % 5 == 0) Start(entry);
       }
@@ -310,7 +312,7 @@
 
    private:
     struct Entry {
-      std::optional<TestRun> run;
+      std::optional<TestSender> run;
       Tokens held = 0;
       Tokens unreported = 0;
       std::vector<wire::MoveGrantT> unreported_moves;
@@ -333,7 +335,7 @@
       entry.unreported += spent;
       m_consumed += spent;
     }
-    void HandOn(Entry& entry) {
+    void Transfer(Entry& entry) {
       Entry& other = m_entries.at(m_random() % m_entries.size());
       const Tokens lent = Draw(entry.held);
       if (&other == &entry || lent == 0) return;
@@ -371,9 +373,9 @@
   };
 
   std::unique_ptr<State> m_state;
-  std::optional<TestRun> m_control;
-  std::optional<TestRun> m_a;
-  std::optional<TestRun> m_b;
+  std::optional<TestSender> m_control;
+  std::optional<TestSender> m_a;
+  std::optional<TestSender> m_b;
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(PublishedTest);
 
--- a/src/dotterelshift/state/requests.cc
+++ b/src/dotterelshift/state/requests.cc
@@ -12,7 +12,7 @@
 // period can be dropped at once.
 constexpr int kPeriods = 6;
 
-RequestPeriod* PeriodOf(Tables& tables, const RequestDigest& digest) {
+RequestPeriod* FindPeriod(Tables& tables, const RequestDigest& digest) {
   for (RequestPeriod& period : tables.requests) {
     const bool holds =
         period.settled.contains(digest) || period.claims.contains(digest);
@@ -22,7 +22,7 @@
 }
 
 RequestPeriod& CurrentPeriod(Tables& tables) {
-  const WallMs length = tables.options.bill_age_out_ms / kPeriods + 1;
+  const WallMs length = tables.options.bill_retention_ms / kPeriods + 1;
   const WallMs start = tables.last_stamp - tables.last_stamp % length;
   if (tables.requests.empty() || tables.requests.back().start < start) {
     tables.requests.emplace_back();
@@ -35,7 +35,7 @@
 // the same period.
 RequestPeriod& PeriodFor(Tables& tables, const RequestDigest& digest,
                          const std::string& request_key) {
-  RequestPeriod* known = PeriodOf(tables, digest);
+  RequestPeriod* known = FindPeriod(tables, digest);
   if (known != nullptr) return *known;
   RequestPeriod& period = CurrentPeriod(tables);
   const bool generated =
@@ -46,7 +46,7 @@
 
 // Keeps the claims of requests that are still running beyond the end of their
 // period.
-void KeepRunning(Tables& tables, RequestPeriod& from, RequestPeriod& to) {
+void MoveRunningClaims(Tables& tables, RequestPeriod& from, RequestPeriod& to) {
   for (const auto& [digest, claim] : from.claims) {
     const bool runs = claim.progress == ClaimProgress::kRunning &&
                       !tables.runs[claim.run].dead;
@@ -54,8 +54,8 @@
   }
 }
 
-void Age(Tables& tables, RequestPeriod& period) {
-  KeepRunning(tables, period, CurrentPeriod(tables));
+void CompactPeriod(Tables& tables, RequestPeriod& period) {
+  MoveRunningClaims(tables, period, CurrentPeriod(tables));
   // A new map frees the bucket array; assigning an empty list would keep it.
   period.settled = decltype(period.settled)();
   period.settled_again.clear();
@@ -100,8 +100,8 @@
 }
 
 const SettledAttempt* FindAttempt(const Tables& tables,
-                                  const RequestDigest& digest, RunNumber run,
-                                  uint64_t attempt) {
+                                  const RequestDigest& digest,
+                                  IncarnationIndex run, uint64_t attempt) {
   const auto matches = [&](const SettledAttempt& settled) {
     return settled.run == run && settled.attempt == attempt;
   };
@@ -151,13 +151,14 @@
                      });
 }
 
-void AgeRequests(Tables& tables) {
-  const WallMs length = tables.options.bill_age_out_ms / kPeriods + 1;
-  const WallMs oldest = tables.last_stamp - tables.options.bill_age_out_ms;
+void CompactRequests(Tables& tables) {
+  const WallMs length = tables.options.bill_retention_ms / kPeriods + 1;
+  const WallMs oldest = tables.last_stamp - tables.options.bill_retention_ms;
   CurrentPeriod(tables);
   for (RequestPeriod& period : tables.requests)
-    if (!period.aged && period.start + length <= oldest) Age(tables, period);
-  const WallMs forgotten = oldest - tables.options.expired_key_ms;
+    if (!period.aged && period.start + length <= oldest)
+      CompactPeriod(tables, period);
+  const WallMs forgotten = oldest - tables.options.expired_key_retention_ms;
   while (tables.requests.front().aged &&
          tables.requests.front().start + length <= forgotten)
     tables.requests.pop_front();
--- a/src/dotterelshift/state/requests.h
+++ b/src/dotterelshift/state/requests.h
@@ -21,8 +21,8 @@
 
 // The settled attempt of a request; null if it is not settled.
 const SettledAttempt* FindAttempt(const Tables& tables,
-                                  const RequestDigest& digest, RunNumber run,
-                                  uint64_t attempt);
+                                  const RequestDigest& digest,
+                                  IncarnationIndex run, uint64_t attempt);
 bool IsBilled(const Tables& tables, const RequestDigest& digest);
 void AddAttempt(Tables& tables, const RequestDigest& digest,
                 const std::string& request_key, const SettledAttempt& attempt);
@@ -30,9 +30,9 @@
 // Whether the key belongs to a request that has been compacted.
 bool IsExpired(const Tables& tables, const RequestDigest& digest);
 
-// Compacts the periods that are older than StateOptions::bill_age_out_ms and,
-// after StateOptions::expired_key_ms more, drops their keys.
-void AgeRequests(Tables& tables);
+// Compacts the periods that are older than StateOptions::bill_retention_ms and,
+// after StateOptions::expired_key_retention_ms more, drops their keys.
+void CompactRequests(Tables& tables);
 
 }  // namespace dotterelshift::state
 
--- a/src/dotterelshift/state/snapshot.cc
+++ b/src/dotterelshift/state/snapshot.cc
@@ -78,13 +78,13 @@
 // ---- incarnations and hosts
 
 void WriteRuns(const Tables& tables, wire::StateSnapshotT* snapshot) {
-  for (const Run& run : tables.runs) {
+  for (const HostIncarnation& run : tables.runs) {
     auto record = std::make_unique<wire::RunRecordT>();
     record->host = run.id.host;
     record->incarnation = run.id.incarnation;
     record->dead = run.dead;
     record->retired = run.retired;
-    record->heard_ms = run.heard;
+    record->heard_ms = run.last_command;
     snapshot->runs.push_back(std::move(record));
   }
   for (const auto& [id, host] : tables.hosts) {
@@ -120,7 +120,8 @@
 void ReadRuns(const wire::StateSnapshotT& snapshot, Tables& tables) {
   for (const auto& record : snapshot.runs) {
     const HostRun run{record->host, record->incarnation};
-    tables.run_numbers[run] = static_cast<RunNumber>(tables.runs.size());
+    tables.incarnation_indexes[run] =
+        static_cast<IncarnationIndex>(tables.runs.size());
     tables.runs.push_back(
         {run, record->dead, record->retired, record->heard_ms});
   }
--- a/src/dotterelshift/state/state.cc
+++ b/src/dotterelshift/state/state.cc
@@ -3,12 +3,12 @@
 #include <algorithm>  // for max
 #include <utility>    // for move
 
-#include "dotterelshift/state/answers.h"     // for LookUpAnswer
-#include "dotterelshift/state/apply.h"       // for Apply
-#include "dotterelshift/state/checks.h"      // for FindDisagreements
-#include "dotterelshift/state/grants.h"      // for RecoverDead
-#include "dotterelshift/state/snapshot.h"    // for WriteSnapshot
-#include "dotterelshift/state/state_core.h"  // for MakeStateWith
+#include "dotterelshift/state/answers.h"             // for FindKeptAnswer
+#include "dotterelshift/state/apply.h"               // for Apply
+#include "dotterelshift/state/consistency_checks.h"  // for FindDisagreements
+#include "dotterelshift/state/grants.h"              // for RecoverDeadGrant
+#include "dotterelshift/state/snapshot.h"            // for WriteSnapshot
+#include "dotterelshift/state/state_core.h"          // for MakeStateWith
 
 namespace dotterelshift::state {
 namespace {
@@ -108,7 +108,7 @@
     if (account == nullptr) return holdings;
     for (const Grant& grant : account->Grants()) {
       holdings.push_back({m_tables.runs[grant.run].id, grant.tokens,
-                          grant.Opened(), grant.standing, grant.dead,
+                          grant.OpenedTokens(), grant.standing, grant.dead,
                           grant.demand_per_second});
     }
     return holdings;
@@ -163,7 +163,8 @@
     return {m_tables.published.version, m_tables.published.document};
   }
 
-  std::vector<wire::RoutesStepT> RoutesSince(uint64_t version) const override {
+  std::vector<wire::RoutesStepT> RouteDeltasSince(
+      uint64_t version) const override {
     const auto& steps = m_tables.published.steps;
     const auto first =
         std::ranges::find(steps, version, &wire::RoutesStepT::base);
@@ -209,27 +210,28 @@
       return answer;
     }
     answer.id = std::make_unique<wire::CommandIdT>(*command.id);
-    if (EnterRun(*command.id))
+    if (AdmitIncarnation(*command.id))
       ApplyOnce(command, answer);
     else
-      ApplyOfDead(command, answer);
+      ApplyFromDeadIncarnation(command, answer);
     return answer;
   }
 
   // Whether the command is from the newest incarnation of its host. The first
   // command of a newer incarnation records it and marks the one before as dead.
-  bool EnterRun(const wire::CommandIdT& id) {
+  bool AdmitIncarnation(const wire::CommandIdT& id) {
     const HostRun run{id.host, id.incarnation};
     const auto known = m_tables.hosts.find(id.host);
     if (known != m_tables.hosts.end()) {
-      const Run& newest = m_tables.runs[known->second.run];
+      const HostIncarnation& newest = m_tables.runs[known->second.run];
       if (run.incarnation < newest.id.incarnation) return false;
       if (run.incarnation == newest.id.incarnation) return !newest.dead;
-      if (!newest.dead) BuryRun(m_tables, known->second.run, m_recover);
+      if (!newest.dead)
+        MarkIncarnationDead(m_tables, known->second.run, m_recover);
     }
-    const auto number = static_cast<RunNumber>(m_tables.runs.size());
+    const auto number = static_cast<IncarnationIndex>(m_tables.runs.size());
     m_tables.runs.push_back({run, false, false, m_tables.last_stamp});
-    m_tables.run_numbers[run] = number;
+    m_tables.incarnation_indexes[run] = number;
     Host fresh;
     fresh.run = number;
     m_tables.hosts[id.host] = std::move(fresh);
@@ -238,25 +240,25 @@
 
   void ApplyOnce(const wire::CommandT& command, wire::CommandAnswerT& answer) {
     Host& host = m_tables.hosts[command.id->host];
-    const Resend resend = LookUpAnswer(host, command, answer);
+    const Resend resend = FindKeptAnswer(host, command, answer);
     if (resend == Resend::kTooOld)
       Refuse(answer, ErrorKind::kResendTooOld, "its answer is no longer kept");
     if (resend != Resend::kNew) return;
-    m_tables.runs[host.run].heard = m_tables.last_stamp;
+    m_tables.runs[host.run].last_command = m_tables.last_stamp;
     Context context{m_tables, *command.id, host.run, m_tables.last_stamp,
                     m_recover};
     ApplyBody(context, command.body, answer);
-    ForgetAnswers(host,
-                  std::min(command.id->answered_below, command.id->sequence));
-    KeepAnswer(host, answer, m_tables.options.answers_kept);
+    DropAnswersBelow(
+        host, std::min(command.id->answered_below, command.id->sequence));
+    KeepAnswer(host, answer, m_tables.options.max_kept_answers);
   }
 
   // From a dead incarnation only settlements are applied, which a replica kept
   // for it. Duplicates are recognised by their attempts.
-  void ApplyOfDead(const wire::CommandT& command,
-                   wire::CommandAnswerT& answer) {
-    const std::optional<RunNumber> run =
-        m_tables.FindRun({command.id->host, command.id->incarnation});
+  void ApplyFromDeadIncarnation(const wire::CommandT& command,
+                                wire::CommandAnswerT& answer) {
+    const std::optional<IncarnationIndex> run =
+        m_tables.FindIncarnation({command.id->host, command.id->incarnation});
     if (!run || command.body.type != wire::CommandBody::Settle)
       return RefuseStale(*command.id, answer);
     Context context{m_tables, *command.id, *run, m_tables.last_stamp,
@@ -276,7 +278,7 @@
 }
 
 std::unique_ptr<State> MakeState(const StateOptions& options) {
-  return MakeStateWith(options, &RecoverDead<SoundRules>);
+  return MakeStateWith(options, &RecoverDeadGrant<SafetyRules>);
 }
 
 }  // namespace dotterelshift::state
--- a/src/dotterelshift/state/state_core.h
+++ b/src/dotterelshift/state/state_core.h
@@ -9,7 +9,8 @@
 namespace dotterelshift::state {
 
 // Creates a state with a given rule for the grants of dead incarnations.
-// MakeState() uses RecoverDead<SoundRules>; tests may pass an unsafe rule.
+// MakeState() uses RecoverDeadGrant<SafetyRules>; tests may pass an unsafe
+// rule.
 std::unique_ptr<State> MakeStateWith(const StateOptions& options,
                                      RecoverGrant recover);
 
--- a/src/dotterelshift/state/state_test.cc
+++ b/src/dotterelshift/state/state_test.cc
@@ -5,7 +5,7 @@
 #include <string>  // for string
 
 #include "dotterelshift/base/error.h"           // for ErrorKind
-#include "dotterelshift/state/state_testing.h"  // for TestRun
+#include "dotterelshift/state/state_testing.h"  // for TestSender
 
 namespace dotterelshift::state {
 namespace {
@@ -30,18 +30,18 @@
 
 class StateTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StateTest);
-  CPPUNIT_TEST(GrantsMoveBetweenColumns);
-  CPPUNIT_TEST(DeadHolderKeepsOnlyWhatItMayHaveSpent);
+  CPPUNIT_TEST(GrantsMoveBetweenAccountColumns);
+  CPPUNIT_TEST(DeadHolderLosesOnlyWhatItMayHaveSpent);
   CPPUNIT_TEST(SpoolOfDeadHolderSettlesOnce);
   CPPUNIT_TEST(RetirementTakesTwoSteps);
-  CPPUNIT_TEST(LapsedLeaseIsReclaimed);
+  CPPUNIT_TEST(ExpiredLeaseIsReclaimed);
   CPPUNIT_TEST(RequestIsBilledOnce);
   CPPUNIT_TEST(ResendGetsFirstAnswer);
-  CPPUNIT_TEST(AnswersThatTheSenderHasAreDropped);
-  CPPUNIT_TEST(ClaimTable);
-  CPPUNIT_TEST(AgedKeysAreRefused);
-  CPPUNIT_TEST(PlansOfEqualBase);
-  CPPUNIT_TEST(PlanIsCarriedOutWholeOrNotAtAll);
+  CPPUNIT_TEST(AcknowledgedAnswersAreDropped);
+  CPPUNIT_TEST(ClaimStatesOfResends);
+  CPPUNIT_TEST(KeysOfCompactedRequestsAreRefused);
+  CPPUNIT_TEST(ConcurrentPlansFromOneBase);
+  CPPUNIT_TEST(PlanIsAppliedAtomically);
   CPPUNIT_TEST(SuspectsAreQuarantined);
   CPPUNIT_TEST(SnapshotRestoresEverything);
   CPPUNIT_TEST(DamagedSnapshotChangesNothing);
@@ -50,8 +50,8 @@
  public:
   void setUp() override {
     m_state = MakeState(m_options);
-    m_operator = TestRun(m_state.get(), "control", 1);
-    m_entry = TestRun(m_state.get(), "entry", 1);
+    m_operator = TestSender(m_state.get(), "control", 1);
+    m_entry = TestSender(m_state.get(), "entry", 1);
     Set("p0", {wire::GrantWay::Witnessed, 10});
   }
 
@@ -60,43 +60,45 @@
     CPPUNIT_ASSERT_MESSAGE(lines.empty() ? "" : lines.front(), lines.empty());
   }
 
-  void GrantsMoveBetweenColumns() {
-    CPPUNIT_ASSERT_EQUAL(Tokens{250}, Granted(Ask(m_entry, 600)));
-    CPPUNIT_ASSERT_EQUAL(Tokens{500}, Granted(Ask(m_entry, 500, 0, 500)));
-    CPPUNIT_ASSERT_EQUAL(Tokens{0}, Granted(Ask(m_entry, 500, 0, 500)));
+  void GrantsMoveBetweenAccountColumns() {
+    CPPUNIT_ASSERT_EQUAL(Tokens{250}, Granted(RequestGrant(m_entry, 600)));
+    CPPUNIT_ASSERT_EQUAL(Tokens{500},
+                         Granted(RequestGrant(m_entry, 500, 0, 500)));
+    CPPUNIT_ASSERT_EQUAL(Tokens{0},
+                         Granted(RequestGrant(m_entry, 500, 0, 500)));
     CPPUNIT_ASSERT(Is(Open("k", 1, 800), ErrorKind::kBudgetUnavailable));
     CPPUNIT_ASSERT(Is(Open("k", 1, 700), ErrorKind::kNone));
     Settle("k", 1, 700, 100);
-    wire::ReturnGrantT give_back;
-    give_back.budget = "b";
-    give_back.tokens = 600;
-    m_entry.Send(give_back, kStart);
+    wire::ReturnGrantT return_grant;
+    return_grant.budget = "b";
+    return_grant.tokens = 600;
+    m_entry.Send(return_grant, kStart);
     CheckAmounts({1000, 100, 100, 50, 0});
-    CPPUNIT_ASSERT(
-        Is(m_entry.Send(GrantAsk("none", 1), kStart), ErrorKind::kNoBudget));
-    CPPUNIT_ASSERT(
-        Is(m_entry.Send(GrantAsk("b", -1), kStart), ErrorKind::kBadFrame));
+    CPPUNIT_ASSERT(Is(m_entry.Send(GrantRequestOf("none", 1), kStart),
+                      ErrorKind::kNoBudget));
+    CPPUNIT_ASSERT(Is(m_entry.Send(GrantRequestOf("b", -1), kStart),
+                      ErrorKind::kBadFrame));
   }
 
-  void DeadHolderKeepsOnlyWhatItMayHaveSpent() {
+  void DeadHolderLosesOnlyWhatItMayHaveSpent() {
     // 500 held, 120 of them pre-authorized (10 s at 12 a second), 200 opened.
-    Ask(m_entry, 500, 12, 500);
+    RequestGrant(m_entry, 500, 12, 500);
     Open("k", 1, 200);
     CPPUNIT_ASSERT_EQUAL(Tokens{120}, m_state->HoldingsOf("b")[0].standing);
-    TestRun next(m_state.get(), "entry", 2);
+    TestSender next(m_state.get(), "entry", 2);
     next.Send(wire::RegisterHostT(), kStart);
     CheckAmounts({1000, 0, 0, 0, 320});
-    CPPUNIT_ASSERT(Is(Ask(m_entry, 1), ErrorKind::kStaleIncarnation));
-    CPPUNIT_ASSERT_EQUAL(Tokens{680}, Granted(Ask(next, 680, 0, 680)));
+    CPPUNIT_ASSERT(Is(RequestGrant(m_entry, 1), ErrorKind::kStaleIncarnation));
+    CPPUNIT_ASSERT_EQUAL(Tokens{680}, Granted(RequestGrant(next, 680, 0, 680)));
   }
 
   void SpoolOfDeadHolderSettlesOnce() {
-    Ask(m_entry, 500, 12, 500);
+    RequestGrant(m_entry, 500, 12, 500);
     Open("k", 1, 200);
     const auto late = m_entry.Command(SettlementOf("b", "k", 1, 200, 50));
     const auto unwitnessed =
         m_entry.Command(SettlementOf("b", "u", 2, 100, 30, false));
-    TestRun next(m_state.get(), "entry", 2);
+    TestSender next(m_state.get(), "entry", 2);
     next.Send(wire::RegisterHostT(), kStart);
     for (int times = 0; times < 2; ++times) {
       CPPUNIT_ASSERT(FirstBill(m_entry.Resend(late, kStart)));
@@ -108,7 +110,7 @@
   }
 
   void RetirementTakesTwoSteps() {
-    Ask(m_entry, 500, 12, 500);
+    RequestGrant(m_entry, 500, 12, 500);
     Open("k", 1, 200);
     Retire("r1");
     CheckAmounts({1000, 0, 0, 0, 320});
@@ -117,21 +119,22 @@
     CheckAmounts({1000, 200, 0, 0, 0});
   }
 
-  void LapsedLeaseIsReclaimed() {
+  void ExpiredLeaseIsReclaimed() {
     Set("p1", {wire::GrantWay::ClockLease, 10});
-    Ask(m_entry, 900, 50, 900);
-    TestRun other(m_state.get(), "other", 1);
-    const WallMs lapsed = kStart + m_options.lease_ms + 1;
-    CPPUNIT_ASSERT_EQUAL(Tokens{0}, Granted(Ask(other, 500, 0, 500)));
-    CPPUNIT_ASSERT_EQUAL(Tokens{500}, Granted(Ask(other, 500, 0, 500, lapsed)));
+    RequestGrant(m_entry, 900, 50, 900);
+    TestSender other(m_state.get(), "other", 1);
+    const WallMs expired_stamp = kStart + m_options.lease_ms + 1;
+    CPPUNIT_ASSERT_EQUAL(Tokens{0}, Granted(RequestGrant(other, 500, 0, 500)));
+    CPPUNIT_ASSERT_EQUAL(
+        Tokens{500}, Granted(RequestGrant(other, 500, 0, 500, expired_stamp)));
     CPPUNIT_ASSERT(Is(Open("k", 1, 10), ErrorKind::kBudgetUnavailable));
     CheckAmounts({1000, 0, 0, 500, 0});
   }
 
   void RequestIsBilledOnce() {
-    Ask(m_entry, 250);
-    TestRun other(m_state.get(), "other", 1);
-    Ask(other, 100);
+    RequestGrant(m_entry, 250);
+    TestSender other(m_state.get(), "other", 1);
+    RequestGrant(other, 100);
     CPPUNIT_ASSERT(FirstBill(Settle("k", 1, 10, 7)));
     CPPUNIT_ASSERT(
         !FirstBill(other.Send(SettlementOf("b", "k", 1, 10, 6), kStart)));
@@ -147,24 +150,27 @@
   }
 
   void ResendGetsFirstAnswer() {
-    const auto ask = m_entry.Command(GrantAsk("b", 100));
-    CPPUNIT_ASSERT_EQUAL(Tokens{100}, Granted(m_entry.Resend(ask, kStart)));
-    CPPUNIT_ASSERT_EQUAL(Tokens{100}, Granted(m_entry.Resend(ask, kStart)));
+    const auto grant_request = m_entry.Command(GrantRequestOf("b", 100));
+    CPPUNIT_ASSERT_EQUAL(Tokens{100},
+                         Granted(m_entry.Resend(grant_request, kStart)));
+    CPPUNIT_ASSERT_EQUAL(Tokens{100},
+                         Granted(m_entry.Resend(grant_request, kStart)));
     CheckAmounts({1000, 0, 0, 100, 0});
-    for (size_t i = 0; i < m_options.answers_kept; ++i)
+    for (size_t i = 0; i < m_options.max_kept_answers; ++i)
       m_entry.Send(wire::RecordRefusalsT(), kStart);
-    CPPUNIT_ASSERT(Is(m_entry.Resend(ask, kStart), ErrorKind::kResendTooOld));
+    CPPUNIT_ASSERT(
+        Is(m_entry.Resend(grant_request, kStart), ErrorKind::kResendTooOld));
     CheckAmounts({1000, 0, 0, 100, 0});
   }
 
   // A restarting fleet sends thousands of commands a second, so control keeps
   // only the answers that may still be asked for.
-  void AnswersThatTheSenderHasAreDropped() {
-    const auto first = m_entry.Command(GrantAsk("b", 100));
-    auto second = m_entry.Command(GrantAsk("b", 50));
+  void AcknowledgedAnswersAreDropped() {
+    const auto first = m_entry.Command(GrantRequestOf("b", 100));
+    auto second = m_entry.Command(GrantRequestOf("b", 50));
     m_entry.Resend(first, kStart);
     m_entry.Resend(second, kStart);
-    auto third = m_entry.Command(GrantAsk("b", 10));
+    auto third = m_entry.Command(GrantRequestOf("b", 10));
     third.id->answered_below = second.id->sequence;
     m_entry.Resend(third, kStart);
     CPPUNIT_ASSERT(Is(m_entry.Resend(first, kStart), ErrorKind::kResendTooOld));
@@ -173,7 +179,7 @@
     CheckAmounts({1000, 0, 0, 160, 0});
     // A sender that acknowledges more than it has sent does not lose its next
     // answer.
-    auto fourth = m_entry.Command(GrantAsk("b", 5));
+    auto fourth = m_entry.Command(GrantRequestOf("b", 5));
     fourth.id->answered_below = fourth.id->sequence + 100;
     m_entry.Resend(fourth, kStart);
     CPPUNIT_ASSERT_EQUAL(Tokens{5}, Granted(m_entry.Resend(fourth, kStart)));
@@ -186,7 +192,7 @@
     CPPUNIT_ASSERT(m_state->Snapshot().size() < small.size() + 1000);
   }
 
-  void ClaimTable() {
+  void ClaimStatesOfResends() {
     struct Row {
       const char* name;
       wire::Outcome outcome;
@@ -216,10 +222,10 @@
         {"ran, then died", Outcome::Answered, false, true, true, 1,
          ClaimState::AlreadyRan},
     };
-    TestRun other(m_state.get(), "other", 1);
+    TestSender other(m_state.get(), "other", 1);
     Incarnation incarnation = 1;
     for (const Row& row : rows) {
-      TestRun holder(m_state.get(), "holder", ++incarnation);
+      TestSender holder(m_state.get(), "holder", ++incarnation);
       const auto claim = ClaimOf(row.name, 1, 7);
       CPPUNIT_ASSERT_MESSAGE(
           row.name, StateOf(holder.Send(claim, kStart)) == ClaimState::Granted);
@@ -228,20 +234,20 @@
       settle.unknown = row.unknown;
       if (row.settled) holder.Send(settle, kStart);
       if (row.dead)
-        TestRun(m_state.get(), "holder", ++incarnation)
+        TestSender(m_state.get(), "holder", ++incarnation)
             .Send(wire::RegisterHostT(), kStart);
       const auto answer = other.Send(ClaimOf(row.name, row.body, 9), kStart);
       CPPUNIT_ASSERT_MESSAGE(row.name, StateOf(answer) == row.resent);
     }
   }
 
-  void AgedKeysAreRefused() {
-    Ask(m_entry, 250);
+  void KeysOfCompactedRequestsAreRefused() {
+    RequestGrant(m_entry, 250);
     m_entry.Send(ClaimOf("claimed", 1, 1), kStart);
     Settle("claimed", 1, 0, 0);
     Settle("k", 2, 10, 10);
     Settle("~made-up", 3, 10, 10);
-    const WallMs late = kStart + m_options.bill_age_out_ms + kDay;
+    const WallMs late = kStart + m_options.bill_retention_ms + kDay;
     m_entry.Send(wire::AgeOutT(), late);
     const auto claim = m_entry.Send(ClaimOf("claimed", 1, 4), late);
     CPPUNIT_ASSERT(StateOf(claim) == wire::ClaimState::Expired);
@@ -252,7 +258,7 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{20}, m_state->FindAccount("b")->billed);
   }
 
-  void PlansOfEqualBase() {
+  void ConcurrentPlansFromOneBase() {
     const uint64_t base = m_state->GetConfiguration().Version();
     m_operator.Send(PlanOf("one", base, "awa", List(TeamChange("team"))),
                     kStart);
@@ -283,7 +289,7 @@
     CPPUNIT_ASSERT_EQUAL(base + 1, Confirm("one").body.AsPlanAnswer()->version);
   }
 
-  void PlanIsCarriedOutWholeOrNotAtAll() {
+  void PlanIsAppliedAtomically() {
     struct Row {
       const char* name;
       wire::ChangeT change;
@@ -327,7 +333,8 @@
     report(1, "e3", true);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_state->Quarantined(kStart).size());
     CPPUNIT_ASSERT(
-        m_state->Quarantined(kStart + m_options.quarantine_ms).empty());
+        m_state->Quarantined(kStart + m_options.quarantine_duration_ms)
+            .empty());
     for (const char* endpoint : {"e1", "e2", "e3", "e4", "e5"})
       report(2, endpoint, false);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_state->Quarantined(kStart).size());
@@ -340,7 +347,7 @@
   }
 
   void SnapshotRestoresEverything() {
-    Ask(m_entry, 200, 10);
+    RequestGrant(m_entry, 200, 10);
     Open("open", 1, 20);
     m_entry.Send(ClaimOf("k", 1, 2), kStart);
     Settle("k", 2, 10, 7);
@@ -353,9 +360,9 @@
     CPPUNIT_ASSERT(copy->Snapshot() == bytes);
     CPPUNIT_ASSERT(copy->Disagreements().empty());
     // Both states continue identically.
-    TestRun left(m_state.get(), "entry", 2);
-    TestRun right(copy.get(), "entry", 2);
-    for (TestRun* run : {&left, &right}) Ask(*run, 100);
+    TestSender left(m_state.get(), "entry", 2);
+    TestSender right(copy.get(), "entry", 2);
+    for (TestSender* run : {&left, &right}) RequestGrant(*run, 100);
     CPPUNIT_ASSERT(copy->Snapshot() == m_state->Snapshot());
   }
 
@@ -373,8 +380,8 @@
   }
 
  private:
-  struct Way {
-    wire::GrantWay way;
+  struct GrantMode {
+    wire::GrantWay grant_mode;
     uint32_t partition_seconds;
   };
 
@@ -386,19 +393,21 @@
   }
 
   // Stores the team with this grant mode, and its budget of 1000 tokens.
-  void Set(const std::string& plan, const Way& way) {
+  void Set(const std::string& plan, const GrantMode& grant_mode) {
     const auto answer =
         Accept(m_operator, *m_state, plan,
-               List(TeamChange("team", way.way, way.partition_seconds),
+               List(TeamChange("team", grant_mode.grant_mode,
+                               grant_mode.partition_seconds),
                     BudgetChange("b", "team"), TopUpChange("t0", "b", 1000)),
                kStart);
     CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.detail, uint16_t{0}, answer.error);
   }
 
-  static wire::CommandAnswerT Ask(TestRun& run, Tokens wanted,
-                                  Tokens demand = 0, Tokens minimum = 1,
-                                  WallMs stamp = kStart) {
-    return run.Send(GrantAsk("b", wanted, demand, minimum), stamp);
+  static wire::CommandAnswerT RequestGrant(TestSender& run, Tokens wanted,
+                                           Tokens demand = 0,
+                                           Tokens minimum = 1,
+                                           WallMs stamp = kStart) {
+    return run.Send(GrantRequestOf("b", wanted, demand, minimum), stamp);
   }
   wire::CommandAnswerT Open(const std::string& key, AttemptId attempt,
                             Tokens reserved) {
@@ -445,8 +454,8 @@
 
   StateOptions m_options;
   std::unique_ptr<State> m_state;
-  TestRun m_operator{nullptr, "", 0};
-  TestRun m_entry{nullptr, "", 0};
+  TestSender m_operator{nullptr, "", 0};
+  TestSender m_entry{nullptr, "", 0};
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(StateTest);
--- a/src/dotterelshift/state/state_testing.h
+++ b/src/dotterelshift/state/state_testing.h
@@ -13,9 +13,9 @@
 namespace dotterelshift::state {
 
 // Sends commands of one host incarnation to a state, with increasing sequences.
-class TestRun {
+class TestSender {
  public:
-  TestRun(State* state, HostId host, Incarnation incarnation)
+  TestSender(State* state, HostId host, Incarnation incarnation)
       : m_state(state), m_run{std::move(host), incarnation} {}
 
   template <typename Body>
@@ -56,13 +56,13 @@
   return change;
 }
 
-inline wire::ChangeT TeamChange(const TeamId& id,
-                                wire::GrantWay way = wire::GrantWay::Witnessed,
-                                uint32_t partition_seconds = 60) {
+inline wire::ChangeT TeamChange(
+    const TeamId& id, wire::GrantWay grant_mode = wire::GrantWay::Witnessed,
+    uint32_t partition_seconds = 60) {
   wire::UpsertTeamT body;
   body.team = std::make_unique<wire::TeamT>();
   body.team->id = id;
-  body.team->grant_way = way;
+  body.team->grant_way = grant_mode;
   body.team->partition_seconds = partition_seconds;
   return ChangeOf(std::move(body));
 }
@@ -106,7 +106,7 @@
 
 // Stores and confirms a plan based on the newest version. Returns the answer to
 // the confirmation.
-inline wire::CommandAnswerT Accept(TestRun& run, State& state,
+inline wire::CommandAnswerT Accept(TestSender& run, State& state,
                                    const std::string& id,
                                    std::vector<wire::ChangeT> changes,
                                    WallMs stamp) {
@@ -116,8 +116,9 @@
   return run.Send(ConfirmOf(id), stamp);
 }
 
-inline wire::RequestGrantT GrantAsk(const BudgetId& budget, Tokens wanted,
-                                    Tokens demand = 0, Tokens minimum = 1) {
+inline wire::RequestGrantT GrantRequestOf(const BudgetId& budget, Tokens wanted,
+                                          Tokens demand = 0,
+                                          Tokens minimum = 1) {
   wire::RequestGrantT body;
   body.budget = budget;
   body.wanted = wanted;
--- a/src/dotterelshift/state/tables.cc
+++ b/src/dotterelshift/state/tables.cc
@@ -3,7 +3,7 @@
 #include <numeric>  // for accumulate
 
 namespace dotterelshift::state {
-Tokens Grant::Opened() const {
+Tokens Grant::OpenedTokens() const {
   return std::accumulate(openings.begin(), openings.end(), Tokens{0},
                          [](Tokens sum, const Opening& opening) {
                            return sum + opening.reserved;
@@ -32,9 +32,10 @@
   return entry;
 }
 
-std::optional<RunNumber> Tables::FindRun(const HostRun& run) const {
-  const auto found = run_numbers.find(run);
-  if (found == run_numbers.end()) return std::nullopt;
+std::optional<IncarnationIndex> Tables::FindIncarnation(
+    const HostRun& run) const {
+  const auto found = incarnation_indexes.find(run);
+  if (found == incarnation_indexes.end()) return std::nullopt;
   return found->second;
 }
 
--- a/src/dotterelshift/state/tables.h
+++ b/src/dotterelshift/state/tables.h
@@ -23,7 +23,7 @@
 namespace dotterelshift::state {
 
 // Index of an incarnation in Tables::runs, the list of all incarnations.
-using RunNumber = uint32_t;
+using IncarnationIndex = uint32_t;
 
 struct Opening {
   uint64_t attempt = 0;
@@ -34,14 +34,14 @@
 // what may have been spent and is not settled yet; it is included in the
 // account's `lost`.
 struct Grant {
-  RunNumber run = 0;
+  IncarnationIndex run = 0;
   bool dead = false;
   Tokens tokens = 0;
   Tokens standing = 0;
   Tokens demand_per_second = 0;
   std::vector<Opening> openings;
 
-  Tokens Opened() const;
+  Tokens OpenedTokens() const;
 };
 
 // Kept small, as there is one for each budget that ever existed.
@@ -64,11 +64,11 @@
 };
 
 // One incarnation of a host that has sent a command.
-struct Run {
+struct HostIncarnation {
   HostRun id;
   bool dead = false;
-  bool retired = false;  // an operator freed what it had left
-  WallMs heard = 0;      // stamp of its newest command
+  bool retired = false;     // an operator freed what it had left
+  WallMs last_command = 0;  // stamp of its newest command
 };
 
 // The compact form of an answer that is kept for resends. An answer that does
@@ -82,7 +82,7 @@
 
 // The newest incarnation of a host, and the answers kept for its resends.
 struct Host {
-  RunNumber run = 0;
+  IncarnationIndex run = 0;
   wire::RegisterHostT registered;
   uint64_t floor = 0;  // answers below this sequence have been dropped
   std::deque<KeptAnswer> answers;  // by sequence
@@ -104,7 +104,7 @@
 // An attempt that was settled under a request key.
 struct SettledAttempt {
   uint64_t attempt = 0;
-  RunNumber run = 0;
+  IncarnationIndex run = 0;
   bool billed = false;  // the request was billed for this attempt
 };
 
@@ -113,7 +113,7 @@
 struct ClaimEntry {
   uint64_t body_hash = 0;
   uint64_t attempt = 0;
-  RunNumber run = 0;
+  IncarnationIndex run = 0;
   ClaimProgress progress = ClaimProgress::kRunning;
 };
 
@@ -151,7 +151,7 @@
 inline constexpr WallMs kDayMs = 86'400'000;
 
 // The day number of the line that sums up all days older than reports reach.
-inline constexpr int64_t kFoldedDay = -1;
+inline constexpr int64_t kAggregatedDay = -1;
 
 // The routes document that an operator's program published, and how many tokens
 // each team may consume in total under it.
@@ -175,8 +175,8 @@
   // Tokens settled beyond what was purchased, by a faulty holder or after a
   // mistaken retirement.
   std::map<BudgetId, Tokens> overdrawn;
-  std::vector<Run> runs;
-  std::map<HostRun, RunNumber> run_numbers;
+  std::vector<HostIncarnation> runs;
+  std::map<HostRun, IncarnationIndex> incarnation_indexes;
   std::map<HostId, Host> hosts;
   std::deque<RequestPeriod> requests;  // oldest first
   std::map<uint64_t, Suspect> suspects;
@@ -189,7 +189,7 @@
 
   TeamDay& DayOf(const TeamId& team, WallMs when);
   // The index of an incarnation; empty if it is not known.
-  std::optional<RunNumber> FindRun(const HostRun& run) const;
+  std::optional<IncarnationIndex> FindIncarnation(const HostRun& run) const;
 };
 
 // How the grant of a dead incarnation is split.
@@ -203,7 +203,7 @@
 struct Context {
   Tables& tables;
   const wire::CommandIdT& id;
-  RunNumber run = 0;
+  IncarnationIndex run = 0;
   WallMs stamp = 0;
   RecoverGrant recover = nullptr;
 };
@@ -220,7 +220,7 @@
 }
 
 // Whether an amount from another process is in the valid range.
-inline bool IsAmount(Tokens tokens) {
+inline bool IsValidAmount(Tokens tokens) {
   return tokens >= 0 && tokens <= kMaxTokens;
 }
 
