--- a/bench/grant_simulation.h
+++ b/bench/grant_simulation.h
@@ -18,7 +18,7 @@
 
 namespace dotterelshift::bench {
 
-using budget::GrantWish;
+using budget::GrantAdjustment;
 using budget::ReserveResult;
 
 inline constexpr Duration kOneWay = 1500us;  // between data centres
@@ -212,7 +212,7 @@
     } else if (result == ReserveResult::kWait) {
       entry.waiting.push_back(request);
     } else {
-      Begin(entry, request, result == ReserveResult::kReservedStanding);
+      Begin(entry, request, result == ReserveResult::kReservedPreauthorized);
     }
     Tend(entry);
   }
@@ -260,8 +260,8 @@
     m_reserved[request.team] -= request.worst_case;
     const budget::BudgetHandle handle = entry.budgets[request.team];
     if (standing) {
-      entry.ledger->SettleStanding(handle, request.worst_case, request.spent,
-                                   m_now);
+      entry.ledger->SettlePreauthorized(handle, request.worst_case,
+                                        request.spent, m_now);
     } else {
       entry.ledger->Settle(handle, request.worst_case, request.spent, m_now);
     }
@@ -365,9 +365,9 @@
   }
 
   void Tend(Entry& entry) {
-    for (const GrantWish& wish : entry.ledger->TakeWishes(m_now)) {
+    for (const GrantAdjustment& wish : entry.ledger->TakeAdjustments(m_now)) {
       const size_t team = wish.budget;
-      if (wish.kind == GrantWish::Kind::kReturn) {
+      if (wish.kind == GrantAdjustment::Kind::kReturn) {
         wire::ReturnGrantT body;
         body.budget = BudgetOf(team);
         body.tokens = wish.wanted;
@@ -379,7 +379,7 @@
     }
   }
 
-  void Ask(Entry& entry, size_t team, const GrantWish& wish) {
+  void Ask(Entry& entry, size_t team, const GrantAdjustment& wish) {
     entry.asks[team] = Send(
         entry,
         state::GrantRequestOf(BudgetOf(team), wish.wanted,
@@ -426,7 +426,7 @@
                        entry.ledger->Reserved(entry.budgets[team]);
         beat.held.push_back(std::move(held));
       }
-      m_recalls.OnBeat(entry.run.host, beat, m_now);
+      m_recalls.OnHeartbeat(entry.run.host, beat, m_now);
     }
     After(1s, [this, index] { Beat(index); });
   }
--- a/bench/http_bench.cc
+++ b/bench/http_bench.cc
@@ -131,7 +131,7 @@
                   m_front->SendHead(attempt, status, type);
                 },
             .on_piece =
-                [this](AttemptId attempt, const serving::Piece&,
+                [this](AttemptId attempt, const serving::Chunk&,
                        std::string_view bytes) {
                   return m_front->SendPiece(attempt, bytes);
                 },
--- a/bench/state_bench.cc
+++ b/bench/state_bench.cc
@@ -270,7 +270,7 @@
     }
     each.push_back(Seconds(std::chrono::steady_clock::now() - start) / kBlock);
     for (int i = 0; i < kBlock; ++i) ledger->Settle(handle, 10, 1, now);
-    ledger->TakeWishes(now);
+    ledger->TakeAdjustments(now);
   }
   std::sort(each.begin(), each.end());
   std::printf("reservation on a held grant: median %.4f us, p99 %.4f us\n",
--- a/include/dotterelshift/budget/grant_way.h
+++ b/include/dotterelshift/budget/grant_way.h
@@ -23,65 +23,67 @@
   uint32_t partition_seconds = 0;  // partition length to cover, by the team
 };
 
-template <typename Way>
-concept GrantWayPolicy = requires(const HoldingFacts& facts, bool connected) {
+template <typename Mode>
+concept GrantModePolicy = requires(const HoldingFacts& facts, bool connected) {
   // Whether an attempt is dispatched without a committed opening.
-  { Way::GoesUnwitnessed(connected) } -> std::same_as<bool>;
+  { Mode::DispatchesWithoutOpening(connected) } -> std::same_as<bool>;
   // The pre-authorized amount that the holding should have.
-  { Way::StandingTarget(facts) } -> std::same_as<Tokens>;
+  { Mode::PreauthorizedTarget(facts) } -> std::same_as<Tokens>;
   // Whether control may reclaim the unopened tokens of a silent holder.
-  { Way::Lapses() } -> std::same_as<bool>;
+  { Mode::ExpiresWhenSilent() } -> std::same_as<bool>;
 };
 
 // The whole grant is pre-authorized: attempts need no committed opening, and
 // the whole grant is lost when its holder dies.
-struct UnwitnessedWay {
-  static constexpr bool GoesUnwitnessed(bool) { return true; }
-  static constexpr Tokens StandingTarget(const HoldingFacts& facts) {
+struct UnwitnessedMode {
+  static constexpr bool DispatchesWithoutOpening(bool) { return true; }
+  static constexpr Tokens PreauthorizedTarget(const HoldingFacts& facts) {
     return facts.tokens;
   }
-  static constexpr bool Lapses() { return false; }
+  static constexpr bool ExpiresWhenSilent() { return false; }
 };
 
 // Every attempt needs a committed opening, and a silent holder loses the tokens
 // that it has not opened. This needs no trusted clock, because nothing is
 // dispatched without a commit; but an entry that is cut off serves nothing.
-struct ClockLeaseWay {
-  static constexpr bool GoesUnwitnessed(bool) { return false; }
-  static constexpr Tokens StandingTarget(const HoldingFacts&) { return 0; }
-  static constexpr bool Lapses() { return true; }
+struct ClockLeaseMode {
+  static constexpr bool DispatchesWithoutOpening(bool) { return false; }
+  static constexpr Tokens PreauthorizedTarget(const HoldingFacts&) { return 0; }
+  static constexpr bool ExpiresWhenSilent() { return true; }
 };
 
 // Every attempt needs a committed opening while the leader is reachable. An
 // entry that is cut off spends its pre-authorized amount, which is sized by
 // demand and by the partition length to cover.
-struct WitnessedWay {
-  static constexpr bool GoesUnwitnessed(bool connected) { return !connected; }
-  static constexpr Tokens StandingTarget(const HoldingFacts& facts) {
+struct WitnessedMode {
+  static constexpr bool DispatchesWithoutOpening(bool connected) {
+    return !connected;
+  }
+  static constexpr Tokens PreauthorizedTarget(const HoldingFacts& facts) {
     const Tokens seconds = facts.partition_seconds;
     const Tokens demand =
         std::min(facts.demand_per_second, kMaxTokens / (seconds + 1));
     return std::min(facts.unopened, demand * seconds);
   }
-  static constexpr bool Lapses() { return false; }
+  static constexpr bool ExpiresWhenSilent() { return false; }
 };
 
-static_assert(GrantWayPolicy<UnwitnessedWay>);
-static_assert(GrantWayPolicy<ClockLeaseWay>);
-static_assert(GrantWayPolicy<WitnessedWay>);
+static_assert(GrantModePolicy<UnwitnessedMode>);
+static_assert(GrantModePolicy<ClockLeaseMode>);
+static_assert(GrantModePolicy<WitnessedMode>);
 
 // Calls `use` with the policy of the given grant mode.
 template <typename Use>
-auto WithWay(wire::GrantWay way, Use use) {
+auto WithGrantMode(wire::GrantWay way, Use use) {
   switch (way) {
     case wire::GrantWay::Unwitnessed:
-      return use(UnwitnessedWay());
+      return use(UnwitnessedMode());
     case wire::GrantWay::ClockLease:
-      return use(ClockLeaseWay());
+      return use(ClockLeaseMode());
     case wire::GrantWay::Witnessed:
       break;
   }
-  return use(WitnessedWay());
+  return use(WitnessedMode());
 }
 
 }  // namespace dotterelshift::budget
--- a/include/dotterelshift/budget/ledger.h
+++ b/include/dotterelshift/budget/ledger.h
@@ -29,23 +29,23 @@
 
 struct LedgerOptions {
   // Minimum target holding of a budget in use.
-  Tokens least_grant = 4096;
+  Tokens min_grant = 4096;
   // Tokens unused for this long are returned.
-  Duration idle_return = 10s;
+  Duration idle_return_after = 10s;
   // An unanswered request is sent again after this time, with the same id.
-  Duration ask_again = 250ms;
+  Duration retry_request_after = 250ms;
   // After the answer "nothing free", the leader is not asked again for this
   // long.
-  Duration refusal_memory = 500ms;
+  Duration refusal_ttl = 500ms;
   // Requests of teams with RefusalsFirst wait through a disconnection of this
   // length.
-  Duration cut_off_patience = 2s;
+  Duration disconnect_grace = 2s;
   // More tokens are requested when less than this fraction of the target
   // holding is left.
-  double ask_below = 0.5;
+  double request_below_fraction = 0.5;
   // Tokens above the target holding are returned at once when the holding
   // exceeds the target by this factor; 0: only idle tokens are returned.
-  double return_above = 0;
+  double return_above_factor = 0;
 };
 
 enum class ReserveResult {
@@ -53,9 +53,10 @@
   // it by Settle() and a wire::Settle with the same attempt.
   kReserved,
   // Reserved from the pre-authorized amount. Dispatch at once, without an
-  // opening; end it by SettleStanding() and a wire::Settle with witnessed =
+  // opening; end it by SettlePreauthorized() and a wire::Settle with witnessed
+  // =
   // false.
-  kReservedStanding,
+  kReservedPreauthorized,
   // More tokens were requested. Try again after OnGrant() or Settle().
   kWait,
   // Control reported that nothing is free and that no tokens held elsewhere can
@@ -65,9 +66,9 @@
 
 // A change to the holding of one budget that the entry has to send to control:
 // a request for more tokens, or a return of tokens.
-struct GrantWish {
+struct GrantAdjustment {
   BudgetHandle budget = 0;
-  enum class Kind { kAsk, kReturn } kind = Kind::kAsk;
+  enum class Kind { kRequestGrant, kReturn } kind = Kind::kRequestGrant;
   Tokens wanted = 0;    // request: amount by demand; return: amount returned
   Tokens minimum = 0;   // request: a smaller grant does not help
   Tokens standing = 0;  // return: decrease of the pre-authorized amount
@@ -100,14 +101,14 @@
                       Instant now) = 0;
 
   // The same for a reservation from the pre-authorized amount.
-  virtual void SettleStanding(BudgetHandle budget, Tokens reserved,
-                              Tokens spent, Instant now) = 0;
+  virtual void SettlePreauthorized(BudgetHandle budget, Tokens reserved,
+                                   Tokens spent, Instant now) = 0;
 
   // For an opening whose commit is uncertain because the leader became
   // unreachable. Returns true when the reservation could be moved to the
   // pre-authorized amount, so that the attempt may be dispatched anyway.
-  virtual bool MoveToStanding(BudgetHandle budget, Tokens reserved,
-                              Instant now) = 0;
+  virtual bool MoveToPreauthorized(BudgetHandle budget, Tokens reserved,
+                                   Instant now) = 0;
 
   // Control refused the opening of an attempt: the reservation ends with
   // nothing spent, and all unreserved tokens are returned, because control no
@@ -118,7 +119,7 @@
   // Control's answer to a request: adds the granted tokens, if any.
   virtual void OnGrant(BudgetHandle budget, const wire::GrantAnswerT& answer,
                        Instant now) = 0;
-  // The leader recalls idle tokens; the next TakeWishes() returns them.
+  // The leader recalls idle tokens; the next TakeAdjustments() returns them.
   virtual void OnRecall(const BudgetId& budget, Tokens tokens, Instant now) = 0;
 
   // Gives pre-authorized tokens to another entry and returns how many; they are
@@ -135,13 +136,13 @@
 
   // Returns the requests and returns that are due. Tokens to be returned are
   // already deducted from the holding.
-  virtual std::vector<GrantWish> TakeWishes(Instant now) = 0;
+  virtual std::vector<GrantAdjustment> TakeAdjustments(Instant now) = 0;
   // Returns all unreserved tokens, for shutdown.
-  virtual std::vector<GrantWish> ReturnAll(Instant now) = 0;
+  virtual std::vector<GrantAdjustment> ReturnAll(Instant now) = 0;
 
   virtual Tokens Held(BudgetHandle budget) const = 0;
   virtual Tokens Reserved(BudgetHandle budget) const = 0;
-  virtual Tokens Standing(BudgetHandle budget) const = 0;
+  virtual Tokens Preauthorized(BudgetHandle budget) const = 0;
   virtual Tokens DemandPerSecond(BudgetHandle budget, Instant now) const = 0;
   virtual std::vector<BudgetHandle> All() const = 0;
   virtual std::optional<Instant> NextDue() const = 0;
--- a/include/dotterelshift/budget/recall_core.h
+++ b/include/dotterelshift/budget/recall_core.h
@@ -13,12 +13,12 @@
 
 struct RecallOptions {
   // Lifetime of an entry's report of its holdings.
-  Duration beat_memory = 3s;
+  Duration report_ttl = 3s;
   // Minimum interval between two recalls from the same holder, and between two
   // evaluations of top-ups for the same budget.
-  Duration repeat = 250ms;
+  Duration min_repeat_interval = 250ms;
   // Interval between removals of expired reports on budgets without a shortage.
-  Duration sweep_every = 30s;
+  Duration sweep_interval = 30s;
 };
 
 // A recall and the entry that receives it.
@@ -43,30 +43,31 @@
 
   // Processes an entry's heartbeat; `held` contains the unreserved tokens that
   // it holds of each budget.
-  void OnBeat(const HostId& entry, const wire::EntryBeatT& beat, Instant now);
+  void OnHeartbeat(const HostId& entry, const wire::EntryBeatT& beat,
+                   Instant now);
 
   // Whether to evaluate a shortage now: always when a request waits for tokens.
   // A top-up within the repeat interval after another one is evaluated only
   // when its requester has a larger demand.
-  bool IsDue(const wire::RequestGrantT& ask, Instant now) const;
+  bool IsDue(const wire::RequestGrantT& grant_request, Instant now) const;
 
   // To be called when a grant was empty or below its minimum although other
   // entries hold tokens. `holdings` are all holdings of the budget.
   std::vector<RecallMessage> OnShortage(
-      const HostRun& asker, const wire::RequestGrantT& ask,
+      const HostRun& requester, const wire::RequestGrantT& grant_request,
       const std::vector<state::Holding>& holdings, Instant now);
 
  private:
   struct Report {
     Tokens idle = 0;
-    Instant heard;
+    Instant received;
   };
   // What is known about the holders of one budget.
   struct Budget {
     std::unordered_map<HostId, Report> reports;
-    std::unordered_map<HostId, Instant> asked;
+    std::unordered_map<HostId, Instant> last_recalled;
     Instant next_top_up{};
-    Tokens topped_up_demand = 0;  // of the last evaluated requester
+    Tokens last_top_up_demand = 0;  // of the last evaluated requester
   };
   struct Surplus {
     HostId host;
@@ -76,8 +77,9 @@
 
   Tokens IdleOf(const Budget& budget, const state::Holding& holding,
                 Instant now) const;
-  std::vector<Surplus> SurplusesOf(const Budget& budget, const HostRun& asker,
-                                   const wire::RequestGrantT& ask,
+  std::vector<Surplus> SurplusesOf(const Budget& budget,
+                                   const HostRun& requester,
+                                   const wire::RequestGrantT& grant_request,
                                    const std::vector<state::Holding>& holdings,
                                    Instant now) const;
   void Forget(Budget& budget, Instant now) const;
--- a/include/dotterelshift/endpoints/attempt_runner.h
+++ b/include/dotterelshift/endpoints/attempt_runner.h
@@ -9,7 +9,7 @@
 #include "dotterelshift/base/ids.h"                // for AttemptId
 #include "dotterelshift/callers/caller_request.h"  // for CallerRequest
 #include "dotterelshift/http/client.h"             // for Client
-#include "dotterelshift/serving/request_core.h"    // for Piece, AttemptEnd
+#include "dotterelshift/serving/request_core.h"    // for Chunk, AttemptEnd
 
 namespace dotterelshift::endpoints {
 
@@ -20,7 +20,7 @@
       on_head;
   // One piece whole by the protocol (for a stream: events without the end mark,
   // which is withheld). Returns false to pause the endpoint, until Resume().
-  std::function<bool(AttemptId, const serving::Piece&, std::string_view bytes)>
+  std::function<bool(AttemptId, const serving::Chunk&, std::string_view bytes)>
       on_piece;
   std::function<void(AttemptId, serving::AttemptEnd)> on_end;
 };
--- a/include/dotterelshift/gateway/held_grants.h
+++ b/include/dotterelshift/gateway/held_grants.h
@@ -123,7 +123,7 @@
   budget::HoldingPolicy PolicyOf(const TeamId& team) const;
   void ApplyKnownDemand(Instant now);
   bool HasPendingRequest(const TeamId& team) const;
-  wire::CommandT CommandOf(const budget::GrantWish& wish);
+  wire::CommandT CommandOf(const budget::GrantAdjustment& wish);
   void AddReport(std::optional<wire::ReportHoldingsT> report,
                  std::vector<wire::CommandT>* commands);
   template <typename Body>
--- a/include/dotterelshift/serving/core.h
+++ b/include/dotterelshift/serving/core.h
@@ -9,14 +9,14 @@
 #include <utility>        // for pair
 #include <vector>         // for vector
 
-#include "dotterelshift/quarantine/blocklist.h"   // for Blocklist
-#include "dotterelshift/quarantine/suspects.h"    // for Suspects
-#include "dotterelshift/serving/command_book.h"   // for CommandBook
-#include "dotterelshift/serving/refusal_tally.h"  // for RefusalTally
-#include "dotterelshift/serving/request.h"        // for Request, Attempt
-#include "dotterelshift/serving/request_core.h"   // for RequestCore
-#include "dotterelshift/serving/retry_budget.h"   // for RetryBudget
-#include "dotterelshift/serving/spend.h"          // for Spend
+#include "dotterelshift/quarantine/blocklist.h"           // for Blocklist
+#include "dotterelshift/quarantine/suspects.h"            // for Suspects
+#include "dotterelshift/serving/pending_command_table.h"  // for PendingCommandTable
+#include "dotterelshift/serving/refusal_tally.h"          // for RefusalTally
+#include "dotterelshift/serving/request.h"       // for Request, Attempt
+#include "dotterelshift/serving/request_core.h"  // for RequestCore
+#include "dotterelshift/serving/retry_budget.h"  // for RetryBudget
+#include "dotterelshift/serving/spend.h"         // for Spend
 
 namespace dotterelshift::serving {
 
@@ -27,20 +27,21 @@
 // retries) and settlement.cc (commands and their answers, end of requests).
 class Core final : public RequestCore {
  public:
-  Core(const RequestCoreOptions& options, const RequestCoreParts& parts);
+  Core(const RequestCoreOptions& options,
+       const RequestCoreDependencies& dependencies);
 
   void OnRequest(RequestId id, callers::CallerRequest caller_request,
                  Instant now) override;
   void OnCallerGone(RequestId id, Instant now) override;
   void OnAttemptHead(AttemptId attempt, int status, Instant now) override;
-  PieceVerdict OnChunk(AttemptId id, const Piece& piece, Instant now) override;
+  ChunkVerdict OnChunk(AttemptId id, const Chunk& chunk, Instant now) override;
   void OnAttemptEnd(AttemptId id, AttemptEnd end, Instant now) override;
   void OnAnswer(const wire::CommandAnswerT& answer, Instant now) override;
   void OnSpooled(const wire::CommandIdT& id, Instant now) override;
   void OnControlReach(ControlReach reach, Instant now) override;
   void OnRecall(const wire::RecallT& recall, Instant now) override;
   void OnQuarantine(const wire::QuarantinePushT& push, Instant now) override;
-  void OnEntries(size_t place, size_t count) override;
+  void OnEntriesChanged(size_t place, size_t count) override;
   void OnRefresh(Instant now) override;
   void StartDraining(Instant now) override;
   bool Drained() const override;
@@ -60,27 +61,27 @@
   void OnDue(Request* request, Instant now);
   // Called at the end of every event: starts the requests that can start now
   // and sends the ledger's requests and returns.
-  void Finally(Instant now);
+  void FinishEvent(Instant now);
 
   // ---- arrival.cc
   // Identifies the caller's team and checks whether the request may be served.
   // Returns the first reason to refuse it, or kNone.
-  ErrorKind Identify(Request* request);
-  ErrorKind CheckReach(const Request& request) const;
+  ErrorKind Authorize(Request* request);
+  ErrorKind CheckAccess(const Request& request) const;
   void Enqueue(Request* request, Instant now);
   // Queues the request (again) before this event ends, because the queue must
   // not be modified while it offers requests.
-  void EnqueueSoon(Request* request);
+  void EnqueueDeferred(Request* request);
   // Tries to start a queued request. Returns false when it must stay queued.
   bool TryStart(RequestId id, Instant now);
   routing::RouteChoice Choose(const Request& request, Instant now);
   routing::RouteChoice ChooseFor(const Request& request,
                                  const std::vector<EndpointId>& exclude,
                                  Instant now);
-  std::vector<EndpointId> SharesOfOthers() const;
-  void StandApart(Request* request, Instant now);
-  void ReleaseApart();
-  void OnNoChoice(Request* request, Instant now);
+  std::vector<EndpointId> EndpointsOfOtherEntries() const;
+  void AwaitIsolation(Request* request, Instant now);
+  void RetryIsolated();
+  void OnNoEndpoint(Request* request, Instant now);
 
   // ---- budget_wait.cc
   // Returns true when the worst case of one attempt is reserved. Otherwise the
@@ -89,25 +90,26 @@
   void WaitForTokens(Request* request, Instant now);
   void RetryWaiters(Instant now);
   void RefuseForBudget(Request* request, Instant now);
-  bool MayStillCome(const Request& request) const;
+  bool MayBeFreedLocally(const Request& request) const;
   // Whether any tokens of the budget are left, here or elsewhere, as far as
   // this entry knows.
   bool BudgetRemained(const Request& request) const;
   // Whether, by control's last answer, fewer tokens than the worst case are
   // left in total.
   bool IsExhausted(const Request& request) const;
-  void LeaveWaiters(const Request& request);
+  void RemoveFromWaiters(const Request& request);
   // Tokens reserved for an attempt, and whether they are pre-authorized.
   struct Reservation {
     Tokens tokens = 0;
     bool standing = false;
   };
-  void GiveBack(const Request& request, const Reservation& reservation,
-                Tokens spent, Instant now);
+  void ReleaseReservation(const Request& request,
+                          const Reservation& reservation, Tokens spent,
+                          Instant now);
   // Whether the attempt may be dispatched although its opening cannot be
   // committed now.
-  bool MayGoUnwitnessed(Request* request, Instant now);
-  void SendWishes(const std::vector<budget::GrantWish>& wishes);
+  bool MayDispatchWithoutOpening(Request* request, Instant now);
+  void SendAdjustments(const std::vector<budget::GrantAdjustment>& adjustments);
 
   // ---- dispatch.cc
   void BeginAttempt(Request* request, const routing::RouteChoice& choice,
@@ -119,21 +121,21 @@
   void OnOpened(Request* request, const wire::CommandAnswerT& answer,
                 Instant now);
   void OnOpeningRefused(Request* request, ErrorKind error, Instant now);
-  void OnWitnessLate(Request* request, Instant now);
+  void OnCommitTimeout(Request* request, Instant now);
   void Dispatch(Request* request, Instant now);
-  bool ChooseAgain(Request* request, Instant now);
+  bool ChooseReplacement(Request* request, Instant now);
 
   // ---- attempt_end.cc
   void EndAttempt(Request* request, AttemptEnd end, Instant now);
-  void AfterFailure(Request* request, const Attempt& attempt, AttemptEnd end,
-                    Instant now);
+  void HandleFailure(Request* request, const Attempt& attempt, AttemptEnd end,
+                     Instant now);
   bool MayRetry(const Request& request, AttemptEnd end, Instant now);
   // Reports to control that the endpoint died during the attempt. Returns the
   // sequence of the command.
-  uint64_t NoteDeath(const Request& request, const Attempt& attempt,
-                     Instant now);
+  uint64_t ReportDeath(const Request& request, const Attempt& attempt,
+                       Instant now);
   void OnReported(Request* request, Instant now);
-  void GoOnAfterFailure(Request* request, Instant now);
+  void RetryOrFail(Request* request, Instant now);
   // Cancels the running attempt and fails the request.
   void CancelAndFail(Request* request, ErrorKind kind, Instant now);
   // Removes the attempt from the request, the router and the suspects.
@@ -157,16 +159,17 @@
   void ReleaseClaim(Request* request);
   template <typename Body>
   uint64_t Propose(Body body, PendingCommand pending) {
-    Act(ProposeCommand{m_commands.Add(std::move(body), std::move(pending))});
+    AddAction(
+        ProposeCommand{m_commands.Add(std::move(body), std::move(pending))});
     return m_commands.LastSequence();
   }
   template <typename Wanted>
-  void Act(Wanted action) {
+  void AddAction(Wanted action) {
     m_actions.emplace_back(std::in_place_type<Wanted>, std::move(action));
   }
   uint64_t ProposeSettle(wire::SettleT settle, RequestId request);
   void Spool(uint64_t sequence);
-  void SpoolOpenSettlement(Request* request, Instant now);
+  void SpoolPendingSettlement(Request* request, Instant now);
   void OnSettled(Request* request, const wire::CommandAnswerT& answer,
                  Instant now);
   void OnGrantAnswer(const PendingCommand& pending,
@@ -184,23 +187,23 @@
             int retry_after_seconds = 0, std::string detail = {});
   // The error kind to report: replaces a kind that means "not run" when an
   // endpoint may have run the request.
-  static ErrorKind Truthful(const Request& request, ErrorKind kind);
+  static ErrorKind ReportableKind(const Request& request, ErrorKind kind);
   void CountRefusal(const Request& request, ErrorKind kind, Instant now);
   void Summarize(const Request& request, ErrorKind kind, Instant now);
   void Forget(Request* request);
 
   RequestCoreOptions m_options;
-  RequestCoreParts m_parts;
+  RequestCoreDependencies m_dependencies;
   ControlReach m_reach = ControlReach::kNever;
   bool m_draining = false;
-  bool m_wishes_due = false;
+  bool m_adjustments_due = false;
   AttemptId m_last_attempt = 0;
 
   std::unordered_map<RequestId, std::unique_ptr<Request>> m_requests;
   std::unordered_map<AttemptId, RequestId> m_attempts;
   std::set<std::pair<Instant, RequestId>> m_timers;
-  std::vector<RequestId> m_apart;
-  std::vector<RequestId> m_soon;  // to be queued before this event ends
+  std::vector<RequestId> m_awaiting_isolation;
+  std::vector<RequestId> m_deferred;  // to be queued before this event ends
   // Requests that wait for tokens, in order of arrival, and the budgets of
   // which tokens were freed.
   std::unordered_map<budget::BudgetHandle, std::vector<RequestId>> m_waiters;
@@ -209,14 +212,14 @@
   // Control's last grant answer per budget, for its `free` and `elsewhere`.
   std::unordered_map<budget::BudgetHandle, wire::GrantAnswerT> m_last_grant;
   // Budgets with a pending grant request.
-  std::set<budget::BudgetHandle> m_asking;
+  std::set<budget::BudgetHandle> m_grants_pending;
 
-  CommandBook m_commands;
+  PendingCommandTable m_commands;
   RetryBudget m_retries;
   RefusalTally m_refusals;
   quarantine::Blocklist m_blocklist;
   quarantine::Suspects m_suspects;
-  size_t m_place = 0;  // index of this entry among all entries
+  size_t m_entry_index = 0;  // index of this entry among all entries
   size_t m_entries = 1;
 
   uint64_t m_directory_seen = 0;
--- a/include/dotterelshift/serving/command_book.h
+++ b/include/dotterelshift/serving/pending_command_table.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHIFT_SERVING_COMMAND_BOOK_H_
-#define DOTTERELSHIFT_SERVING_COMMAND_BOOK_H_
+#ifndef DOTTERELSHIFT_SERVING_PENDING_COMMAND_TABLE_H_
+#define DOTTERELSHIFT_SERVING_PENDING_COMMAND_TABLE_H_
 
 #include <cstdint>        // for uint64_t
 #include <memory>         // for unique_ptr
@@ -14,8 +14,8 @@
 
 // The purpose of a command that control has not answered yet.
 struct PendingCommand {
-  enum class Kind { kAsk, kReturn, kOpen, kSettle, kClaim, kNote };
-  Kind kind = Kind::kNote;
+  enum class Kind { kRequestGrant, kReturn, kOpen, kSettle, kClaim, kOther };
+  Kind kind = Kind::kOther;
   RequestId request = 0;
   AttemptId attempt = 0;
   budget::BudgetHandle budget = 0;
@@ -30,9 +30,9 @@
 
 // Numbers the commands of one incarnation and keeps the purpose of each pending
 // one. A command is proposed once; the adapter resends it until it is answered.
-class CommandBook {
+class PendingCommandTable {
  public:
-  explicit CommandBook(HostRun self) : m_self(std::move(self)) {}
+  explicit PendingCommandTable(HostRun self) : m_self(std::move(self)) {}
 
   // Returns a command with the body and a new id, and records its purpose.
   template <typename Body>
@@ -56,7 +56,7 @@
   // Whether a pending command would be lost if this process ended. Settlements
   // count until they are answered or spooled; other commands count only while
   // control is reachable.
-  bool Owes(bool control_in_reach) const;
+  bool HasUnacknowledged(bool control_reachable) const;
   size_t size() const { return m_pending.size(); }
   uint64_t LastSequence() const { return m_last_sequence; }
 
@@ -68,4 +68,4 @@
 
 }  // namespace dotterelshift::serving
 
-#endif  // DOTTERELSHIFT_SERVING_COMMAND_BOOK_H_
+#endif  // DOTTERELSHIFT_SERVING_PENDING_COMMAND_TABLE_H_
--- a/include/dotterelshift/serving/request.h
+++ b/include/dotterelshift/serving/request.h
@@ -17,13 +17,13 @@
 
 // The processing state of a request.
 enum class Stage {
-  kArrived,    // being processed; not in any list
-  kQueued,     // in the fair queue, waiting for an endpoint
-  kBudget,     // waiting for tokens
-  kApart,      // suspect content, waiting until it may run alone
-  kClaiming,   // waiting for the commit of its claim
-  kOpening,    // waiting for the commit of its attempt's opening
-  kRunning,    // sent to an endpoint
+  kArrived,            // being processed; not in any list
+  kQueued,             // in the fair queue, waiting for an endpoint
+  kAwaitingTokens,     // waiting for tokens
+  kAwaitingIsolation,  // suspect content, waiting until it may run alone
+  kClaiming,           // waiting for the commit of its claim
+  kOpening,            // waiting for the commit of its attempt's opening
+  kRunning,            // sent to an endpoint
   kReporting,  // its endpoint died; waiting for the commit of the report
   kSettling,   // the response is complete; waiting for its settlement
 };
@@ -35,13 +35,13 @@
   uint64_t incarnation = 0;
   std::string address;
   Tokens reserved = 0;
-  bool alone = false;       // runs alone because its content is suspect
-  bool opening = false;     // its opening was proposed and not refused
-  bool standing = false;    // uses pre-authorized tokens: needs no opening
-  bool dispatched = false;  // handed over for sending to the endpoint
-  Instant started{};        // time of the dispatch
-  Tokens counted = 0;       // output tokens counted by this entry
-  bool has_piece = false;
+  bool alone = false;         // runs alone because its content is suspect
+  bool opening = false;       // its opening was proposed and not refused
+  bool standing = false;      // uses pre-authorized tokens: needs no opening
+  bool dispatched = false;    // handed over for sending to the endpoint
+  Instant started{};          // time of the dispatch
+  Tokens counted_output = 0;  // output tokens counted by this entry
+  bool has_chunk = false;
   bool has_usage = false;
   Tokens usage_prompt = 0;
   Tokens usage_output = 0;
@@ -61,16 +61,16 @@
   Stage stage = Stage::kArrived;
   Instant arrived{};
   Instant deadline{};
-  std::optional<Instant> due;           // when its timer expires
-  std::optional<Instant> budget_until;  // end of its wait for tokens
-  Tokens reserved = 0;                  // until an attempt takes it over
-  bool standing = false;                // `reserved` is pre-authorized
-  int refused_openings = 0;             // openings refused by control so far
+  std::optional<Instant> due;                // when its timer expires
+  std::optional<Instant> budget_wait_until;  // end of its wait for tokens
+  Tokens reserved = 0;                       // until an attempt takes it over
+  bool standing = false;                     // `reserved` is pre-authorized
+  int refused_openings = 0;  // openings refused by control so far
   std::optional<Attempt> attempt;
   int attempts = 0;
   bool retry_wanted = false;         // whether a retry follows kReporting
   std::vector<EndpointId> excluded;  // endpoints already tried
-  bool handed = false;               // an endpoint may have run part of it
+  bool may_have_run = false;         // an endpoint may have run part of it
   bool forwarded = false;            // a chunk was forwarded to the caller
   bool claim_open = false;           // its claim is granted and not settled
   AttemptId claimed_by = 0;          // the attempt named in the claim
--- a/include/dotterelshift/serving/request_core.h
+++ b/include/dotterelshift/serving/request_core.h
@@ -36,12 +36,12 @@
 };
 // The response is complete and its bill recorded: send the last chunk, which
 // was withheld until now.
-struct FinishAnswer {
+struct FinishResponse {
   RequestId request = 0;
 };
 // Refuse the request or, if chunks were already sent, end the stream with an
 // error that the caller can see.
-struct FailAnswer {
+struct FailResponse {
   RequestId request = 0;
   ErrorKind kind = ErrorKind::kInternal;
   std::string detail;
@@ -57,17 +57,17 @@
 struct SpoolCommand {
   wire::CommandT command;
 };
-using Action = std::variant<StartAttempt, CancelAttempt, FinishAnswer,
-                            FailAnswer, ProposeCommand, SpoolCommand>;
+using Action = std::variant<StartAttempt, CancelAttempt, FinishResponse,
+                            FailResponse, ProposeCommand, SpoolCommand>;
 
 // What the endpoint adapter found in the bytes of one chunk of a response.
-struct Piece {
+struct Chunk {
   Tokens tokens = 0;       // output tokens in it, counted by the entry
   bool has_usage = false;  // contains the engine's usage report (cumulative)
   Tokens usage_prompt = 0;
   Tokens usage_output = 0;
 };
-enum class PieceVerdict {
+enum class ChunkVerdict {
   kForward,
   kDrop,  // the attempt was abandoned, or the caller is gone
   kCut,   // over the output limit; the core has requested a cancellation
@@ -100,9 +100,9 @@
   int retry_burst = 10;
   // How long a claim, an opening or a report of a death may wait for its
   // commit.
-  Duration witness_patience = 1s;
+  Duration commit_timeout = 1s;
   // How long the last chunk waits for its bill; then the bill is spooled.
-  Duration settle_patience = 2s;
+  Duration settle_timeout = 2s;
   // Setting: serve with pre-authorized tokens while cut off, or refuse.
   bool serve_when_cut_off = true;
   // How long a request waits for tokens that may still become available, by its
@@ -112,7 +112,7 @@
 };
 
 // Dependencies of the core; all must outlive it.
-struct RequestCoreParts {
+struct RequestCoreDependencies {
   const state::Configuration* configuration = nullptr;
   const directory::Directory* directory = nullptr;
   budget::Ledger* ledger = nullptr;
@@ -137,11 +137,11 @@
 
 // Counters of dropped chunks, retries and other rare events.
 struct ServingCounters {
-  uint64_t late_pieces_dropped = 0;
+  uint64_t late_chunks_dropped = 0;
   uint64_t retries = 0;
   uint64_t retries_denied = 0;
   uint64_t false_refusals = 0;  // refused although some budget remained
-  uint64_t unwitnessed_attempts = 0;
+  uint64_t attempts_without_opening = 0;
   uint64_t spooled_settlements = 0;
 };
 
@@ -158,7 +158,7 @@
   virtual void OnCallerGone(RequestId request, Instant now) = 0;
 
   virtual void OnAttemptHead(AttemptId attempt, int status, Instant now) = 0;
-  virtual PieceVerdict OnChunk(AttemptId attempt, const Piece& piece,
+  virtual ChunkVerdict OnChunk(AttemptId attempt, const Chunk& chunk,
                                Instant now) = 0;
   virtual void OnAttemptEnd(AttemptId attempt, AttemptEnd end, Instant now) = 0;
 
@@ -168,7 +168,7 @@
   virtual void OnRecall(const wire::RecallT& recall, Instant now) = 0;
   virtual void OnQuarantine(const wire::QuarantinePushT& push, Instant now) = 0;
   // Sets the number of entries and the zero-based index of this one.
-  virtual void OnEntries(size_t place, size_t count) = 0;
+  virtual void OnEntriesChanged(size_t place, size_t count) = 0;
   // The configuration or the directory may have changed.
   virtual void OnRefresh(Instant now) = 0;
 
@@ -191,8 +191,9 @@
   virtual size_t OpenRequests() const = 0;
 };
 
-std::unique_ptr<RequestCore> MakeRequestCore(const RequestCoreOptions& options,
-                                             const RequestCoreParts& parts);
+std::unique_ptr<RequestCore> MakeRequestCore(
+    const RequestCoreOptions& options,
+    const RequestCoreDependencies& dependencies);
 
 }  // namespace dotterelshift::serving
 
--- a/src/dotterelshift/app/control.cc
+++ b/src/dotterelshift/app/control.cc
@@ -82,7 +82,7 @@
   void OnPeerUp(const peers::PeerInfo& peer);
   void OnPeerFrame(const peers::PeerInfo& peer, const wire::FrameT& frame);
   void OnPropose(const peers::PeerInfo& peer, const wire::ProposeT& propose);
-  void OnBeat(const peers::PeerInfo& peer, const wire::EntryBeatT& beat);
+  void OnHeartbeat(const peers::PeerInfo& peer, const wire::EntryBeatT& beat);
   void OnSpool(const peers::PeerInfo& peer, const wire::SpoolT& spool);
   void SendHint(const HostId& host);
   void OnApplied(const wire::CommandBatchT& batch,
@@ -281,7 +281,7 @@
   if (const auto* propose = frame.body.AsPropose()) {
     OnPropose(peer, *propose);
   } else if (const auto* beat = frame.body.AsEntryBeat()) {
-    OnBeat(peer, *beat);
+    OnHeartbeat(peer, *beat);
   } else if (const auto* spool = frame.body.AsSpool()) {
     OnSpool(peer, *spool);
   } else if (peer.role == wire::HostRole::Control) {
@@ -326,10 +326,10 @@
   m_hub->Send(host, peers::MakeFrame(std::move(hint)));
 }
 
-void Control::OnBeat(const peers::PeerInfo& peer,
-                     const wire::EntryBeatT& beat) {
-  if (!m_pushes->OnBeat(peer.run.host, beat, m_loop.Now())) return;
-  m_recalls.OnBeat(peer.run.host, beat, m_loop.Now());
+void Control::OnHeartbeat(const peers::PeerInfo& peer,
+                          const wire::EntryBeatT& beat) {
+  if (!m_pushes->OnHeartbeat(peer.run.host, beat, m_loop.Now())) return;
+  m_recalls.OnHeartbeat(peer.run.host, beat, m_loop.Now());
   const HostId host = peer.run.host;
   m_replica->ConfirmedRead(
       [this, host, sequence = beat.sequence](ErrorKind error) {
--- a/src/dotterelshift/app/entry.cc
+++ b/src/dotterelshift/app/entry.cc
@@ -113,7 +113,7 @@
                }),
       m_prepare(
           loop, [this] { SendToControl(); }, EV_MINPRI + 1) {
-  serving::RequestCoreParts parts;
+  serving::RequestCoreDependencies parts;
   parts.configuration = &m_link.GetConfiguration();
   parts.directory = &m_directory.GetDirectory();
   parts.ledger = m_ledger.get();
@@ -249,7 +249,7 @@
 
 void Entry::TakeFromLink() {
   const Instant now = m_loop.Now();
-  m_core->OnEntries(m_link.EntryPlace(), m_link.EntryCount());
+  m_core->OnEntriesChanged(m_link.EntryPlace(), m_link.EntryCount());
   if (m_link.GetConfiguration().Version() != m_version) Refresh();
   if (m_link.Reach() != m_reach) {
     m_reach = m_link.Reach();
@@ -325,12 +325,12 @@
                       "Endpoints that may be given work",
                       static_cast<double>(usable));
   const std::pair<std::string_view, uint64_t> counters[] = {
-      {"dotterelshift_late_pieces_dropped_total", serving.late_pieces_dropped},
+      {"dotterelshift_late_pieces_dropped_total", serving.late_chunks_dropped},
       {"dotterelshift_retries_total", serving.retries},
       {"dotterelshift_retries_denied_total", serving.retries_denied},
       {"dotterelshift_false_refusals_total", serving.false_refusals},
       {"dotterelshift_unwitnessed_attempts_total",
-       serving.unwitnessed_attempts},
+       serving.attempts_without_opening},
       {"dotterelshift_spooled_settlements_total", serving.spooled_settlements},
       {"dotterelshift_peer_bytes_in_total", hub.bytes_in},
       {"dotterelshift_peer_bytes_out_total", hub.bytes_out},
--- a/src/dotterelshift/app/entry_pushes.cc
+++ b/src/dotterelshift/app/entry_pushes.cc
@@ -57,8 +57,8 @@
   m_entries[entry.run.host] = {entry, {}, {}};
 }
 
-bool EntryPushes::OnBeat(const HostId& host, const wire::EntryBeatT& beat,
-                         Instant now) {
+bool EntryPushes::OnHeartbeat(const HostId& host, const wire::EntryBeatT& beat,
+                              Instant now) {
   const auto entry = m_entries.find(host);
   if (entry == m_entries.end()) return false;
   OnHas(entry->second.configuration, beat.configuration_version, false, now);
--- a/src/dotterelshift/app/entry_pushes.h
+++ b/src/dotterelshift/app/entry_pushes.h
@@ -27,7 +27,8 @@
   void OnUp(const peers::PeerInfo& entry);
   void OnDown(const HostId& entry) { m_entries.erase(entry); }
   // The entry told which versions it has. False when it is not connected.
-  bool OnBeat(const HostId& entry, const wire::EntryBeatT& beat, Instant now);
+  bool OnHeartbeat(const HostId& entry, const wire::EntryBeatT& beat,
+                   Instant now);
 
   // Answers a beat, once a quorum has confirmed that this replica leads. What
   // the entry lacks is left to PushSome().
--- a/src/dotterelshift/app/entry_pushes_test.cc
+++ b/src/dotterelshift/app/entry_pushes_test.cc
@@ -95,7 +95,7 @@
     beat.wants_routes = wants_routes;
     beat.sequence = ++m_beats;
     beat.routes_version = version;
-    m_pushes.OnBeat(host, beat, m_now);
+    m_pushes.OnHeartbeat(host, beat, m_now);
     m_pushes.AnswerBeat(host, beat.sequence, 1);
     PushAll();
   }
--- a/src/dotterelshift/app/request_traffic.cc
+++ b/src/dotterelshift/app/request_traffic.cc
@@ -58,7 +58,7 @@
     m_core.OnAttemptHead(attempt, status, m_loop.Now());
     Pump();
   };
-  events.on_piece = [this](AttemptId attempt, const serving::Piece& piece,
+  events.on_piece = [this](AttemptId attempt, const serving::Chunk& piece,
                            std::string_view bytes) {
     return OnChunk(attempt, piece, bytes);
   };
@@ -69,13 +69,13 @@
   return events;
 }
 
-bool RequestTraffic::OnChunk(AttemptId attempt, const serving::Piece& piece,
+bool RequestTraffic::OnChunk(AttemptId attempt, const serving::Chunk& piece,
                              std::string_view bytes) {
   const Instant now = m_loop.Now();
-  const serving::PieceVerdict verdict = m_core.OnChunk(attempt, piece, now);
+  const serving::ChunkVerdict verdict = m_core.OnChunk(attempt, piece, now);
   bool go_on = true;
   const auto found = m_active.find(attempt);
-  if (verdict == serving::PieceVerdict::kForward && found != m_active.end()) {
+  if (verdict == serving::ChunkVerdict::kForward && found != m_active.end()) {
     ActiveRequest& flight = found->second;
     if (flight.streamed) {
       SendHead(flight);
@@ -127,7 +127,7 @@
   m_active.erase(cancel.attempt);
 }
 
-void RequestTraffic::CarryOut(const serving::FinishAnswer& finish) {
+void RequestTraffic::CarryOut(const serving::FinishResponse& finish) {
   const auto attempt = m_attempt_of.find(finish.request);
   if (attempt != m_attempt_of.end()) {
     const auto found = m_active.find(attempt->second);
@@ -141,7 +141,7 @@
   Forget(finish.request);
 }
 
-void RequestTraffic::CarryOut(const serving::FailAnswer& fail) {
+void RequestTraffic::CarryOut(const serving::FailResponse& fail) {
   m_front->Fail(fail.request, fail.kind, fail.detail, fail.retry_after_seconds);
   Forget(fail.request);
 }
--- a/src/dotterelshift/app/request_traffic.h
+++ b/src/dotterelshift/app/request_traffic.h
@@ -53,7 +53,7 @@
 
   callers::FrontEvents MakeFrontEvents();
   endpoints::AttemptEvents MakeAttemptEvents();
-  bool OnChunk(AttemptId attempt, const serving::Piece& piece,
+  bool OnChunk(AttemptId attempt, const serving::Chunk& piece,
                std::string_view bytes);
   void OnDrained(RequestId request);
   void SendHead(ActiveRequest& flight);
@@ -61,8 +61,8 @@
   void CarryOut(serving::Action& action);
   void CarryOut(serving::StartAttempt& start);
   void CarryOut(const serving::CancelAttempt& cancel);
-  void CarryOut(const serving::FinishAnswer& finish);
-  void CarryOut(const serving::FailAnswer& fail);
+  void CarryOut(const serving::FinishResponse& finish);
+  void CarryOut(const serving::FailResponse& fail);
   void CarryOut(serving::ProposeCommand& propose) {
     m_callbacks.propose(std::move(propose.command));
   }
--- a/src/dotterelshift/budget/grant_property_test.cc
+++ b/src/dotterelshift/budget/grant_property_test.cc
@@ -45,7 +45,7 @@
   BudgetHandle budget = 0;
   bool connected = true;
   uint64_t sequence = 0;
-  uint64_t ask = 0;  // sequence of the last grant request
+  uint64_t grant_request = 0;  // sequence of the last grant request
   std::map<AttemptId, Attempt> attempts;
   std::map<uint64_t, wire::CommandT> outbox;  // not answered yet
 };
@@ -56,7 +56,7 @@
       : m_random(seed),
         m_state(state::MakeStateWith({}, recover)),
         m_twin(state::MakeStateWith({}, recover)) {
-    ChangeWay();
+    ChangeGrantMode();
     Accept(state::BudgetChange("b", "team"));
     TopUp();
     for (int i = 0; i < kEntries; ++i) {
@@ -70,7 +70,7 @@
   // when all invariants held at every step and at the end.
   std::string Play() {
     for (int step = 0; step < kSteps && m_failure.empty(); ++step) Step();
-    if (m_failure.empty()) Heal();
+    if (m_failure.empty()) RecoverAll();
     return m_failure;
   }
 
@@ -85,11 +85,11 @@
     entry.run.incarnation += 1;
     entry.ledger = MakeLedger();
     HoldingPolicy policy;
-    policy.way = m_way;
+    policy.way = m_grant_mode;
     entry.budget = entry.ledger->Open("b", policy);
     entry.connected = true;
     entry.sequence = 0;
-    entry.ask = 0;
+    entry.grant_request = 0;
     entry.attempts.clear();
     entry.outbox.clear();
     Propose(entry, wire::RegisterHostT());
@@ -113,22 +113,22 @@
     Entry& entry = AnyEntry();
     switch (Draw(24)) {
       case 0:
-        return EndRun(entry);
+        return KillProcess(entry);
       case 1:
       case 2:
-        return CutOrHeal(entry);
+        return ToggleConnection(entry);
       case 3:
         return Draw(10) == 0 ? TopUp() : MergeSpool();
       case 4:
         return Retire();
       case 5:
-        return Draw(8) == 0 ? ChangeWay() : GiveUpOpening(entry);
+        return Draw(8) == 0 ? ChangeGrantMode() : AbandonOpening(entry);
       case 6:
         return entry.ledger->OnRecall("b", static_cast<Tokens>(Draw(400)),
                                       m_now);
       case 7:
       case 8:
-        return SendAgain(entry);
+        return Resend(entry);
       case 9:
       case 10:
       case 11:
@@ -140,9 +140,9 @@
         return Finish(entry);
       case 16:
       case 17:
-        return TendLedger(entry);
+        return PollLedger(entry);
       default:
-        return MoveMessage();
+        return DeliverMessage();
     }
   }
 
@@ -150,7 +150,7 @@
 
   void Reserve(Entry& entry) {
     HoldingPolicy policy;
-    policy.way = m_way;
+    policy.way = m_grant_mode;
     entry.ledger->Open("b", policy);
     Attempt attempt;
     attempt.key = "k" + std::to_string(Draw(200));
@@ -158,9 +158,9 @@
     const ReserveResult result =
         entry.ledger->Reserve(entry.budget, attempt.reserved, m_now);
     const AttemptId id = ++m_last_attempt;
-    attempt.standing = result == ReserveResult::kReservedStanding;
+    attempt.standing = result == ReserveResult::kReservedPreauthorized;
     attempt.running = attempt.standing;
-    if (attempt.standing) m_unheard[entry.run].insert(id);
+    if (attempt.standing) m_unsettled_without_opening[entry.run].insert(id);
     if (result == ReserveResult::kReserved)
       Propose(entry, state::OpeningOf("b", attempt.key, id, attempt.reserved));
     if (result == ReserveResult::kReserved || attempt.standing)
@@ -181,8 +181,8 @@
   void Settle(Entry& entry, AttemptId id, const Attempt& attempt, Tokens spent,
               wire::Outcome outcome) {
     if (attempt.standing) {
-      entry.ledger->SettleStanding(entry.budget, attempt.reserved, spent,
-                                   m_now);
+      entry.ledger->SettlePreauthorized(entry.budget, attempt.reserved, spent,
+                                        m_now);
     } else {
       entry.ledger->Settle(entry.budget, attempt.reserved, spent, m_now);
     }
@@ -199,14 +199,14 @@
   // Handles an opening that is not answered in time: the attempt is dispatched
   // with pre-authorized tokens or abandoned. Its settlement ends the opening in
   // both cases.
-  void GiveUpOpening(Entry& entry) {
+  void AbandonOpening(Entry& entry) {
     for (auto& [id, attempt] : entry.attempts) {
       if (attempt.running) continue;
-      if (!entry.connected &&
-          entry.ledger->MoveToStanding(entry.budget, attempt.reserved, m_now)) {
+      if (!entry.connected && entry.ledger->MoveToPreauthorized(
+                                  entry.budget, attempt.reserved, m_now)) {
         attempt.standing = true;
         attempt.running = true;
-        m_unheard[entry.run].insert(id);
+        m_unsettled_without_opening[entry.run].insert(id);
         return;
       }
       Settle(entry, id, attempt, 0, wire::Outcome::Refused);
@@ -217,7 +217,7 @@
 
   // The process dies. The tokens that its running attempts consumed until then
   // remain consumed, but their number is unknown to control.
-  void EndRun(Entry& entry) {
+  void KillProcess(Entry& entry) {
     if (Draw(3) != 0) return;
     for (const auto& [id, attempt] : entry.attempts)
       if (attempt.running)
@@ -226,31 +226,33 @@
     Start(entry);
   }
 
-  void CutOrHeal(Entry& entry) {
+  void ToggleConnection(Entry& entry) {
     entry.connected = !entry.connected;
     entry.ledger->SetConnected(entry.connected, m_now);
   }
 
-  void TendLedger(Entry& entry) {
-    for (const GrantWish& wish : entry.ledger->TakeWishes(m_now)) {
-      if (wish.kind == GrantWish::Kind::kReturn) {
+  void PollLedger(Entry& entry) {
+    for (const GrantAdjustment& adjustment :
+         entry.ledger->TakeAdjustments(m_now)) {
+      if (adjustment.kind == GrantAdjustment::Kind::kReturn) {
         wire::ReturnGrantT body;
         body.budget = "b";
-        body.tokens = wish.wanted;
-        body.standing = wish.standing;
+        body.tokens = adjustment.wanted;
+        body.standing = adjustment.standing;
         Propose(entry, body);
-      } else if (entry.ask != 0 && entry.outbox.contains(entry.ask)) {
-        m_network.push_back(entry.outbox[entry.ask]);
+      } else if (entry.grant_request != 0 &&
+                 entry.outbox.contains(entry.grant_request)) {
+        m_network.push_back(entry.outbox[entry.grant_request]);
       } else {
-        entry.ask = Propose(
-            entry,
-            state::GrantRequestOf("b", wish.wanted % 500 + wish.minimum,
-                                  static_cast<Tokens>(Draw(5)), wish.minimum));
+        entry.grant_request = Propose(
+            entry, state::GrantRequestOf(
+                       "b", adjustment.wanted % 500 + adjustment.minimum,
+                       static_cast<Tokens>(Draw(5)), adjustment.minimum));
       }
     }
   }
 
-  void SendAgain(Entry& entry) {
+  void Resend(Entry& entry) {
     if (!entry.connected || entry.outbox.empty()) return;
     auto command = entry.outbox.begin();
     std::advance(command, Draw(entry.outbox.size()));
@@ -261,7 +263,7 @@
 
   // Delivers one message. Messages are reordered, some are lost or duplicated,
   // and commands of dead or cut-off incarnations may still be in flight.
-  void MoveMessage() {
+  void DeliverMessage() {
     if (m_network.empty()) return;
     const size_t index = Draw(m_network.size());
     const wire::CommandT command = m_network[index];
@@ -272,10 +274,10 @@
     if (Draw(8) == 0) return;
     const wire::CommandAnswerT answer = Apply(command);
     for (Entry& entry : m_entries) {
-      const bool heard = entry.run.host == command.id->host &&
-                         entry.run.incarnation == command.id->incarnation &&
-                         entry.connected && Draw(8) != 0;
-      if (heard) OnAnswer(entry, command, answer);
+      const bool received = entry.run.host == command.id->host &&
+                            entry.run.incarnation == command.id->incarnation &&
+                            entry.connected && Draw(8) != 0;
+      if (received) OnAnswer(entry, command, answer);
     }
   }
 
@@ -316,17 +318,17 @@
     batch.commands.push_back(std::make_unique<wire::CommandT>(command));
     wire::CommandAnswerT answer = std::move(m_state->Apply(batch).front());
     m_twin->Apply(batch);
-    NoteSettlement(command, answer);
+    RecordSettlement(command, answer);
     Check();
     return answer;
   }
 
-  void NoteSettlement(const wire::CommandT& command,
-                      const wire::CommandAnswerT& answer) {
+  void RecordSettlement(const wire::CommandT& command,
+                        const wire::CommandAnswerT& answer) {
     const wire::SettleT* settle = command.body.AsSettle();
     if (settle == nullptr || answer.error != 0) return;
-    m_unheard[{settle->holder, settle->holder_incarnation}].erase(
-        settle->attempt);
+    m_unsettled_without_opening[{settle->holder, settle->holder_incarnation}]
+        .erase(settle->attempt);
     if (!answer.body.AsSettleAnswer()->first_bill) return;
     std::set<AttemptId>& billed = m_billed[settle->request_key];
     billed.insert(settle->attempt);
@@ -342,14 +344,14 @@
     std::vector<wire::ChangeT> changes;
     changes.push_back(std::move(change));
     const uint64_t base = m_state->GetConfiguration().Version();
-    Operate(state::PlanOf(id, base, "operator", std::move(changes)));
+    SubmitAsOperator(state::PlanOf(id, base, "operator", std::move(changes)));
     // The answer may be lost, so that an operator confirms again.
     for (uint64_t times = 0; times <= Draw(2); ++times)
-      Operate(state::ConfirmOf(id));
+      SubmitAsOperator(state::ConfirmOf(id));
   }
 
   template <typename Body>
-  void Operate(Body body) {
+  void SubmitAsOperator(Body body) {
     wire::CommandT command;
     command.id = std::make_unique<wire::CommandIdT>();
     command.id->host = "control";
@@ -366,9 +368,9 @@
       Fail("a top-up is not counted");
   }
 
-  void ChangeWay() {
-    m_way = static_cast<wire::GrantWay>(Draw(3));
-    Accept(state::TeamChange("team", m_way, 20 + Draw(40)));
+  void ChangeGrantMode() {
+    m_grant_mode = static_cast<wire::GrantWay>(Draw(3));
+    Accept(state::TeamChange("team", m_grant_mode, 20 + Draw(40)));
   }
 
   // An operator retires an incarnation only when everything that it spent
@@ -376,7 +378,7 @@
   void Retire() {
     if (m_dead.empty()) return;
     const HostRun run = m_dead[Draw(m_dead.size())];
-    if (!m_unheard[run].empty()) return;
+    if (!m_unsettled_without_opening[run].empty()) return;
     wire::RetireHolderT body;
     body.host = run.host;
     body.incarnation = run.incarnation;
@@ -410,9 +412,9 @@
 
   // Ends all faults and attempts, and checks that the consumed tokens are
   // settled or counted as lost.
-  void Heal() {
+  void RecoverAll() {
     for (Entry& entry : m_entries) {
-      if (!entry.connected) CutOrHeal(entry);
+      if (!entry.connected) ToggleConnection(entry);
       while (!entry.attempts.empty()) EndAttempt(entry);
     }
     for (const wire::CommandT& command : m_spool) Apply(command);
@@ -428,13 +430,13 @@
   std::mt19937_64 m_random;
   std::unique_ptr<state::State> m_state;
   std::unique_ptr<state::State> m_twin;  // applies the same batches
-  wire::GrantWay m_way = wire::GrantWay::Witnessed;
+  wire::GrantWay m_grant_mode = wire::GrantWay::Witnessed;
   std::vector<Entry> m_entries;
   std::vector<wire::CommandT> m_network;
   std::vector<wire::CommandT> m_spool;  // on the replicas' disks
   // Attempts without a committed opening whose settlement has not reached
   // control, by incarnation.
-  std::map<HostRun, std::set<AttemptId>> m_unheard;
+  std::map<HostRun, std::set<AttemptId>> m_unsettled_without_opening;
   std::vector<HostRun> m_dead;
   std::map<std::string, std::set<AttemptId>> m_billed;  // attempts by key
   Instant m_now{Duration{1000s}};
@@ -449,7 +451,7 @@
 class GrantPropertyTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GrantPropertyTest);
   CPPUNIT_TEST(SpendNeverExceedsTheBudget);
-  CPPUNIT_TEST(ReissueOfADeadHoldersGrantIsCaught);
+  CPPUNIT_TEST(ReissuedGrantOfADeadHolderIsDetected);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -470,7 +472,7 @@
     CPPUNIT_ASSERT(consumed > 0);
   }
 
-  void ReissueOfADeadHoldersGrantIsCaught() {
+  void ReissuedGrantOfADeadHolderIsDetected() {
     uint64_t caught = 0;
     for (uint64_t seed = 1; seed <= kSchedules; ++seed) {
       World world(seed, &state::RecoverDeadGrant<ReissuingRules>);
--- a/src/dotterelshift/budget/ledger.cc
+++ b/src/dotterelshift/budget/ledger.cc
@@ -6,7 +6,7 @@
 #include <unordered_map>  // for unordered_map
 #include <utility>        // for move
 
-#include "dotterelshift/budget/grant_way.h"  // for WithWay
+#include "dotterelshift/budget/grant_way.h"  // for WithGrantMode
 
 namespace dotterelshift::budget {
 namespace {
@@ -23,9 +23,9 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-bool GoesUnwitnessed(wire::GrantWay way, bool connected) {
-  return WithWay(way, [connected](auto policy) {
-    return decltype(policy)::GoesUnwitnessed(connected);
+bool DispatchesWithoutOpening(wire::GrantWay way, bool connected) {
+  return WithGrantMode(way, [connected](auto policy) {
+    return decltype(policy)::DispatchesWithoutOpening(connected);
   });
 }
 
@@ -62,16 +62,16 @@
   Tokens standing = 0;           // pre-authorized and not reserved
   Tokens standing_reserved = 0;  // part of `reserved` that is pre-authorized
   DemandMeter demand;
-  Instant last_draw;
-  Tokens missing = 0;   // largest worst case that could not be reserved
-  Tokens recalled = 0;  // amount that the leader wants returned
-  bool asking = false;  // a request is not answered yet
-  Instant ask_again = kNever;
-  Tokens asked_wanted = 0;
-  Tokens asked_minimum = 0;
-  bool touched = false;      // to be examined by the next TakeWishes()
-  Instant refused_until;     // control is not asked again before this time
-  bool refused_all = false;  // nothing was free or held by other entries
+  Instant last_use;
+  Tokens shortfall = 0;  // largest worst case that could not be reserved
+  Tokens recalled = 0;   // amount that the leader wants returned
+  bool request_pending = false;  // a request is not answered yet
+  Instant retry_request_after = kNever;
+  Tokens pending_wanted = 0;
+  Tokens pending_minimum = 0;
+  bool dirty = false;       // to be examined by the next TakeAdjustments()
+  Instant refusal_expires;  // control is not asked again before this time
+  bool nothing_available = false;  // nothing was free or held by other entries
 
   Tokens Idle() const { return held - reserved; }
 };
@@ -90,8 +90,8 @@
   }
 
   void Prepare(BudgetHandle budget, Instant now) override {
-    m_positions[budget].last_draw = now;
-    Touch(budget);
+    m_positions[budget].last_use = now;
+    MarkDirty(budget);
   }
 
   const BudgetId& IdOf(BudgetHandle budget) const override {
@@ -101,17 +101,19 @@
   ReserveResult Reserve(BudgetHandle budget, Tokens worst_case,
                         Instant now) override {
     Position& position = m_positions[budget];
-    position.last_draw = now;
-    Touch(budget);
-    if (position.Idle() < worst_case) return Lacks(position, worst_case, now);
+    position.last_use = now;
+    MarkDirty(budget);
+    if (position.Idle() < worst_case)
+      return OnShortfall(position, worst_case, now);
     const bool standing =
-        position.standing >= worst_case && MayGoUnwitnessed(position);
-    if (!standing && !m_connected) return Lacks(position, worst_case, now);
+        position.standing >= worst_case && MayDispatchWithoutOpening(position);
+    if (!standing && !m_connected)
+      return OnShortfall(position, worst_case, now);
     position.reserved += worst_case;
     if (!standing) return ReserveResult::kReserved;
     position.standing -= worst_case;
     position.standing_reserved += worst_case;
-    return ReserveResult::kReservedStanding;
+    return ReserveResult::kReservedPreauthorized;
   }
 
   void Settle(BudgetHandle budget, Tokens reserved, Tokens spent,
@@ -120,22 +122,23 @@
     position.reserved -= reserved;
     position.held -= spent;
     position.demand.Add(spent, now);
-    position.last_draw = now;
-    Touch(budget);
+    position.last_use = now;
+    MarkDirty(budget);
   }
 
-  void SettleStanding(BudgetHandle budget, Tokens reserved, Tokens spent,
-                      Instant now) override {
+  void SettlePreauthorized(BudgetHandle budget, Tokens reserved, Tokens spent,
+                           Instant now) override {
     Settle(budget, reserved, spent, now);
     Position& position = m_positions[budget];
     position.standing += reserved - spent;
     position.standing_reserved -= reserved;
   }
 
-  bool MoveToStanding(BudgetHandle budget, Tokens reserved, Instant) override {
+  bool MoveToPreauthorized(BudgetHandle budget, Tokens reserved,
+                           Instant) override {
     Position& position = m_positions[budget];
     const bool may = position.standing >= reserved &&
-                     GoesUnwitnessed(position.policy.way, false);
+                     DispatchesWithoutOpening(position.policy.way, false);
     if (!may) return false;
     position.standing -= reserved;
     position.standing_reserved += reserved;
@@ -149,29 +152,29 @@
     // Returning all idle tokens brings control's account and this ledger into
     // agreement, whatever control counted.
     position.recalled = position.Idle();
-    position.missing = std::max(position.missing, reserved);
-    Touch(budget);
+    position.shortfall = std::max(position.shortfall, reserved);
+    MarkDirty(budget);
   }
 
   void OnGrant(BudgetHandle budget, const wire::GrantAnswerT& answer,
                Instant now) override {
     Position& position = m_positions[budget];
-    position.asking = false;
-    position.ask_again = kNever;
+    position.request_pending = false;
+    position.retry_request_after = kNever;
     position.held += answer.tokens;
     position.standing += answer.standing;
-    position.refused_all = answer.tokens == 0 && answer.elsewhere == 0;
-    position.refused_until =
-        answer.tokens > 0 ? now : now + m_options.refusal_memory;
-    if (answer.tokens > 0) position.missing = 0;
-    Touch(budget);
+    position.nothing_available = answer.tokens == 0 && answer.elsewhere == 0;
+    position.refusal_expires =
+        answer.tokens > 0 ? now : now + m_options.refusal_ttl;
+    if (answer.tokens > 0) position.shortfall = 0;
+    MarkDirty(budget);
   }
 
   void OnRecall(const BudgetId& budget, Tokens tokens, Instant) override {
     const auto found = m_handles.find(budget);
     if (found == m_handles.end()) return;
     m_positions[found->second].recalled = std::max<Tokens>(0, tokens);
-    Touch(found->second);
+    MarkDirty(found->second);
   }
 
   // Divides this entry's idle tokens between both entries by demand.
@@ -188,7 +191,7 @@
         std::min(idle, std::max(std::min(wanted, share), minimum));
     position.held -= lent;
     position.standing -= lent;
-    Touch(budget);
+    MarkDirty(budget);
     return lent;
   }
 
@@ -196,41 +199,41 @@
     Position& position = m_positions[budget];
     position.held += tokens;
     position.standing += tokens;
-    if (position.missing <= position.Idle()) position.missing = 0;
-    Touch(budget);
+    if (position.shortfall <= position.Idle()) position.shortfall = 0;
+    MarkDirty(budget);
   }
 
   void SetConnected(bool connected, Instant now) override {
     if (connected == m_connected) return;
     m_connected = connected;
     m_cut_off_since = now;
-    m_scan_at = now;
+    m_next_scan = now;
     // The sender of a pending request sends it again, with the same id.
     for (Position& position : m_positions)
-      if (position.asking) position.ask_again = now;
+      if (position.request_pending) position.retry_request_after = now;
   }
 
-  std::vector<GrantWish> TakeWishes(Instant now) override {
-    std::vector<GrantWish> wishes;
-    if (!m_connected) return wishes;
-    const std::vector<BudgetHandle> touched = std::move(m_touched);
-    m_touched.clear();
-    for (const BudgetHandle budget : touched) {
-      m_positions[budget].touched = false;
-      Tend(budget, now, &wishes);
+  std::vector<GrantAdjustment> TakeAdjustments(Instant now) override {
+    std::vector<GrantAdjustment> adjustments;
+    if (!m_connected) return adjustments;
+    const std::vector<BudgetHandle> dirty = std::move(m_dirty);
+    m_dirty.clear();
+    for (const BudgetHandle budget : dirty) {
+      m_positions[budget].dirty = false;
+      Rebalance(budget, now, &adjustments);
     }
-    if (now < m_scan_at) return wishes;
-    m_scan_at = kNever;
+    if (now < m_next_scan) return adjustments;
+    m_next_scan = kNever;
     for (BudgetHandle budget = 0; budget < m_positions.size(); ++budget)
-      Tend(budget, now, &wishes);
-    return wishes;
+      Rebalance(budget, now, &adjustments);
+    return adjustments;
   }
 
-  std::vector<GrantWish> ReturnAll(Instant now) override {
-    std::vector<GrantWish> wishes;
+  std::vector<GrantAdjustment> ReturnAll(Instant now) override {
+    std::vector<GrantAdjustment> adjustments;
     for (BudgetHandle budget = 0; budget < m_positions.size(); ++budget)
-      Return(budget, m_positions[budget].Idle(), now, &wishes);
-    return wishes;
+      Return(budget, m_positions[budget].Idle(), now, &adjustments);
+    return adjustments;
   }
 
   Tokens Held(BudgetHandle budget) const override {
@@ -239,7 +242,7 @@
   Tokens Reserved(BudgetHandle budget) const override {
     return m_positions[budget].reserved;
   }
-  Tokens Standing(BudgetHandle budget) const override {
+  Tokens Preauthorized(BudgetHandle budget) const override {
     return m_positions[budget].standing;
   }
   Tokens DemandPerSecond(BudgetHandle budget, Instant now) const override {
@@ -254,50 +257,54 @@
 
   std::optional<Instant> NextDue() const override {
     if (!m_connected) return std::nullopt;
-    if (!m_touched.empty()) return Instant();
-    if (m_scan_at == kNever) return std::nullopt;
-    return m_scan_at;
+    if (!m_dirty.empty()) return Instant();
+    if (m_next_scan == kNever) return std::nullopt;
+    return m_next_scan;
   }
 
  private:
-  bool MayGoUnwitnessed(const Position& position) const {
-    return GoesUnwitnessed(position.policy.way, m_connected);
+  bool MayDispatchWithoutOpening(const Position& position) const {
+    return DispatchesWithoutOpening(position.policy.way, m_connected);
   }
 
-  // Marks a budget for the next TakeWishes().
-  void Touch(BudgetHandle budget) {
+  // Marks a budget for the next TakeAdjustments().
+  void MarkDirty(BudgetHandle budget) {
     Position& position = m_positions[budget];
-    if (position.touched) return;
-    position.touched = true;
-    m_touched.push_back(budget);
+    if (position.dirty) return;
+    position.dirty = true;
+    m_dirty.push_back(budget);
   }
 
   // Adds the requests and returns that are due for one budget, and schedules
   // its next examination.
-  void Tend(BudgetHandle budget, Instant now, std::vector<GrantWish>* wishes) {
-    ReturnIdle(budget, now, wishes);
-    AskIfShort(budget, now, wishes);
-    m_scan_at = std::min(m_scan_at, DueOf(m_positions[budget]));
+  void Rebalance(BudgetHandle budget, Instant now,
+                 std::vector<GrantAdjustment>* adjustments) {
+    ReturnIdle(budget, now, adjustments);
+    RequestIfShort(budget, now, adjustments);
+    m_next_scan = std::min(m_next_scan, DueOf(m_positions[budget]));
   }
 
   // Called when too few tokens are held: records the shortfall, so that tokens
   // are requested, and returns whether waiting can help.
-  ReserveResult Lacks(Position& position, Tokens worst_case, Instant now) {
-    position.missing = std::max(position.missing, worst_case);
-    const bool may_free_up = position.reserved > 0 || HealsSoon(position, now);
+  ReserveResult OnShortfall(Position& position, Tokens worst_case,
+                            Instant now) {
+    position.shortfall = std::max(position.shortfall, worst_case);
+    const bool may_free_up =
+        position.reserved > 0 || WithinDisconnectGrace(position, now);
     if (!m_connected)
       return may_free_up ? ReserveResult::kWait : ReserveResult::kExhausted;
-    const bool nothing = position.refused_all && now < position.refused_until;
+    const bool nothing =
+        position.nothing_available && now < position.refusal_expires;
     return nothing && !may_free_up ? ReserveResult::kExhausted
                                    : ReserveResult::kWait;
   }
 
   // Teams with RefusalsFirst wait through a short disconnection instead of
   // being refused.
-  bool HealsSoon(const Position& position, Instant now) const {
+  bool WithinDisconnectGrace(const Position& position, Instant now) const {
     return !m_connected &&
            position.policy.policy == wire::TeamPolicy::RefusalsFirst &&
-           now - m_cut_off_since < m_options.cut_off_patience;
+           now - m_cut_off_since < m_options.disconnect_grace;
   }
 
   // The target holding.
@@ -305,79 +312,83 @@
     const Duration cover = std::max(position.policy.partition, kConnectedCover);
     const auto demand =
         static_cast<Tokens>(position.demand.Rate(now) * Seconds(cover));
-    return std::max({m_options.least_grant, position.policy.least, demand,
-                     position.missing});
+    return std::max({m_options.min_grant, position.policy.least, demand,
+                     position.shortfall});
   }
 
-  void AskIfShort(BudgetHandle budget, Instant now,
-                  std::vector<GrantWish>* wishes) {
+  void RequestIfShort(BudgetHandle budget, Instant now,
+                      std::vector<GrantAdjustment>* adjustments) {
     Position& position = m_positions[budget];
-    const bool drawn = position.missing > 0 || position.last_draw != Instant();
+    const bool drawn = position.shortfall > 0 || position.last_use != Instant();
     if (!drawn) return;
-    const bool due =
-        position.asking ? now >= position.ask_again : IsShort(position, now);
+    const bool due = position.request_pending
+                         ? now >= position.retry_request_after
+                         : IsShort(position, now);
     if (!due) return;
-    if (!position.asking) {
-      position.asked_wanted =
-          std::max(position.missing, Target(position, now) - position.Idle());
-      position.asked_minimum =
-          std::max<Tokens>(0, position.missing - position.Idle());
+    if (!position.request_pending) {
+      position.pending_wanted =
+          std::max(position.shortfall, Target(position, now) - position.Idle());
+      position.pending_minimum =
+          std::max<Tokens>(0, position.shortfall - position.Idle());
     }
-    position.asking = true;
-    position.ask_again = now + m_options.ask_again;
-    wishes->push_back({budget, GrantWish::Kind::kAsk, position.asked_wanted,
-                       position.asked_minimum, 0,
-                       static_cast<Tokens>(position.demand.Rate(now))});
+    position.request_pending = true;
+    position.retry_request_after = now + m_options.retry_request_after;
+    adjustments->push_back({budget, GrantAdjustment::Kind::kRequestGrant,
+                            position.pending_wanted, position.pending_minimum,
+                            0, static_cast<Tokens>(position.demand.Rate(now))});
   }
 
   bool IsShort(const Position& position, Instant now) const {
-    if (now < position.refused_until) return false;
-    if (position.missing > position.Idle()) return true;
-    const bool idle = now - position.last_draw >= m_options.idle_return;
-    const auto enough = static_cast<Tokens>(
-        static_cast<double>(Target(position, now)) * m_options.ask_below);
+    if (now < position.refusal_expires) return false;
+    if (position.shortfall > position.Idle()) return true;
+    const bool idle = now - position.last_use >= m_options.idle_return_after;
+    const auto enough =
+        static_cast<Tokens>(static_cast<double>(Target(position, now)) *
+                            m_options.request_below_fraction);
     return !idle && position.Idle() < enough;
   }
 
   // The tokens above the target when the holding exceeds it by return_above.
   Tokens Surplus(const Position& position, Instant now) const {
-    if (m_options.return_above == 0) return 0;
+    if (m_options.return_above_factor == 0) return 0;
     const Tokens target = Target(position, now);
     const auto most = static_cast<Tokens>(static_cast<double>(target) *
-                                          m_options.return_above);
+                                          m_options.return_above_factor);
     return position.Idle() > most ? position.Idle() - target : 0;
   }
 
   void ReturnIdle(BudgetHandle budget, Instant now,
-                  std::vector<GrantWish>* wishes) {
+                  std::vector<GrantAdjustment>* adjustments) {
     Position& position = m_positions[budget];
-    const bool idle = now - position.last_draw >= m_options.idle_return;
+    const bool idle = now - position.last_use >= m_options.idle_return_after;
     const Tokens wanted =
         idle ? position.Idle()
              : std::max(position.recalled, Surplus(position, now));
     position.recalled = 0;
-    Return(budget, std::min(wanted, position.Idle()), now, wishes);
+    Return(budget, std::min(wanted, position.Idle()), now, adjustments);
   }
 
   // The remaining idle tokens must cover the pre-authorized amount, so that it
   // shrinks when necessary.
   void Return(BudgetHandle budget, Tokens tokens, Instant now,
-              std::vector<GrantWish>* wishes) {
+              std::vector<GrantAdjustment>* adjustments) {
     Position& position = m_positions[budget];
     if (tokens <= 0) return;
     position.held -= tokens;
     const Tokens shrink =
         std::max<Tokens>(0, position.standing - position.Idle());
     position.standing -= shrink;
-    wishes->push_back({budget, GrantWish::Kind::kReturn, tokens, 0, shrink,
-                       static_cast<Tokens>(position.demand.Rate(now))});
+    adjustments->push_back({budget, GrantAdjustment::Kind::kReturn, tokens, 0,
+                            shrink,
+                            static_cast<Tokens>(position.demand.Rate(now))});
   }
 
   Instant DueOf(const Position& position) const {
     if (position.recalled > 0) return Instant();
-    if (position.asking) return position.ask_again;
-    if (position.missing > position.Idle()) return position.refused_until;
-    if (position.Idle() > 0) return position.last_draw + m_options.idle_return;
+    if (position.request_pending) return position.retry_request_after;
+    if (position.shortfall > position.Idle()) return position.refusal_expires;
+    if (position.Idle() > 0)
+      return position.last_use + m_options.idle_return_after;
     return kNever;
   }
 
@@ -385,8 +396,8 @@
   bool m_connected = true;
   Instant m_cut_off_since;
   std::vector<Position> m_positions;
-  std::vector<BudgetHandle> m_touched;
-  Instant m_scan_at = kNever;  // when the next budget is due by time
+  std::vector<BudgetHandle> m_dirty;
+  Instant m_next_scan = kNever;  // when the next budget is due by time
   std::unordered_map<BudgetId, BudgetHandle> m_handles;
 };
 
--- a/src/dotterelshift/budget/ledger_test.cc
+++ b/src/dotterelshift/budget/ledger_test.cc
@@ -17,14 +17,14 @@
 class LedgerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LedgerTest);
   CPPUNIT_TEST(ReservesNoMoreThanIsHeld);
-  CPPUNIT_TEST(CutOffSpendsTheStandingPartOnly);
-  CPPUNIT_TEST(WaysDecideAboutOpenings);
-  CPPUNIT_TEST(DoubtfulOpeningMayMoveToStanding);
-  CPPUNIT_TEST(AsksOnceUntilItIsDueAgain);
-  CPPUNIT_TEST(RefusalIsBelievedForAWhile);
-  CPPUNIT_TEST(IdleAndRecalledTokensFlowBack);
-  CPPUNIT_TEST(RefusedOpeningGivesTheHoldingBack);
-  CPPUNIT_TEST(AsksForDemandTimesPartition);
+  CPPUNIT_TEST(CutOffSpendsOnlyThePreauthorizedAmount);
+  CPPUNIT_TEST(GrantModeDecidesWhetherAnOpeningIsNeeded);
+  CPPUNIT_TEST(OpeningInDoubtMayUseThePreauthorizedAmount);
+  CPPUNIT_TEST(GrantRequestIsRepeatedOnlyAfterTheRetryInterval);
+  CPPUNIT_TEST(RefusalIsCachedUntilItExpires);
+  CPPUNIT_TEST(IdleAndRecalledTokensAreReturned);
+  CPPUNIT_TEST(RefusedOpeningReturnsTheHolding);
+  CPPUNIT_TEST(RequestsDemandTimesPartition);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -45,32 +45,32 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{80}, m_ledger->Reserved(m_budget));
   }
 
-  void CutOffSpendsTheStandingPartOnly() {
+  void CutOffSpendsOnlyThePreauthorizedAmount() {
     Grant(AnswerOf(100, 30));
     m_ledger->SetConnected(false, m_now);
-    CPPUNIT_ASSERT(Reserve(20) == ReserveResult::kReservedStanding);
+    CPPUNIT_ASSERT(Reserve(20) == ReserveResult::kReservedPreauthorized);
     CPPUNIT_ASSERT(Reserve(20) == ReserveResult::kWait);
-    m_ledger->SettleStanding(m_budget, 20, 5, m_now);
-    CPPUNIT_ASSERT_EQUAL(Tokens{25}, m_ledger->Standing(m_budget));
+    m_ledger->SettlePreauthorized(m_budget, 20, 5, m_now);
+    CPPUNIT_ASSERT_EQUAL(Tokens{25}, m_ledger->Preauthorized(m_budget));
     CPPUNIT_ASSERT(Reserve(26) == ReserveResult::kExhausted);
-    CPPUNIT_ASSERT(m_ledger->TakeWishes(m_now).empty());
+    CPPUNIT_ASSERT(m_ledger->TakeAdjustments(m_now).empty());
     m_ledger->SetConnected(true, m_now);
     CPPUNIT_ASSERT(Reserve(26) == ReserveResult::kReserved);
   }
 
-  void WaysDecideAboutOpenings() {
+  void GrantModeDecidesWhetherAnOpeningIsNeeded() {
     struct Row {
       wire::GrantWay way;
       ReserveResult connected;
       ReserveResult cut_off;
     };
     const Row rows[] = {
-        {wire::GrantWay::Unwitnessed, ReserveResult::kReservedStanding,
-         ReserveResult::kReservedStanding},
+        {wire::GrantWay::Unwitnessed, ReserveResult::kReservedPreauthorized,
+         ReserveResult::kReservedPreauthorized},
         {wire::GrantWay::ClockLease, ReserveResult::kReserved,
          ReserveResult::kExhausted},
         {wire::GrantWay::Witnessed, ReserveResult::kReserved,
-         ReserveResult::kReservedStanding},
+         ReserveResult::kReservedPreauthorized},
     };
     for (const Row& row : rows) {
       m_policy.way = row.way;
@@ -81,88 +81,88 @@
       if (connected == ReserveResult::kReserved)
         m_ledger->Settle(m_budget, 10, 0, m_now);
       else
-        m_ledger->SettleStanding(m_budget, 10, 0, m_now);
+        m_ledger->SettlePreauthorized(m_budget, 10, 0, m_now);
       m_ledger->SetConnected(false, m_now);
       CPPUNIT_ASSERT(Reserve(10) == row.cut_off);
     }
   }
 
-  void DoubtfulOpeningMayMoveToStanding() {
+  void OpeningInDoubtMayUseThePreauthorizedAmount() {
     Grant(AnswerOf(100, 30));
     Reserve(40);
     Reserve(20);
     m_ledger->SetConnected(false, m_now);
-    CPPUNIT_ASSERT(!m_ledger->MoveToStanding(m_budget, 40, m_now));
-    CPPUNIT_ASSERT(m_ledger->MoveToStanding(m_budget, 20, m_now));
-    CPPUNIT_ASSERT_EQUAL(Tokens{10}, m_ledger->Standing(m_budget));
-    m_ledger->SettleStanding(m_budget, 20, 20, m_now);
-    CPPUNIT_ASSERT_EQUAL(Tokens{10}, m_ledger->Standing(m_budget));
+    CPPUNIT_ASSERT(!m_ledger->MoveToPreauthorized(m_budget, 40, m_now));
+    CPPUNIT_ASSERT(m_ledger->MoveToPreauthorized(m_budget, 20, m_now));
+    CPPUNIT_ASSERT_EQUAL(Tokens{10}, m_ledger->Preauthorized(m_budget));
+    m_ledger->SettlePreauthorized(m_budget, 20, 20, m_now);
+    CPPUNIT_ASSERT_EQUAL(Tokens{10}, m_ledger->Preauthorized(m_budget));
   }
 
-  void AsksOnceUntilItIsDueAgain() {
+  void GrantRequestIsRepeatedOnlyAfterTheRetryInterval() {
     Reserve(10'000);
-    const auto wishes = m_ledger->TakeWishes(m_now);
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, wishes.size());
-    CPPUNIT_ASSERT_EQUAL(Tokens{10'000}, wishes[0].minimum);
+    const auto adjustments = m_ledger->TakeAdjustments(m_now);
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, adjustments.size());
+    CPPUNIT_ASSERT_EQUAL(Tokens{10'000}, adjustments[0].minimum);
     Reserve(10'000);
-    CPPUNIT_ASSERT(m_ledger->TakeWishes(m_now).empty());
-    m_now += LedgerOptions().ask_again;
+    CPPUNIT_ASSERT(m_ledger->TakeAdjustments(m_now).empty());
+    m_now += LedgerOptions().retry_request_after;
     CPPUNIT_ASSERT(m_ledger->NextDue() && *m_ledger->NextDue() <= m_now);
-    const auto again = m_ledger->TakeWishes(m_now);
+    const auto again = m_ledger->TakeAdjustments(m_now);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, again.size());
-    CPPUNIT_ASSERT_EQUAL(wishes[0].wanted, again[0].wanted);
+    CPPUNIT_ASSERT_EQUAL(adjustments[0].wanted, again[0].wanted);
     // After a reconnection the request is sent again at once.
     m_ledger->SetConnected(false, m_now);
     m_ledger->SetConnected(true, m_now);
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, m_ledger->TakeWishes(m_now).size());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, m_ledger->TakeAdjustments(m_now).size());
   }
 
-  void RefusalIsBelievedForAWhile() {
+  void RefusalIsCachedUntilItExpires() {
     Reserve(10);
-    m_ledger->TakeWishes(m_now);
+    m_ledger->TakeAdjustments(m_now);
     Grant(AnswerOf(0, 0, 500));
     CPPUNIT_ASSERT(Reserve(10) == ReserveResult::kWait);  // held elsewhere
     Grant(AnswerOf(0));
     CPPUNIT_ASSERT(Reserve(10) == ReserveResult::kExhausted);
-    CPPUNIT_ASSERT(m_ledger->TakeWishes(m_now).empty());
-    m_now += LedgerOptions().refusal_memory;
+    CPPUNIT_ASSERT(m_ledger->TakeAdjustments(m_now).empty());
+    m_now += LedgerOptions().refusal_ttl;
     CPPUNIT_ASSERT(Reserve(10) == ReserveResult::kWait);
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, m_ledger->TakeWishes(m_now).size());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, m_ledger->TakeAdjustments(m_now).size());
   }
 
-  void IdleAndRecalledTokensFlowBack() {
+  void IdleAndRecalledTokensAreReturned() {
     Grant(AnswerOf(100'000, 60'000));
     Reserve(20'000);
     m_ledger->OnRecall("b", 50'000, m_now);
-    auto wishes = m_ledger->TakeWishes(m_now);
-    CPPUNIT_ASSERT(wishes.at(0).kind == GrantWish::Kind::kReturn);
-    CPPUNIT_ASSERT_EQUAL(Tokens{50'000}, wishes[0].wanted);
+    auto adjustments = m_ledger->TakeAdjustments(m_now);
+    CPPUNIT_ASSERT(adjustments.at(0).kind == GrantAdjustment::Kind::kReturn);
+    CPPUNIT_ASSERT_EQUAL(Tokens{50'000}, adjustments[0].wanted);
     // The pre-authorized amount never exceeds the remaining idle tokens.
-    CPPUNIT_ASSERT_EQUAL(Tokens{30'000}, wishes[0].standing);
-    m_now += LedgerOptions().idle_return;
+    CPPUNIT_ASSERT_EQUAL(Tokens{30'000}, adjustments[0].standing);
+    m_now += LedgerOptions().idle_return_after;
     CPPUNIT_ASSERT(m_ledger->NextDue() && *m_ledger->NextDue() <= m_now);
-    wishes = m_ledger->TakeWishes(m_now);
-    CPPUNIT_ASSERT_EQUAL(Tokens{30'000}, wishes.at(0).wanted);
+    adjustments = m_ledger->TakeAdjustments(m_now);
+    CPPUNIT_ASSERT_EQUAL(Tokens{30'000}, adjustments.at(0).wanted);
     CPPUNIT_ASSERT_EQUAL(Tokens{20'000}, m_ledger->Held(m_budget));
     m_ledger->Settle(m_budget, 20'000, 0, m_now);
     CPPUNIT_ASSERT_EQUAL(Tokens{20'000}, m_ledger->ReturnAll(m_now)[0].wanted);
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, m_ledger->Held(m_budget));
   }
 
-  void RefusedOpeningGivesTheHoldingBack() {
+  void RefusedOpeningReturnsTheHolding() {
     Grant(AnswerOf(100, 30));
     Reserve(40);
     Reserve(20);
     m_ledger->OnOpeningRefused(m_budget, 40, m_now);
-    const auto wishes = m_ledger->TakeWishes(m_now);
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, wishes.size());
-    CPPUNIT_ASSERT_EQUAL(Tokens{80}, wishes[0].wanted);
-    CPPUNIT_ASSERT_EQUAL(Tokens{30}, wishes[0].standing);
-    CPPUNIT_ASSERT(wishes[1].kind == GrantWish::Kind::kAsk);
+    const auto adjustments = m_ledger->TakeAdjustments(m_now);
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, adjustments.size());
+    CPPUNIT_ASSERT_EQUAL(Tokens{80}, adjustments[0].wanted);
+    CPPUNIT_ASSERT_EQUAL(Tokens{30}, adjustments[0].standing);
+    CPPUNIT_ASSERT(adjustments[1].kind == GrantAdjustment::Kind::kRequestGrant);
     CPPUNIT_ASSERT_EQUAL(Tokens{20}, m_ledger->Held(m_budget));
   }
 
-  void AsksForDemandTimesPartition() {
+  void RequestsDemandTimesPartition() {
     Grant(AnswerOf(10'000'000));
     for (int second = 0; second < 60; ++second) {
       Reserve(1000);
@@ -172,9 +172,11 @@
     const Tokens demand = m_ledger->DemandPerSecond(m_budget, m_now);
     CPPUNIT_ASSERT(demand > 850 && demand < 1150);
     m_ledger->OnRecall("b", 10'000'000, m_now);
-    const auto wishes = m_ledger->TakeWishes(m_now);
-    CPPUNIT_ASSERT(wishes.at(1).kind == GrantWish::Kind::kAsk);
-    CPPUNIT_ASSERT(wishes[1].wanted > 50'000 && wishes[1].wanted < 70'000);
+    const auto adjustments = m_ledger->TakeAdjustments(m_now);
+    CPPUNIT_ASSERT(adjustments.at(1).kind ==
+                   GrantAdjustment::Kind::kRequestGrant);
+    CPPUNIT_ASSERT(adjustments[1].wanted > 50'000 &&
+                   adjustments[1].wanted < 70'000);
   }
 
  private:
--- a/src/dotterelshift/budget/recall_core.cc
+++ b/src/dotterelshift/budget/recall_core.cc
@@ -8,39 +8,40 @@
 
 // Demand counted for a holder in addition to the measured one, so that shares
 // are defined when no holder has any demand.
-constexpr double kLeastDemand = 1;
+constexpr double kMinDemand = 1;
 
 }  // namespace
 
-void RecallCore::OnBeat(const HostId& entry, const wire::EntryBeatT& beat,
-                        Instant now) {
+void RecallCore::OnHeartbeat(const HostId& entry, const wire::EntryBeatT& beat,
+                             Instant now) {
   for (const auto& holding : beat.held)
     m_budgets[holding->budget].reports[entry] = {holding->tokens, now};
 }
 
-bool RecallCore::IsDue(const wire::RequestGrantT& ask, Instant now) const {
-  const auto budget = m_budgets.find(ask.budget);
-  return ask.minimum > 0 || budget == m_budgets.end() ||
+bool RecallCore::IsDue(const wire::RequestGrantT& grant_request,
+                       Instant now) const {
+  const auto budget = m_budgets.find(grant_request.budget);
+  return grant_request.minimum > 0 || budget == m_budgets.end() ||
          now >= budget->second.next_top_up ||
-         ask.demand_per_second > budget->second.topped_up_demand;
+         grant_request.demand_per_second > budget->second.last_top_up_demand;
 }
 
 std::vector<RecallMessage> RecallCore::OnShortage(
-    const HostRun& asker, const wire::RequestGrantT& ask,
+    const HostRun& requester, const wire::RequestGrantT& grant_request,
     const std::vector<state::Holding>& holdings, Instant now) {
   if (now >= m_next_sweep) Sweep(now);
-  if (!IsDue(ask, now)) return {};
-  Budget& budget = m_budgets[ask.budget];
-  if (ask.minimum == 0) {
-    budget.next_top_up = now + m_options.repeat;
-    budget.topped_up_demand = ask.demand_per_second;
+  if (!IsDue(grant_request, now)) return {};
+  Budget& budget = m_budgets[grant_request.budget];
+  if (grant_request.minimum == 0) {
+    budget.next_top_up = now + m_options.min_repeat_interval;
+    budget.last_top_up_demand = grant_request.demand_per_second;
   }
   Forget(budget, now);
   const std::vector<Surplus> surpluses =
-      SurplusesOf(budget, asker, ask, holdings, now);
+      SurplusesOf(budget, requester, grant_request, holdings, now);
   std::vector<Tokens> taken(surpluses.size());
-  Tokens wanted = std::max(ask.wanted, ask.minimum);
-  Tokens needed = ask.minimum;
+  Tokens wanted = std::max(grant_request.wanted, grant_request.minimum);
+  Tokens needed = grant_request.minimum;
   for (size_t i = 0; i < surpluses.size(); ++i) {
     taken[i] = std::clamp<Tokens>(wanted, 0, surpluses[i].tokens);
     wanted -= taken[i];
@@ -58,9 +59,9 @@
     if (taken[i] <= 0) continue;
     RecallMessage& message = messages.emplace_back();
     message.host = surpluses[i].host;
-    message.recall.budget = ask.budget;
+    message.recall.budget = grant_request.budget;
     message.recall.tokens = taken[i];
-    budget.asked[message.host] = now;
+    budget.last_recalled[message.host] = now;
   }
   return messages;
 }
@@ -72,34 +73,36 @@
   const Tokens unopened = holding.tokens - holding.opened;
   const auto report = budget.reports.find(holding.holder.host);
   const bool fresh = report != budget.reports.end() &&
-                     now - report->second.heard <= m_options.beat_memory;
+                     now - report->second.received <= m_options.report_ttl;
   return fresh ? std::min(unopened, report->second.idle) : unopened;
 }
 
 std::vector<RecallCore::Surplus> RecallCore::SurplusesOf(
-    const Budget& budget, const HostRun& asker, const wire::RequestGrantT& ask,
+    const Budget& budget, const HostRun& requester,
+    const wire::RequestGrantT& grant_request,
     const std::vector<state::Holding>& holdings, Instant now) const {
   struct Holder {
     const state::Holding* holding;
     Tokens idle;
   };
   std::vector<Holder> holders;
-  double demand = kLeastDemand + static_cast<double>(ask.demand_per_second);
+  double demand =
+      kMinDemand + static_cast<double>(grant_request.demand_per_second);
   double idle = 0;
   for (const state::Holding& holding : holdings) {
     if (holding.dead) continue;
     const Tokens unused = IdleOf(budget, holding, now);
     idle += static_cast<double>(unused);
-    if (holding.holder == asker) continue;
-    demand += kLeastDemand + static_cast<double>(holding.demand_per_second);
+    if (holding.holder == requester) continue;
+    demand += kMinDemand + static_cast<double>(holding.demand_per_second);
     if (unused > 0) holders.push_back({&holding, unused});
   }
   std::vector<Surplus> surpluses;
   for (const Holder& holder : holders) {
     const HostId& host = holder.holding->holder.host;
-    if (budget.asked.contains(host)) continue;
+    if (budget.last_recalled.contains(host)) continue;
     const double own =
-        kLeastDemand + static_cast<double>(holder.holding->demand_per_second);
+        kMinDemand + static_cast<double>(holder.holding->demand_per_second);
     const auto share = static_cast<Tokens>(std::ceil(idle * own / demand));
     surpluses.push_back(
         {host, std::max<Tokens>(0, holder.idle - share), holder.idle});
@@ -113,17 +116,17 @@
 }
 
 void RecallCore::Forget(Budget& budget, Instant now) const {
-  std::erase_if(budget.asked, [&](const auto& entry) {
-    return now - entry.second >= m_options.repeat;
+  std::erase_if(budget.last_recalled, [&](const auto& entry) {
+    return now - entry.second >= m_options.min_repeat_interval;
   });
   std::erase_if(budget.reports, [&](const auto& entry) {
-    return now - entry.second.heard > m_options.beat_memory;
+    return now - entry.second.received > m_options.report_ttl;
   });
 }
 
 // Removes expired reports, and the budgets that have no reports left.
 void RecallCore::Sweep(Instant now) {
-  m_next_sweep = now + m_options.sweep_every;
+  m_next_sweep = now + m_options.sweep_interval;
   for (auto& [id, budget] : m_budgets) Forget(budget, now);
   std::erase_if(m_budgets,
                 [](const auto& entry) { return entry.second.reports.empty(); });
--- a/src/dotterelshift/callers/relay_test.cc
+++ b/src/dotterelshift/callers/relay_test.cc
@@ -166,7 +166,7 @@
                   m_front->SendHead(attempt, status, type);
                 },
             .on_piece =
-                [this](AttemptId attempt, const serving::Piece&,
+                [this](AttemptId attempt, const serving::Chunk&,
                        std::string_view bytes) {
                   const bool more = m_front->SendPiece(attempt, bytes);
                   m_paused = m_paused || !more;
--- a/src/dotterelshift/endpoints/attempt_runner.cc
+++ b/src/dotterelshift/endpoints/attempt_runner.cc
@@ -13,7 +13,7 @@
 using callers::RequestKind;
 using http::TransferEnd;
 using serving::AttemptEnd;
-using serving::Piece;
+using serving::Chunk;
 
 constexpr std::string_view kEventStream = "text/event-stream";
 
@@ -158,7 +158,7 @@
   bool OnEvents(AttemptId id, Attempt& attempt, std::string_view bytes) {
     bool more = true;
     const auto state = attempt.events.Add(
-        bytes, [&](const Piece& piece, std::string_view whole_events) {
+        bytes, [&](const Chunk& piece, std::string_view whole_events) {
           if (IsOpen(id, attempt))
             more = m_events.on_piece(id, piece, whole_events);
         });
@@ -179,7 +179,7 @@
     const AttemptEnd result = EndOf(attempt, end);
     const bool whole =
         result == AttemptEnd::kWhole || result == AttemptEnd::kCallerError;
-    Piece piece;
+    Chunk piece;
     if (whole && !ReadWhole(attempt, &piece)) {
       Close(id, AttemptEnd::kDied);
       return;
@@ -210,7 +210,7 @@
   }
 
   // Counts a whole answer; false when it is not what the protocol promises.
-  static bool ReadWhole(const Attempt& attempt, Piece* piece) {
+  static bool ReadWhole(const Attempt& attempt, Chunk* piece) {
     if (attempt.body == BodyKind::kCallerError) return true;
     if (attempt.kind == RequestKind::kService) {
       piece->tokens = attempt.output_limit;
--- a/src/dotterelshift/endpoints/attempt_runner_test.cc
+++ b/src/dotterelshift/endpoints/attempt_runner_test.cc
@@ -22,7 +22,7 @@
   int status = 0;
   std::string bytes;
   Tokens tokens = 0;
-  serving::Piece usage;
+  serving::Chunk usage;
   std::vector<AttemptEnd> ends;
 };
 
@@ -235,7 +235,7 @@
       ++m_report.heads;
       m_report.status = status;
     };
-    events.on_piece = [this](AttemptId attempt, const serving::Piece& piece,
+    events.on_piece = [this](AttemptId attempt, const serving::Chunk& piece,
                              std::string_view bytes) {
       m_report.bytes += bytes;
       m_report.tokens += piece.tokens;
--- a/src/dotterelshift/endpoints/event_stream.cc
+++ b/src/dotterelshift/endpoints/event_stream.cc
@@ -62,7 +62,7 @@
       std::min<uint64_t>(found->get<uint64_t>(), kMaxTokens));
 }
 
-void SetUsage(const json& answer, serving::Piece* piece) {
+void SetUsage(const json& answer, serving::Chunk* piece) {
   const auto usage = answer.find("usage");
   if (usage == answer.end() || !usage->is_object()) return;
   piece->has_usage = true;
@@ -107,7 +107,7 @@
                              size_t* used) {
   size_t run = 0;  // where the events not yet handed over begin
   size_t at = 0;
-  serving::Piece piece;
+  serving::Chunk piece;
   const auto hand_over = [&](size_t end) {
     if (end > run || piece.has_usage) sink(piece, bytes.substr(run, end - run));
     piece = {};
@@ -125,7 +125,7 @@
   *used = at;
 }
 
-bool EventStream::ReadEvent(std::string_view event, serving::Piece* piece) {
+bool EventStream::ReadEvent(std::string_view event, serving::Chunk* piece) {
   bool forward = true;
   while (!event.empty()) {
     const size_t end = event.find('\n');
@@ -144,7 +144,7 @@
   return forward && m_state == State::kOpen;
 }
 
-bool EventStream::ReadData(std::string_view data, serving::Piece* piece) {
+bool EventStream::ReadData(std::string_view data, serving::Chunk* piece) {
   if (data == kEndMark) {
     m_state = State::kEnded;
     return false;
@@ -166,7 +166,7 @@
          data.find("\"finish_reason\":\"") != std::string_view::npos;
 }
 
-bool ReadUsage(std::string_view text, serving::Piece* piece) {
+bool ReadUsage(std::string_view text, serving::Chunk* piece) {
   const json answer = json::parse(text, nullptr, false);
   if (!answer.is_object()) return false;
   SetUsage(answer, piece);
--- a/src/dotterelshift/endpoints/event_stream.h
+++ b/src/dotterelshift/endpoints/event_stream.h
@@ -6,7 +6,7 @@
 #include <string>       // for string
 #include <string_view>  // for string_view
 
-#include "dotterelshift/serving/request_core.h"  // for Piece
+#include "dotterelshift/serving/request_core.h"  // for Chunk
 
 namespace dotterelshift::endpoints {
 
@@ -17,7 +17,7 @@
   enum class State { kOpen, kEnded, kBroken };
 
   // `bytes` are whole events, and live until the call returns.
-  using Sink = std::function<void(const serving::Piece&, std::string_view)>;
+  using Sink = std::function<void(const serving::Chunk&, std::string_view)>;
 
   // Without `forward_usage` the event that holds nothing but the usage is not
   // part of the bytes.
@@ -32,8 +32,8 @@
  private:
   void TakeEvents(std::string_view bytes, const Sink& sink, size_t* used);
   // Reads one event into the piece; false when the event is not for the caller.
-  bool ReadEvent(std::string_view event, serving::Piece* piece);
-  bool ReadData(std::string_view data, serving::Piece* piece);
+  bool ReadEvent(std::string_view event, serving::Chunk* piece);
+  bool ReadData(std::string_view data, serving::Chunk* piece);
 
   bool m_forward_usage;
   size_t m_max_event_bytes;
@@ -43,7 +43,7 @@
 
 // Reads a usage object of an engine's JSON answer into the piece. False when
 // the text is no JSON object.
-bool ReadUsage(std::string_view json, serving::Piece* piece);
+bool ReadUsage(std::string_view json, serving::Chunk* piece);
 
 // The entry's own count of the tokens in a whole answer without usage: a
 // quarter of the bytes of its texts, rounded up.
--- a/src/dotterelshift/endpoints/fake_endpoint_test.cc
+++ b/src/dotterelshift/endpoints/fake_endpoint_test.cc
@@ -287,7 +287,7 @@
     return {
         .on_head = [](AttemptId, int, std::string_view) {},
         .on_piece =
-            [this](AttemptId, const serving::Piece& piece, std::string_view) {
+            [this](AttemptId, const serving::Chunk& piece, std::string_view) {
               m_tokens += piece.tokens;
               if (piece.has_usage) m_usage = piece.usage_output;
               return true;
--- a/src/dotterelshift/gateway/core_caller_gone_test.cc
+++ b/src/dotterelshift/gateway/core_caller_gone_test.cc
@@ -91,7 +91,7 @@
     Request("/resume/", 100);
     const AttemptId attempt = Only<StartAttempt>().attempt;
     Head(attempt, 200, true);
-    Piece(attempt, "id: 1\ndata: a\n\nid: 2\nda");
+    Chunk(attempt, "id: 1\ndata: a\n\nid: 2\nda");
     Leave();
     CPPUNIT_ASSERT_EQUAL(attempt, Only<CancelAttempt>().attempt);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_last.size());
--- a/src/dotterelshift/gateway/core_test.cc
+++ b/src/dotterelshift/gateway/core_test.cc
@@ -118,7 +118,7 @@
     const StartAttempt first = Only<StartAttempt>();
     Head(first.attempt, 200, true);
     CPPUNIT_ASSERT_EQUAL(first.attempt, Only<RelayHead>().attempt);
-    Piece(first.attempt, "id: 1\ndata: a\n\nid: 2\nda");
+    Chunk(first.attempt, "id: 1\ndata: a\n\nid: 2\nda");
     CPPUNIT_ASSERT_EQUAL(std::string("id: 1\ndata: a\n\n"),
                          Only<RelayChunk>().bytes);
     End(first.attempt, http::TransferEnd::kCut);
@@ -126,7 +126,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("1"), second.last_event_id);
     Head(second.attempt, 200, true);
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<RelayHead>());
-    Piece(second.attempt, "id: 2\ndata: b\n\n");
+    Chunk(second.attempt, "id: 2\ndata: b\n\n");
     CPPUNIT_ASSERT_EQUAL(std::string("id: 2\ndata: b\n\n"),
                          Only<RelayChunk>().bytes);
     End(second.attempt, http::TransferEnd::kWhole);
@@ -138,7 +138,7 @@
     Request("/stream/", 100);
     const StartAttempt start = Only<StartAttempt>();
     Head(start.attempt, 200, true);
-    Piece(start.attempt, "id: 1\ndata: a\n\n");
+    Chunk(start.attempt, "id: 1\ndata: a\n\n");
     End(start.attempt, http::TransferEnd::kCut);
     Only<AbortStream>();
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<StartAttempt>());
--- a/src/dotterelshift/gateway/core_testing.h
+++ b/src/dotterelshift/gateway/core_testing.h
@@ -138,7 +138,7 @@
     m_core->OnHead(attempt, status, response_info, m_now);
     Collect();
   }
-  void Piece(AttemptId attempt, const std::string& bytes) {
+  void Chunk(AttemptId attempt, const std::string& bytes) {
     m_core->OnChunk(attempt, bytes, m_now);
     Collect();
   }
--- a/src/dotterelshift/gateway/dead_fleet_test.cc
+++ b/src/dotterelshift/gateway/dead_fleet_test.cc
@@ -282,7 +282,7 @@
       for (wire::BudgetHoldingT& holding : entry.grants->Holdings(m_now))
         beat.held.push_back(
             std::make_unique<wire::BudgetHoldingT>(std::move(holding)));
-      m_recalls.OnBeat(entry.run.host, beat, m_now);
+      m_recalls.OnHeartbeat(entry.run.host, beat, m_now);
     }
   }
 
--- a/src/dotterelshift/gateway/held_grants.cc
+++ b/src/dotterelshift/gateway/held_grants.cc
@@ -11,9 +11,9 @@
   // Holdings stay close to what a partition needs, as they are lost with the
   // process: they are topped up early and returned when demand falls. Idle
   // tokens are returned late, as they may be lent to an entry that needs them.
-  options.idle_return = 45s;
-  options.ask_below = 0.85;
-  options.return_above = 1.3;
+  options.idle_return_after = 45s;
+  options.request_below_fraction = 0.85;
+  options.return_above_factor = 1.3;
   return options;
 }
 
@@ -83,7 +83,7 @@
   if (const auto kept = ThrottleDecision(team, handle->second, worst_case, now))
     return *kept;
   switch (m_ledger->Reserve(handle->second, worst_case, now)) {
-    case budget::ReserveResult::kReservedStanding:
+    case budget::ReserveResult::kReservedPreauthorized:
     case budget::ReserveResult::kReserved:
       if (const auto trickle = m_trickles.find(team);
           trickle != m_trickles.end())
@@ -196,7 +196,7 @@
                         bool answered, Instant now) {
   const auto handle = m_handles.find(team);
   if (handle == m_handles.end()) return;
-  m_ledger->SettleStanding(handle->second, reserved, spent, now);
+  m_ledger->SettlePreauthorized(handle->second, reserved, spent, now);
   m_reports.OnSpent(team, spent, answered);
 }
 
@@ -254,11 +254,12 @@
     AddReport(m_reports.Take(), &commands);
     ApplyKnownDemand(now);
   }
-  for (const budget::GrantWish& wish : m_ledger->TakeWishes(now)) {
+  for (const budget::GrantAdjustment& wish : m_ledger->TakeAdjustments(now)) {
     // The link to control resends a request under its first id; a second
     // request would be granted in addition.
-    const bool doubled = wish.kind == budget::GrantWish::Kind::kAsk &&
-                         HasPendingRequest(m_ledger->IdOf(wish.budget));
+    const bool doubled =
+        wish.kind == budget::GrantAdjustment::Kind::kRequestGrant &&
+        HasPendingRequest(m_ledger->IdOf(wish.budget));
     if (!doubled) commands.push_back(CommandOf(wish));
   }
   return commands;
@@ -273,7 +274,7 @@
 std::vector<wire::CommandT> HeldGrants::TakeLastCommands(Instant now) {
   std::vector<wire::CommandT> commands;
   AddReport(m_reports.TakeFinal(), &commands);
-  for (const budget::GrantWish& wish : m_ledger->ReturnAll(now))
+  for (const budget::GrantAdjustment& wish : m_ledger->ReturnAll(now))
     commands.push_back(CommandOf(wish));
   return commands;
 }
@@ -285,9 +286,9 @@
   m_reports.OnSent(commands->back().id->sequence);
 }
 
-wire::CommandT HeldGrants::CommandOf(const budget::GrantWish& wish) {
+wire::CommandT HeldGrants::CommandOf(const budget::GrantAdjustment& wish) {
   const BudgetId& id = m_ledger->IdOf(wish.budget);
-  if (wish.kind == budget::GrantWish::Kind::kReturn) {
+  if (wish.kind == budget::GrantAdjustment::Kind::kReturn) {
     wire::ReturnGrantT body;
     body.budget = id;
     body.tokens = wish.wanted;
--- a/src/dotterelshift/serving/arrival.cc
+++ b/src/dotterelshift/serving/arrival.cc
@@ -14,7 +14,7 @@
 constexpr int kRetryPriority = -100;
 
 // The value for Retry-After: whole seconds, rounded up, at least one.
-int WaitSeconds(Duration wait) {
+int RetryAfterSeconds(Duration wait) {
   const int64_t seconds = (ToMs(wait) + 999) / 1000;
   return static_cast<int>(std::max<int64_t>(1, seconds));
 }
@@ -31,24 +31,24 @@
   request->deadline = now + request->caller.deadline;
   m_requests[id] = std::move(owned);
 
-  const ErrorKind refusal = Identify(request);
+  const ErrorKind refusal = Authorize(request);
   if (refusal != ErrorKind::kNone) {
     Fail(request, refusal, now);
   } else if (const auto blocked = m_blocklist.RemainingBlock(
                  request->caller.content_hash, now)) {
-    Fail(request, ErrorKind::kQuarantined, now, WaitSeconds(*blocked));
+    Fail(request, ErrorKind::kQuarantined, now, RetryAfterSeconds(*blocked));
   } else {
     Enqueue(request, now);
   }
-  Finally(now);
+  FinishEvent(now);
 }
 
-ErrorKind Core::Identify(Request* request) {
+ErrorKind Core::Authorize(Request* request) {
   if (m_draining) return ErrorKind::kDraining;
   if (m_reach == ControlReach::kNever) return ErrorKind::kNotReady;
   const callers::CallerRequest& caller = request->caller;
   const wire::TeamT* team =
-      m_parts.configuration->FindTeamByKey(caller.key_hash);
+      m_dependencies.configuration->FindTeamByKey(caller.key_hash);
   if (team == nullptr) return ErrorKind::kUnauthorized;
   request->team = team->id;
   request->request_class = team->request_class.empty() ? m_options.default_class
@@ -59,11 +59,11 @@
     return ErrorKind::kWrongTeam;
   if (!caller.idempotent && caller.idempotency_key.empty())
     return ErrorKind::kKeyRequired;
-  const ErrorKind reach = CheckReach(*request);
+  const ErrorKind reach = CheckAccess(*request);
   if (reach != ErrorKind::kNone) return reach;
 
   const std::vector<BudgetId> budgets =
-      m_parts.configuration->BudgetsOf(team->id);
+      m_dependencies.configuration->BudgetsOf(team->id);
   if (budgets.empty()) return ErrorKind::kNoBudget;
   request->budget_id = caller.budget.empty() ? budgets.front() : caller.budget;
   if (std::find(budgets.begin(), budgets.end(), request->budget_id) ==
@@ -73,7 +73,7 @@
   policy.policy = team->policy;
   policy.way = team->grant_way;
   policy.partition = std::chrono::seconds(team->partition_seconds);
-  request->budget = m_parts.ledger->Open(request->budget_id, policy);
+  request->budget = m_dependencies.ledger->Open(request->budget_id, policy);
 
   const bool cut_off = m_reach == ControlReach::kCutOff;
   if (cut_off && (!m_options.serve_when_cut_off || !caller.idempotent))
@@ -87,9 +87,9 @@
   return ErrorKind::kNone;
 }
 
-ErrorKind Core::CheckReach(const Request& request) const {
+ErrorKind Core::CheckAccess(const Request& request) const {
   const bool service = request.IsService();
-  switch (routing::ReachOf(*m_parts.configuration, request.team,
+  switch (routing::ReachOf(*m_dependencies.configuration, request.team,
                            request.caller.target, service)) {
     case state::Reach::kAllowed:
       return ErrorKind::kNone;
@@ -112,7 +112,7 @@
   waiting.cost =
       std::max(1.0, static_cast<double>(request->WorstCase()) / kTokensPerUnit);
   waiting.deadline = request->deadline;
-  if (!m_parts.queue->Push(waiting)) {
+  if (!m_dependencies.queue->Push(waiting)) {
     Fail(request, ErrorKind::kQueueFull, now);
     return;
   }
@@ -120,16 +120,16 @@
   SetDue(request, request->deadline);
 }
 
-void Core::EnqueueSoon(Request* request) {
+void Core::EnqueueDeferred(Request* request) {
   request->stage = Stage::kArrived;
-  m_soon.push_back(request->id);
+  m_deferred.push_back(request->id);
 }
 
 bool Core::TryStart(RequestId id, Instant now) {
   Request* request = FindRequest(id);
   if (request == nullptr || request->stage != Stage::kQueued) return true;
   if (!m_suspects.MayStart(request->caller.content_hash)) {
-    StandApart(request, now);
+    AwaitIsolation(request, now);
     return true;
   }
   const routing::RouteChoice choice = Choose(*request, now);
@@ -137,12 +137,12 @@
     if (now + choice.expected_wait < request->deadline) return false;
     request->stage = Stage::kArrived;
     Fail(request, ErrorKind::kOverloaded, now,
-         WaitSeconds(choice.expected_wait));
+         RetryAfterSeconds(choice.expected_wait));
     return true;
   }
   request->stage = Stage::kArrived;
   if (choice.outcome == routing::RouteOutcome::kNone) {
-    OnNoChoice(request, now);
+    OnNoEndpoint(request, now);
   } else if (ReserveOrWait(request, now)) {
     BeginAttempt(request, choice, now);
   }
@@ -156,30 +156,30 @@
   // be blamed. Each entry therefore prefers its own share of the endpoints for
   // suspects.
   const std::vector<EndpointId> occupied = m_suspects.Occupied();
-  std::vector<EndpointId> left_out = SharesOfOthers();
-  left_out.insert(left_out.end(), request.excluded.begin(),
-                  request.excluded.end());
-  const bool own_is_occupied =
-      std::ranges::any_of(occupied, [&left_out](const EndpointId& endpoint) {
-        return std::ranges::find(left_out, endpoint) == left_out.end();
+  std::vector<EndpointId> avoided = EndpointsOfOtherEntries();
+  avoided.insert(avoided.end(), request.excluded.begin(),
+                 request.excluded.end());
+  const bool own_share_occupied =
+      std::ranges::any_of(occupied, [&avoided](const EndpointId& endpoint) {
+        return std::ranges::find(avoided, endpoint) == avoided.end();
       });
-  left_out.insert(left_out.end(), occupied.begin(), occupied.end());
-  routing::RouteChoice own = ChooseFor(request, left_out, now);
-  if (own.outcome != routing::RouteOutcome::kNone || own_is_occupied)
+  avoided.insert(avoided.end(), occupied.begin(), occupied.end());
+  routing::RouteChoice own = ChooseFor(request, avoided, now);
+  if (own.outcome != routing::RouteOutcome::kNone || own_share_occupied)
     return own;
   std::vector<EndpointId> exclude = request.excluded;
   exclude.insert(exclude.end(), occupied.begin(), occupied.end());
   return ChooseFor(request, exclude, now);
 }
 
-std::vector<EndpointId> Core::SharesOfOthers() const {
+std::vector<EndpointId> Core::EndpointsOfOtherEntries() const {
   std::vector<EndpointId> endpoints;
-  for (const auto& [id, endpoint] : m_parts.directory->All())
+  for (const auto& [id, endpoint] : m_dependencies.directory->All())
     endpoints.push_back(id);
   std::ranges::sort(endpoints);
   std::vector<EndpointId> others;
   for (size_t i = 0; i < endpoints.size(); ++i)
-    if (i % m_entries != m_place) others.push_back(endpoints[i]);
+    if (i % m_entries != m_entry_index) others.push_back(endpoints[i]);
   return others;
 }
 
@@ -194,13 +194,13 @@
   query.output_tokens = request.caller.output_limit;
   query.prefix_hashes = &request.caller.prefix_hashes;
   query.exclude = &exclude;
-  return m_parts.router->Choose(query, now);
+  return m_dependencies.router->Choose(query, now);
 }
 
-void Core::OnNoChoice(Request* request, Instant now) {
+void Core::OnNoEndpoint(Request* request, Instant now) {
   const bool suspect = m_suspects.IsSuspect(request->caller.content_hash);
   if (suspect && !m_suspects.Occupied().empty()) {
-    StandApart(request, now);
+    AwaitIsolation(request, now);
     return;
   }
   // Retry endpoints that refused because of load when there is no other one.
@@ -217,23 +217,25 @@
   Fail(request, tried ? request->last_failure : ErrorKind::kNoEndpoint, now);
 }
 
-void Core::StandApart(Request* request, Instant now) {
-  request->stage = Stage::kApart;
-  m_apart.push_back(request->id);
+void Core::AwaitIsolation(Request* request, Instant now) {
+  request->stage = Stage::kAwaitingIsolation;
+  m_awaiting_isolation.push_back(request->id);
   if (request->reserved > 0) {
-    GiveBack(*request, {request->reserved, request->standing}, 0, now);
+    ReleaseReservation(*request, {request->reserved, request->standing}, 0,
+                       now);
     request->reserved = 0;
   }
   SetDue(request, request->deadline);
 }
 
-void Core::ReleaseApart() {
-  for (const RequestId id : m_apart) {
+void Core::RetryIsolated() {
+  for (const RequestId id : m_awaiting_isolation) {
     Request* request = FindRequest(id);
-    if (request == nullptr || request->stage != Stage::kApart) continue;
-    EnqueueSoon(request);
+    if (request == nullptr || request->stage != Stage::kAwaitingIsolation)
+      continue;
+    EnqueueDeferred(request);
   }
-  m_apart.clear();
+  m_awaiting_isolation.clear();
 }
 
 }  // namespace dotterelshift::serving
--- a/src/dotterelshift/serving/attempt_end.cc
+++ b/src/dotterelshift/serving/attempt_end.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // Whether an attempt with this end was not run by any endpoint.
-bool NotRun(AttemptEnd end) {
+bool WasNotRun(AttemptEnd end) {
   return end == AttemptEnd::kNotSent || end == AttemptEnd::kRefusedBeforeRun;
 }
 
@@ -33,51 +33,53 @@
 void Core::OnAttemptHead(AttemptId /*attempt*/, int /*status*/,
                          Instant /*now*/) {}
 
-PieceVerdict Core::OnChunk(AttemptId id, const Piece& piece, Instant now) {
+ChunkVerdict Core::OnChunk(AttemptId id, const Chunk& chunk, Instant now) {
   Request* request = FindByAttempt(id);
   if (request == nullptr || request->stage != Stage::kRunning) {
-    ++m_counters.late_pieces_dropped;
-    return PieceVerdict::kDrop;
+    ++m_counters.late_chunks_dropped;
+    return ChunkVerdict::kDrop;
   }
   Attempt& attempt = *request->attempt;
-  attempt.counted += piece.tokens;
-  if (piece.has_usage) {
+  attempt.counted_output += chunk.tokens;
+  if (chunk.has_usage) {
     attempt.has_usage = true;
-    attempt.usage_prompt = std::max(attempt.usage_prompt, piece.usage_prompt);
-    attempt.usage_output = std::max(attempt.usage_output, piece.usage_output);
+    attempt.usage_prompt = std::max(attempt.usage_prompt, chunk.usage_prompt);
+    attempt.usage_output = std::max(attempt.usage_output, chunk.usage_output);
   }
-  const Tokens output = std::max(attempt.counted, attempt.usage_output);
+  const Tokens output = std::max(attempt.counted_output, attempt.usage_output);
   if (!request->IsService() && output > request->caller.output_limit) {
     CancelAndFail(request, ErrorKind::kOutputLimitReached, now);
-    Finally(now);
-    return PieceVerdict::kCut;
+    FinishEvent(now);
+    return ChunkVerdict::kCut;
   }
-  if (!attempt.has_piece) {
-    attempt.has_piece = true;
+  if (!attempt.has_chunk) {
+    attempt.has_chunk = true;
     request->first_token = now - request->arrived;
-    m_parts.router->OnFirstToken(attempt.endpoint, now - attempt.started, now);
+    m_dependencies.router->OnFirstToken(attempt.endpoint, now - attempt.started,
+                                        now);
   }
-  m_parts.router->OnTokens(attempt.endpoint, piece.tokens, now);
-  if (request->caller_gone) return PieceVerdict::kDrop;
+  m_dependencies.router->OnTokens(attempt.endpoint, chunk.tokens, now);
+  if (request->caller_gone) return ChunkVerdict::kDrop;
   request->forwarded = true;
-  return PieceVerdict::kForward;
+  return ChunkVerdict::kForward;
 }
 
 void Core::OnAttemptEnd(AttemptId id, AttemptEnd end, Instant now) {
   Request* request = FindByAttempt(id);
   if (request == nullptr || request->stage != Stage::kRunning) return;
   EndAttempt(request, end, now);
-  Finally(now);
+  FinishEvent(now);
 }
 
 Attempt Core::Detach(Request* request, bool failed, Instant now) {
   Attempt attempt = std::move(*request->attempt);
   request->attempt.reset();
   m_attempts.erase(attempt.id);
-  m_parts.router->OnEnded(attempt.endpoint, request->WorstCase(), failed, now);
+  m_dependencies.router->OnEnded(attempt.endpoint, request->WorstCase(), failed,
+                                 now);
   m_suspects.OnEnded(request->caller.content_hash, attempt.endpoint,
                      attempt.alone);
-  ReleaseApart();
+  RetryIsolated();
   return attempt;
 }
 
@@ -97,10 +99,10 @@
   const bool failed = !whole && end != AttemptEnd::kRefusedBeforeRun;
   const Attempt attempt = Detach(request, failed, now);
   if (end == AttemptEnd::kRefusedBeforeRun)
-    m_parts.router->OnRefused(attempt.endpoint, now);
-  if (attempt.dispatched && !NotRun(end)) request->handed = true;
+    m_dependencies.router->OnRefused(attempt.endpoint, now);
+  if (attempt.dispatched && !WasNotRun(end)) request->may_have_run = true;
   if (!whole) {
-    AfterFailure(request, attempt, end, now);
+    HandleFailure(request, attempt, end, now);
     return;
   }
   m_retries.OnAnswered();
@@ -115,12 +117,12 @@
   settlement.outcome = wire::Outcome::Answered;
   if (end == AttemptEnd::kWhole) settlement.billed = settlement.spend.spent;
   request->stage = Stage::kSettling;
-  SetDue(request, now + m_options.settle_patience);
+  SetDue(request, now + m_options.settle_timeout);
   Settle(request, attempt, settlement, now);
 }
 
-void Core::AfterFailure(Request* request, const Attempt& attempt,
-                        AttemptEnd end, Instant now) {
+void Core::HandleFailure(Request* request, const Attempt& attempt,
+                         AttemptEnd end, Instant now) {
   const ErrorKind failure = FailureOf(end, request->forwarded);
   request->last_failure = failure;
   request->excluded.push_back(attempt.endpoint);
@@ -128,15 +130,15 @@
   // do not use up the attempts; its endpoint is excluded from now on.
   if (end == AttemptEnd::kNotSent) --request->attempts;
   const bool died = end == AttemptEnd::kDied;
-  const uint64_t report = died ? NoteDeath(*request, attempt, now) : 0;
+  const uint64_t report = died ? ReportDeath(*request, attempt, now) : 0;
 
   const bool retry = MayRetry(*request, end, now);
   Settlement settlement;
   settlement.spend = SpendOf(*request, attempt, end);
   settlement.outcome =
-      NotRun(end) ? wire::Outcome::Refused : wire::Outcome::Failed;
+      WasNotRun(end) ? wire::Outcome::Refused : wire::Outcome::Failed;
   settlement.last = !retry;
-  settlement.unknown = !NotRun(end);
+  settlement.unknown = !WasNotRun(end);
   Settle(request, attempt, settlement, now);
   request->retry_wanted = retry;
   if (died && m_reach == ControlReach::kConnected) {
@@ -145,34 +147,34 @@
     request->stage = Stage::kReporting;
     request->awaited = report;
     SetDue(request,
-           std::min(request->deadline, now + m_options.witness_patience));
+           std::min(request->deadline, now + m_options.commit_timeout));
     return;
   }
-  GoOnAfterFailure(request, now);
+  RetryOrFail(request, now);
 }
 
 void Core::OnReported(Request* request, Instant now) {
   if (request->stage != Stage::kReporting) return;
   const uint64_t content = request->caller.content_hash;
   if (m_blocklist.RemainingBlock(content, now)) request->retry_wanted = false;
-  GoOnAfterFailure(request, now);
+  RetryOrFail(request, now);
 }
 
-void Core::GoOnAfterFailure(Request* request, Instant now) {
+void Core::RetryOrFail(Request* request, Instant now) {
   if (!request->retry_wanted || request->caller_gone) {
     Fail(request, request->last_failure, now);
     return;
   }
   ++m_counters.retries;
   SetDue(request, std::nullopt);
-  EnqueueSoon(request);
+  EnqueueDeferred(request);
 }
 
 bool Core::MayRetry(const Request& request, AttemptEnd end, Instant now) {
   if (request.caller_gone || request.forwarded) return false;
   if (now >= request.deadline) return false;
   if (request.attempts >= m_options.max_attempts) return false;
-  if (!NotRun(end) && !request.caller.idempotent) return false;
+  if (!WasNotRun(end) && !request.caller.idempotent) return false;
   if (m_blocklist.RemainingBlock(request.caller.content_hash, now))
     return false;
   // An attempt that was not sent caused no load, so that its retry is not
@@ -182,8 +184,8 @@
   return false;
 }
 
-uint64_t Core::NoteDeath(const Request& request, const Attempt& attempt,
-                         Instant now) {
+uint64_t Core::ReportDeath(const Request& request, const Attempt& attempt,
+                           Instant now) {
   m_suspects.OnDeath(request.caller.content_hash, now);
   wire::ReportSuspectT report;
   report.content_hash = request.caller.content_hash;
@@ -196,10 +198,10 @@
 }
 
 void Core::CancelAndFail(Request* request, ErrorKind kind, Instant now) {
-  Act(CancelAttempt{request->attempt->id});
+  AddAction(CancelAttempt{request->attempt->id});
   const bool late = kind == ErrorKind::kDeadlineWhileRunning;
   const Attempt attempt = Detach(request, late, now);
-  request->handed = true;
+  request->may_have_run = true;
   Settlement settlement;
   settlement.spend = SpendOfCancelled(*request, attempt);
   settlement.outcome = kind == ErrorKind::kCallerGone ? wire::Outcome::Cancelled
--- a/src/dotterelshift/serving/attempt_test.cc
+++ b/src/dotterelshift/serving/attempt_test.cc
@@ -10,7 +10,7 @@
 struct RetryCase {
   const char* name;
   bool idempotent;
-  bool piece_before;  // a chunk was forwarded before the failure
+  bool chunk_before;  // a chunk was forwarded before the failure
   AttemptEnd end;
   bool retried;
   ErrorKind kind;  // reported when it is not retried
@@ -54,12 +54,12 @@
   CPPUNIT_TEST(RetryBudgetBoundsRetries);
   CPPUNIT_TEST(NoRetryPastTheDeadline);
   CPPUNIT_TEST(WastedAttemptIsSpentButNotBilled);
-  CPPUNIT_TEST(LateAndCrossedPiecesAreDropped);
-  CPPUNIT_TEST(DeathAfterTheWholeAnswerChangesNothing);
-  CPPUNIT_TEST(GivenUpIsAnsweredAtOnce);
-  CPPUNIT_TEST(DrainingEndpointGetsNothingAndKeepsItsStreams);
-  CPPUNIT_TEST(EndpointThatLeavesDuringTheOpeningGetsNothing);
-  CPPUNIT_TEST(NotRunIsNotSaidAfterAnAttempt);
+  CPPUNIT_TEST(LateAndMisdirectedChunksAreDropped);
+  CPPUNIT_TEST(DeathAfterTheCompleteResponseChangesNothing);
+  CPPUNIT_TEST(FailureWithoutRetryIsReportedAtOnce);
+  CPPUNIT_TEST(DrainingEndpointGetsNoNewRequestsAndKeepsItsStreams);
+  CPPUNIT_TEST(EndpointThatLeavesDuringTheOpeningIsReplaced);
+  CPPUNIT_TEST(NotRunIsNotReportedAfterAnAttempt);
   CPPUNIT_TEST(ResendOfABilledKeyIsBilledOnce);
   CPPUNIT_TEST_SUITE_END();
 
@@ -72,7 +72,7 @@
       entry.Announce("b");
       const RequestId request = entry.Send(
           test.idempotent ? TestEntry::Chat() : TestEntry::Loan("book"));
-      if (test.piece_before) entry.Piece(1);
+      if (test.chunk_before) entry.Chunk(1);
       entry.End(test.end);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(test.name, size_t(test.retried ? 2 : 1),
                                    entry.starts.size());
@@ -114,7 +114,7 @@
     entry.Announce("a");
     entry.Announce("b");
     const RequestId request = entry.Send(TestEntry::Chat());
-    entry.Pass(60s);
+    entry.AdvanceClock(60s);
     CPPUNIT_ASSERT(entry.EndOf(request) == ErrorKind::kDeadlineWhileRunning);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, entry.starts.size());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, entry.cancelled.size());
@@ -127,14 +127,14 @@
     entry.Announce("b");
     const RequestId request = entry.Send(TestEntry::Chat());
     entry.End(AttemptEnd::kDied);
-    entry.Usage(60, 20);
+    entry.SendUsage(60, 20);
     entry.End(AttemptEnd::kWhole);
     CPPUNIT_ASSERT(entry.EndOf(request) == ErrorKind::kNone);
     CPPUNIT_ASSERT_EQUAL(Tokens{150 + 80}, control.Account().settled);
     CPPUNIT_ASSERT_EQUAL(Tokens{80}, control.Account().billed);
   }
 
-  void LateAndCrossedPiecesAreDropped() {
+  void LateAndMisdirectedChunksAreDropped() {
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     entry.Announce("a");
@@ -143,25 +143,25 @@
     const AttemptId lost = entry.LastStart().attempt;
     entry.End(AttemptEnd::kDied);
     const AttemptId second = entry.LastStart().attempt;
-    CPPUNIT_ASSERT(entry.Piece(1, lost) == PieceVerdict::kDrop);
-    CPPUNIT_ASSERT(entry.Piece(1, second) == PieceVerdict::kForward);
+    CPPUNIT_ASSERT(entry.Chunk(1, lost) == ChunkVerdict::kDrop);
+    CPPUNIT_ASSERT(entry.Chunk(1, second) == ChunkVerdict::kForward);
     entry.End(AttemptEnd::kWhole, lost);
     CPPUNIT_ASSERT(!entry.HasEnded(first));
     entry.End(AttemptEnd::kWhole, second);
     CPPUNIT_ASSERT(entry.EndOf(first) == ErrorKind::kNone);
-    CPPUNIT_ASSERT(entry.Piece(1, second) == PieceVerdict::kDrop);
+    CPPUNIT_ASSERT(entry.Chunk(1, second) == ChunkVerdict::kDrop);
     CPPUNIT_ASSERT(entry.core->RequestOf(lost) == nullptr);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2},
-                         entry.core->Counters().late_pieces_dropped);
+                         entry.core->Counters().late_chunks_dropped);
   }
 
-  void DeathAfterTheWholeAnswerChangesNothing() {
+  void DeathAfterTheCompleteResponseChangesNothing() {
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     entry.Announce("a");
     const RequestId request = entry.Send(TestEntry::Chat());
     entry.held = true;
-    entry.Piece(5);
+    entry.Chunk(5);
     entry.End(AttemptEnd::kWhole);
     entry.End(AttemptEnd::kDied);
     entry.held = false;
@@ -171,7 +171,7 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{105}, control.Account().settled);
   }
 
-  void GivenUpIsAnsweredAtOnce() {
+  void FailureWithoutRetryIsReportedAtOnce() {
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     entry.Announce("a");
@@ -181,7 +181,7 @@
     CPPUNIT_ASSERT(entry.ends[request].retry_after_seconds > 0);
   }
 
-  void DrainingEndpointGetsNothingAndKeepsItsStreams() {
+  void DrainingEndpointGetsNoNewRequestsAndKeepsItsStreams() {
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     entry.Announce("a");
@@ -190,13 +190,13 @@
     entry.Announce("a", true);
     const RequestId late = entry.Send(TestEntry::Chat(2));
     CPPUNIT_ASSERT(entry.EndOf(late) == ErrorKind::kNoEndpoint);
-    CPPUNIT_ASSERT(entry.Piece(3, attempt) == PieceVerdict::kForward);
+    CPPUNIT_ASSERT(entry.Chunk(3, attempt) == ChunkVerdict::kForward);
     entry.End(AttemptEnd::kWhole, attempt);
     CPPUNIT_ASSERT(entry.EndOf(open) == ErrorKind::kNone);
     CPPUNIT_ASSERT(entry.cancelled.empty());
   }
 
-  void EndpointThatLeavesDuringTheOpeningGetsNothing() {
+  void EndpointThatLeavesDuringTheOpeningIsReplaced() {
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     entry.Announce("a");
@@ -213,7 +213,7 @@
     CPPUNIT_ASSERT(entry.EndOf(request) == ErrorKind::kNone);
   }
 
-  void NotRunIsNotSaidAfterAnAttempt() {
+  void NotRunIsNotReportedAfterAnAttempt() {
     TestControl control(240);
     TestEntry entry(&control, "entry");
     entry.Announce("a");
@@ -221,7 +221,7 @@
     const RequestId request = entry.Send(TestEntry::Chat());
     entry.End(AttemptEnd::kDied);
     // The remaining tokens do not cover another attempt.
-    entry.Pass(3s);
+    entry.AdvanceClock(3s);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, entry.starts.size());
     CPPUNIT_ASSERT(RowOf(entry.EndOf(request)).ran != Ran::kNo);
   }
@@ -235,7 +235,7 @@
       callers::CallerRequest request = TestEntry::Chat();
       request.idempotency_key = "same";
       const RequestId id = entry->Send(request);
-      entry->Usage(60, 20);
+      entry->SendUsage(60, 20);
       entry->End(AttemptEnd::kWhole);
       CPPUNIT_ASSERT(entry->EndOf(id) == ErrorKind::kNone);
     }
--- a/src/dotterelshift/serving/budget_test.cc
+++ b/src/dotterelshift/serving/budget_test.cc
@@ -10,8 +10,8 @@
 // and an output limit of 50 tokens.
 struct SpendCase {
   const char* name;
-  Tokens counted;       // output tokens counted by the entry
-  Tokens usage_prompt;  // of the engine's report; -1: none
+  Tokens counted_output;  // output tokens counted by the entry
+  Tokens usage_prompt;    // of the engine's report; -1: none
   Tokens usage_output;
   AttemptEnd end;
   Tokens spent;
@@ -35,22 +35,22 @@
 class ServingBudgetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ServingBudgetTest);
   CPPUNIT_TEST(SpendTable);
-  CPPUNIT_TEST(OverTheOutputLimitIsCut);
+  CPPUNIT_TEST(OutputOverTheLimitIsCancelled);
   CPPUNIT_TEST(CallerGoneSpendsWhatWasConsumed);
   CPPUNIT_TEST(CallerGoneBeforeDispatchSpendsNothing);
-  CPPUNIT_TEST(AnswerIsNotFinishedBeforeItsBill);
-  CPPUNIT_TEST(WaitsForAnOwnReservation);
-  CPPUNIT_TEST(ExhaustedIsSaidAtOnce);
-  CPPUNIT_TEST(TokensHeldElsewhereAreWaitedForThenUnavailable);
+  CPPUNIT_TEST(ResponseIsNotFinishedBeforeItsBillIsRecorded);
+  CPPUNIT_TEST(WaitsForTokensReservedByTheSameEntry);
+  CPPUNIT_TEST(ExhaustedBudgetIsRefusedAtOnce);
+  CPPUNIT_TEST(TokensHeldElsewhereAreAwaitedThenRefusedAsUnavailable);
   CPPUNIT_TEST(RefusalsAreRecordedInBatches);
-  CPPUNIT_TEST(OneAskIsUnderWayAtATime);
-  CPPUNIT_TEST(CutOffServesFromTheStandingPartAndSpools);
+  CPPUNIT_TEST(OneGrantRequestIsPendingAtATime);
+  CPPUNIT_TEST(CutOffServesFromThePreauthorizedAmountAndSpools);
   CPPUNIT_TEST(CutOffWithoutTheSettingRefuses);
-  CPPUNIT_TEST(CutOffRefusesWhatMayNotBeRepeated);
-  CPPUNIT_TEST(TopUpDuringACutIsServedAfterIt);
-  CPPUNIT_TEST(LateOpeningIsSettledWithNothing);
-  CPPUNIT_TEST(BillThatIsNotRecordedIsNotAWholeAnswer);
-  CPPUNIT_TEST(DrainsGrantsBackToControl);
+  CPPUNIT_TEST(CutOffRefusesNonIdempotentRequests);
+  CPPUNIT_TEST(TopUpWhileCutOffIsUsedAfterReconnecting);
+  CPPUNIT_TEST(LateOpeningIsSettledWithZeroSpend);
+  CPPUNIT_TEST(ResponseFailsWhenItsBillIsNotRecorded);
+  CPPUNIT_TEST(DrainingReturnsGrantsToControl);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -62,9 +62,9 @@
       TestEntry entry(&control, "entry", options);
       entry.Announce("engine");
       entry.Send(TestEntry::Chat());
-      if (test.counted > 0) entry.Piece(test.counted);
+      if (test.counted_output > 0) entry.Chunk(test.counted_output);
       if (test.usage_prompt >= 0)
-        entry.Usage(test.usage_prompt, test.usage_output);
+        entry.SendUsage(test.usage_prompt, test.usage_output);
       entry.End(test.end);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(test.name, test.spent,
                                    control.Account().settled);
@@ -77,18 +77,18 @@
     }
   }
 
-  void OverTheOutputLimitIsCut() {
+  void OutputOverTheLimitIsCancelled() {
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     entry.Announce("engine");
     const RequestId request = entry.Send(TestEntry::Chat());
-    CPPUNIT_ASSERT(entry.Piece(50) == PieceVerdict::kForward);
-    CPPUNIT_ASSERT(entry.Piece(1) == PieceVerdict::kCut);
+    CPPUNIT_ASSERT(entry.Chunk(50) == ChunkVerdict::kForward);
+    CPPUNIT_ASSERT(entry.Chunk(1) == ChunkVerdict::kCut);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, entry.cancelled.size());
     CPPUNIT_ASSERT(entry.EndOf(request) == ErrorKind::kOutputLimitReached);
     CPPUNIT_ASSERT_EQUAL(Tokens{150}, control.Account().settled);
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, control.Account().billed);
-    CPPUNIT_ASSERT(entry.Piece(1) == PieceVerdict::kDrop);
+    CPPUNIT_ASSERT(entry.Chunk(1) == ChunkVerdict::kDrop);
   }
 
   void CallerGoneSpendsWhatWasConsumed() {
@@ -98,8 +98,8 @@
     callers::CallerRequest chat = TestEntry::Chat();
     chat.output_limit = 1000;
     const RequestId request = entry.Send(chat);
-    entry.Piece(5);
-    entry.Gone(request);
+    entry.Chunk(5);
+    entry.CallerGone(request);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, entry.cancelled.size());
     CPPUNIT_ASSERT_EQUAL(105 + kCancelAllowance, control.Account().settled);
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, control.Account().billed);
@@ -113,7 +113,7 @@
     entry.Announce("engine");
     entry.held = true;
     const RequestId request = entry.Send(TestEntry::Chat());
-    entry.Gone(request);
+    entry.CallerGone(request);
     entry.held = false;
     entry.Pump();
     CPPUNIT_ASSERT(entry.starts.empty());
@@ -121,12 +121,12 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, entry.ledger->Reserved(0));
   }
 
-  void AnswerIsNotFinishedBeforeItsBill() {
+  void ResponseIsNotFinishedBeforeItsBillIsRecorded() {
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     entry.Announce("engine");
     const RequestId request = entry.Send(TestEntry::Chat());
-    entry.Piece(5);
+    entry.Chunk(5);
     entry.held = true;
     entry.End(AttemptEnd::kWhole);
     CPPUNIT_ASSERT(!entry.HasEnded(request));
@@ -136,17 +136,17 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{105}, control.Account().billed);
   }
 
-  void WaitsForAnOwnReservation() {
+  void WaitsForTokensReservedByTheSameEntry() {
     TestControl control(200);
     TestEntry entry(&control, "entry");
     entry.Announce("engine");
     entry.Send(TestEntry::Chat(1));
     const AttemptId first = entry.LastStart().attempt;
     const RequestId second = entry.Send(TestEntry::Chat(2));
-    entry.Pass(500ms);
+    entry.AdvanceClock(500ms);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, entry.starts.size());
     CPPUNIT_ASSERT(!entry.HasEnded(second));
-    entry.Usage(20, 10, first);
+    entry.SendUsage(20, 10, first);
     entry.End(AttemptEnd::kWhole, first);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, entry.starts.size());
     entry.End(AttemptEnd::kWhole);
@@ -154,7 +154,7 @@
     CPPUNIT_ASSERT(control.Account().settled <= 200);
   }
 
-  void ExhaustedIsSaidAtOnce() {
+  void ExhaustedBudgetIsRefusedAtOnce() {
     TestControl control(100);
     TestEntry entry(&control, "entry");
     entry.Announce("engine");
@@ -163,7 +163,7 @@
     CPPUNIT_ASSERT(entry.starts.empty());
   }
 
-  void TokensHeldElsewhereAreWaitedForThenUnavailable() {
+  void TokensHeldElsewhereAreAwaitedThenRefusedAsUnavailable() {
     TestControl control(160);
     TestEntry other(&control, "other");
     other.Announce("engine");
@@ -171,9 +171,9 @@
     TestEntry entry(&control, "entry");
     entry.Announce("engine");
     const RequestId request = entry.Send(TestEntry::Chat(2));
-    entry.Pass(1500ms);
+    entry.AdvanceClock(1500ms);
     CPPUNIT_ASSERT(!entry.HasEnded(request));
-    entry.Pass(1s);
+    entry.AdvanceClock(1s);
     CPPUNIT_ASSERT(entry.EndOf(request) == ErrorKind::kBudgetUnavailable);
     CPPUNIT_ASSERT(entry.ends[request].retry_after_seconds > 0);
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, entry.core->Counters().false_refusals);
@@ -186,7 +186,7 @@
     for (uint64_t content = 1; content <= 20; ++content)
       entry.Send(TestEntry::Chat(content));
     entry.held = true;
-    entry.Pass(1100ms);
+    entry.AdvanceClock(1100ms);
     CPPUNIT_ASSERT_EQUAL(size_t{1},
                          entry.CountProposed<wire::RecordRefusalsT>());
     entry.held = false;
@@ -199,27 +199,27 @@
         uint64_t{20}, refusals.with_budget_left + refusals.without_budget_left);
   }
 
-  void OneAskIsUnderWayAtATime() {
+  void OneGrantRequestIsPendingAtATime() {
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     entry.Announce("engine");
     entry.held = true;
     entry.Send(TestEntry::Chat());
-    entry.Pass(1s);
+    entry.AdvanceClock(1s);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, entry.CountProposed<wire::RequestGrantT>());
   }
 
-  void CutOffServesFromTheStandingPartAndSpools() {
+  void CutOffServesFromThePreauthorizedAmountAndSpools() {
     TestControl control(1'000'000);
     TestEntry entry(&control, "entry");
-    GiveStandingPart(&entry);
+    AcquirePreauthorizedAmount(&entry);
     entry.Reach(ControlReach::kCutOff);
     const RequestId request = entry.Send(TestEntry::Chat());
-    entry.Piece(5);
+    entry.Chunk(5);
     entry.End(AttemptEnd::kWhole);
     CPPUNIT_ASSERT(entry.EndOf(request) == ErrorKind::kNone);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, entry.spooled.size());
-    CPPUNIT_ASSERT(entry.core->Counters().unwitnessed_attempts > 0);
+    CPPUNIT_ASSERT(entry.core->Counters().attempts_without_opening > 0);
     const Tokens before = control.Account().settled;
     entry.Reach(ControlReach::kConnected);
     CPPUNIT_ASSERT_EQUAL(before + 105, control.Account().settled);
@@ -233,16 +233,16 @@
     RequestCoreOptions options;
     options.serve_when_cut_off = false;
     TestEntry entry(&control, "entry", options);
-    GiveStandingPart(&entry);
+    AcquirePreauthorizedAmount(&entry);
     entry.Reach(ControlReach::kCutOff);
     const RequestId request = entry.Send(TestEntry::Chat());
     CPPUNIT_ASSERT(entry.EndOf(request) == ErrorKind::kNoQuorum);
   }
 
-  void CutOffRefusesWhatMayNotBeRepeated() {
+  void CutOffRefusesNonIdempotentRequests() {
     TestControl control(1'000'000);
     TestEntry entry(&control, "entry");
-    GiveStandingPart(&entry);
+    AcquirePreauthorizedAmount(&entry);
     const size_t before = entry.starts.size();
     entry.Reach(ControlReach::kCutOff);
     const RequestId request = entry.Send(TestEntry::Loan("book"));
@@ -250,7 +250,7 @@
     CPPUNIT_ASSERT_EQUAL(before, entry.starts.size());
   }
 
-  void TopUpDuringACutIsServedAfterIt() {
+  void TopUpWhileCutOffIsUsedAfterReconnecting() {
     TestControl control(120);
     TestEntry entry(&control, "entry");
     entry.Announce("engine");
@@ -264,7 +264,7 @@
     CPPUNIT_ASSERT(entry.EndOf(after) == ErrorKind::kNone);
   }
 
-  void LateOpeningIsSettledWithNothing() {
+  void LateOpeningIsSettledWithZeroSpend() {
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     entry.Announce("engine");
@@ -273,7 +273,7 @@
     const Tokens before = control.Account().settled;
     entry.held = true;
     const RequestId request = entry.Send(TestEntry::Chat(2));
-    entry.Pass(1100ms);
+    entry.AdvanceClock(1100ms);
     CPPUNIT_ASSERT(entry.EndOf(request) == ErrorKind::kNoQuorum);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, entry.starts.size());
     entry.held = false;
@@ -284,22 +284,22 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, entry.ledger->Reserved(0));
   }
 
-  void BillThatIsNotRecordedIsNotAWholeAnswer() {
+  void ResponseFailsWhenItsBillIsNotRecorded() {
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     entry.Announce("engine");
     const RequestId request = entry.Send(TestEntry::Chat());
     entry.held = true;
-    entry.disks = false;
+    entry.spooling_available = false;
     entry.End(AttemptEnd::kWhole);
-    entry.Pass(2100ms);
+    entry.AdvanceClock(2100ms);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, entry.spooled.size());
     CPPUNIT_ASSERT(!entry.HasEnded(request));
-    entry.Pass(2100ms);
+    entry.AdvanceClock(2100ms);
     CPPUNIT_ASSERT(entry.EndOf(request) == ErrorKind::kBillNotRecorded);
   }
 
-  void DrainsGrantsBackToControl() {
+  void DrainingReturnsGrantsToControl() {
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     entry.Announce("engine");
@@ -309,7 +309,7 @@
     CPPUNIT_ASSERT(!entry.core->Drained());
     const RequestId late = entry.Send(TestEntry::Chat(2));
     CPPUNIT_ASSERT(entry.EndOf(late) == ErrorKind::kDraining);
-    entry.Piece(5);
+    entry.Chunk(5);
     entry.End(AttemptEnd::kWhole);
     CPPUNIT_ASSERT(entry.EndOf(open) == ErrorKind::kNone);
     CPPUNIT_ASSERT(entry.core->Drained());
@@ -320,15 +320,15 @@
  private:
   // Runs requests until control has pre-authorized enough tokens for an
   // attempt.
-  static void GiveStandingPart(TestEntry* entry) {
+  static void AcquirePreauthorizedAmount(TestEntry* entry) {
     entry->Announce("engine");
     for (uint64_t content = 100; content < 160; ++content) {
       entry->Send(TestEntry::Chat(content));
-      entry->Piece(50);
+      entry->Chunk(50);
       entry->End(AttemptEnd::kWhole);
-      entry->Pass(100ms);
+      entry->AdvanceClock(100ms);
     }
-    CPPUNIT_ASSERT(entry->ledger->Standing(0) >= 150);
+    CPPUNIT_ASSERT(entry->ledger->Preauthorized(0) >= 150);
   }
 };
 
--- a/src/dotterelshift/serving/claims_test.cc
+++ b/src/dotterelshift/serving/claims_test.cc
@@ -15,7 +15,7 @@
   std::string name;
   std::function<void(TestEntry*, RequestId)> first;
   uint64_t content;
-  ErrorKind told;
+  ErrorKind reported;
 };
 
 constexpr uint64_t kSame = 7;
@@ -27,7 +27,7 @@
      kSame, ErrorKind::kAlreadyRan},
     {"ran, caller gone",
      [](TestEntry* entry, RequestId request) {
-       entry->Gone(request);
+       entry->CallerGone(request);
        entry->End(AttemptEnd::kWhole);
      },
      kSame, ErrorKind::kAlreadyRan},
@@ -35,7 +35,7 @@
      [](TestEntry* entry, RequestId) { entry->End(AttemptEnd::kDied); }, kSame,
      ErrorKind::kOutcomeUnknown},
     {"deadline while running",
-     [](TestEntry* entry, RequestId) { entry->Pass(60s); }, kSame,
+     [](TestEntry* entry, RequestId) { entry->AdvanceClock(60s); }, kSame,
      ErrorKind::kOutcomeUnknown},
     {"refused before running by all endpoints",
      [](TestEntry* entry, RequestId) {
@@ -68,13 +68,13 @@
       test.first(&first, first.Send(TestEntry::Loan("book")));
       const RequestId resend =
           second.Send(TestEntry::Loan("book", test.content));
-      if (test.told == ErrorKind::kNone) {
+      if (test.reported == ErrorKind::kNone) {
         CPPUNIT_ASSERT_EQUAL_MESSAGE(test.name, size_t{1},
                                      second.starts.size());
         continue;
       }
       CPPUNIT_ASSERT_MESSAGE(test.name, second.HasEnded(resend));
-      CPPUNIT_ASSERT_MESSAGE(test.name, second.EndOf(resend) == test.told);
+      CPPUNIT_ASSERT_MESSAGE(test.name, second.EndOf(resend) == test.reported);
       CPPUNIT_ASSERT_MESSAGE(test.name, second.starts.empty());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(test.name, Tokens{0},
                                    second.ledger->Reserved(0));
@@ -105,7 +105,7 @@
     entry.End(AttemptEnd::kWhole);
     entry.held = true;
     const RequestId request = entry.Send(TestEntry::Loan("book"));
-    entry.Pass(1100ms);
+    entry.AdvanceClock(1100ms);
     CPPUNIT_ASSERT(entry.EndOf(request) == ErrorKind::kNoQuorum);
     entry.held = false;
     entry.Pump();
--- a/src/dotterelshift/serving/dispatch.cc
+++ b/src/dotterelshift/serving/dispatch.cc
@@ -8,7 +8,7 @@
 
 // Maximum number of openings of one request that control may refuse because it
 // counts fewer tokens for this entry than the entry itself.
-constexpr int kMostRefusedOpenings = 3;
+constexpr int kMaxRefusedOpenings = 3;
 
 // The error reported to a caller whose claim was not granted.
 ErrorKind KindOf(wire::ClaimState state) {
@@ -43,7 +43,7 @@
   request->reserved = 0;
   attempt.alone =
       m_suspects.OnStarted(request->caller.content_hash, attempt.endpoint);
-  m_parts.router->OnStarted(attempt.endpoint, request->WorstCase(), now);
+  m_dependencies.router->OnStarted(attempt.endpoint, request->WorstCase(), now);
   m_attempts[attempt.id] = request->id;
   request->attempt = std::move(attempt);
   if (++request->attempts == 1) request->queue_wait = now - request->arrived;
@@ -77,8 +77,7 @@
   pending.undo->claim = request->attempt->id;
   request->awaited = Propose(std::move(claim), std::move(pending));
   request->stage = Stage::kClaiming;
-  SetDue(request,
-         std::min(request->deadline, now + m_options.witness_patience));
+  SetDue(request, std::min(request->deadline, now + m_options.commit_timeout));
 }
 
 void Core::OnClaim(Request* request, const wire::CommandAnswerT& answer,
@@ -97,8 +96,8 @@
 
 void Core::OpenOrDispatch(Request* request, Instant now) {
   if (m_reach == ControlReach::kCutOff) {
-    if (MayGoUnwitnessed(request, now)) {
-      ++m_counters.unwitnessed_attempts;
+    if (MayDispatchWithoutOpening(request, now)) {
+      ++m_counters.attempts_without_opening;
       Dispatch(request, now);
     } else {
       Fail(request, ErrorKind::kNoQuorum, now);
@@ -125,17 +124,16 @@
   pending.attempt = attempt.id;
   request->awaited = Propose(std::move(open), std::move(pending));
   request->stage = Stage::kOpening;
-  SetDue(request,
-         std::min(request->deadline, now + m_options.witness_patience));
+  SetDue(request, std::min(request->deadline, now + m_options.commit_timeout));
 }
 
-bool Core::MayGoUnwitnessed(Request* request, Instant now) {
+bool Core::MayDispatchWithoutOpening(Request* request, Instant now) {
   if (!m_options.serve_when_cut_off || !request->caller.idempotent)
     return false;
   Attempt& attempt = *request->attempt;
   if (!attempt.standing)
-    attempt.standing =
-        m_parts.ledger->MoveToStanding(request->budget, attempt.reserved, now);
+    attempt.standing = m_dependencies.ledger->MoveToPreauthorized(
+        request->budget, attempt.reserved, now);
   return attempt.standing;
 }
 
@@ -151,31 +149,32 @@
 void Core::OnOpeningRefused(Request* request, ErrorKind error, Instant now) {
   request->attempt->opening = false;
   if (error != ErrorKind::kBudgetUnavailable) {
-    const bool told =
+    const bool reported =
         error == ErrorKind::kKeyExpired || error == ErrorKind::kQuarantined;
-    Fail(request, told ? error : ErrorKind::kNoQuorum, now);
+    Fail(request, reported ? error : ErrorKind::kNoQuorum, now);
     return;
   }
   // Control counts fewer tokens for this entry than the entry itself. The
   // unreserved tokens are returned, and the request reserves again.
   const Attempt attempt = Detach(request, false, now);
-  m_parts.ledger->OnOpeningRefused(request->budget, attempt.reserved, now);
-  m_wishes_due = true;
+  m_dependencies.ledger->OnOpeningRefused(request->budget, attempt.reserved,
+                                          now);
+  m_adjustments_due = true;
   --request->attempts;
-  if (++request->refused_openings > kMostRefusedOpenings) {
+  if (++request->refused_openings > kMaxRefusedOpenings) {
     Fail(request, error, now);
     return;
   }
   SetDue(request, std::nullopt);
-  EnqueueSoon(request);
+  EnqueueDeferred(request);
 }
 
-void Core::OnWitnessLate(Request* request, Instant now) {
+void Core::OnCommitTimeout(Request* request, Instant now) {
   const bool may_fall_back =
       request->stage == Stage::kOpening && m_reach == ControlReach::kCutOff &&
-      now < request->deadline && MayGoUnwitnessed(request, now);
+      now < request->deadline && MayDispatchWithoutOpening(request, now);
   if (may_fall_back) {
-    ++m_counters.unwitnessed_attempts;
+    ++m_counters.attempts_without_opening;
     Dispatch(request, now);
     return;
   }
@@ -184,12 +183,12 @@
 
 void Core::Dispatch(Request* request, Instant now) {
   const directory::Endpoint* endpoint =
-      m_parts.directory->Find(request->attempt->endpoint);
+      m_dependencies.directory->Find(request->attempt->endpoint);
   const bool usable =
       endpoint != nullptr && endpoint->usable &&
       endpoint->record.incarnation == request->attempt->incarnation;
   // The endpoint may have left while the opening was being committed.
-  if (!usable && !ChooseAgain(request, now)) {
+  if (!usable && !ChooseReplacement(request, now)) {
     EndAttempt(request, AttemptEnd::kNotSent, now);
     return;
   }
@@ -204,22 +203,23 @@
   start.endpoint = attempt.endpoint;
   start.address = attempt.address;
   start.time_left = request->deadline - now;
-  Act(std::move(start));
+  AddAction(std::move(start));
 }
 
-bool Core::ChooseAgain(Request* request, Instant now) {
+bool Core::ChooseReplacement(Request* request, Instant now) {
   Attempt& attempt = *request->attempt;
   request->excluded.push_back(attempt.endpoint);
   const routing::RouteChoice choice = Choose(*request, now);
   if (choice.outcome != routing::RouteOutcome::kChosen) return false;
   const uint64_t content = request->caller.content_hash;
-  m_parts.router->OnEnded(attempt.endpoint, request->WorstCase(), false, now);
+  m_dependencies.router->OnEnded(attempt.endpoint, request->WorstCase(), false,
+                                 now);
   m_suspects.OnEnded(content, attempt.endpoint, attempt.alone);
   attempt.endpoint = choice.endpoint;
   attempt.incarnation = choice.incarnation;
   attempt.address = choice.address;
   attempt.alone = m_suspects.OnStarted(content, attempt.endpoint);
-  m_parts.router->OnStarted(attempt.endpoint, request->WorstCase(), now);
+  m_dependencies.router->OnStarted(attempt.endpoint, request->WorstCase(), now);
   return true;
 }
 
--- a/src/dotterelshift/serving/refusal_tally.cc
+++ b/src/dotterelshift/serving/refusal_tally.cc
@@ -3,13 +3,13 @@
 namespace dotterelshift::serving {
 namespace {
 
-constexpr Duration kRecordEvery = 1s;
+constexpr Duration kRecordInterval = 1s;
 
 }  // namespace
 
 void RefusalTally::Count(const TeamId& team, ErrorKind kind,
                          bool budget_remained, Instant now) {
-  if (m_counts.empty()) m_due = now + kRecordEvery;
+  if (m_counts.empty()) m_due = now + kRecordInterval;
   ++m_counts[Line{team, kind, budget_remained}];
 }
 
--- a/src/dotterelshift/serving/request_core.cc
+++ b/src/dotterelshift/serving/request_core.cc
@@ -6,14 +6,16 @@
 
 namespace dotterelshift::serving {
 
-std::unique_ptr<RequestCore> MakeRequestCore(const RequestCoreOptions& options,
-                                             const RequestCoreParts& parts) {
-  return std::make_unique<Core>(options, parts);
+std::unique_ptr<RequestCore> MakeRequestCore(
+    const RequestCoreOptions& options,
+    const RequestCoreDependencies& dependencies) {
+  return std::make_unique<Core>(options, dependencies);
 }
 
-Core::Core(const RequestCoreOptions& options, const RequestCoreParts& parts)
+Core::Core(const RequestCoreOptions& options,
+           const RequestCoreDependencies& dependencies)
     : m_options(options),
-      m_parts(parts),
+      m_dependencies(dependencies),
       m_commands(options.self),
       m_retries(options.retry_ratio, options.retry_burst) {}
 
@@ -38,32 +40,32 @@
   Request* request = FindRequest(id);
   if (request == nullptr) return;
   request->caller_gone = true;
-  const bool run_on =
+  const bool must_continue =
       request->stage == Stage::kSettling ||
       (request->stage == Stage::kRunning && !request->caller.idempotent);
   // A request that is not idempotent runs to its end, so that its outcome can
   // be reported when the caller resends its key.
-  if (run_on) return;
+  if (must_continue) return;
   if (request->stage == Stage::kRunning) {
     CancelAndFail(request, ErrorKind::kCallerGone, now);
   } else {
     Fail(request, ErrorKind::kCallerGone, now);
   }
-  Finally(now);
+  FinishEvent(now);
 }
 
 void Core::OnControlReach(ControlReach reach, Instant now) {
   if (reach == m_reach) return;
   m_reach = reach;
-  m_parts.ledger->SetConnected(reach == ControlReach::kConnected, now);
-  m_wishes_due = true;
-  Finally(now);
+  m_dependencies.ledger->SetConnected(reach == ControlReach::kConnected, now);
+  m_adjustments_due = true;
+  FinishEvent(now);
 }
 
 void Core::OnRecall(const wire::RecallT& recall, Instant now) {
-  m_parts.ledger->OnRecall(recall.budget, recall.tokens, now);
-  m_wishes_due = true;
-  Finally(now);
+  m_dependencies.ledger->OnRecall(recall.budget, recall.tokens, now);
+  m_adjustments_due = true;
+  FinishEvent(now);
 }
 
 void Core::OnQuarantine(const wire::QuarantinePushT& push, Instant now) {
@@ -71,41 +73,42 @@
   std::vector<Request*> blocked;
   for (const auto& [id, request] : m_requests) {
     const bool waits = request->stage == Stage::kQueued ||
-                       request->stage == Stage::kBudget ||
-                       request->stage == Stage::kApart;
+                       request->stage == Stage::kAwaitingTokens ||
+                       request->stage == Stage::kAwaitingIsolation;
     if (waits && m_blocklist.RemainingBlock(request->caller.content_hash, now))
       blocked.push_back(request.get());
   }
   for (Request* request : blocked) Fail(request, ErrorKind::kQuarantined, now);
-  Finally(now);
+  FinishEvent(now);
 }
 
-void Core::OnEntries(size_t place, size_t count) {
-  m_place = place;
+void Core::OnEntriesChanged(size_t place, size_t count) {
+  m_entry_index = place;
   m_entries = count;
 }
 
 void Core::OnRefresh(Instant now) {
-  const uint64_t directory = m_parts.directory->Generation();
-  const uint64_t configuration = m_parts.configuration->Version();
+  const uint64_t directory = m_dependencies.directory->Generation();
+  const uint64_t configuration = m_dependencies.configuration->Version();
   if (directory != m_directory_seen || configuration != m_configuration_seen) {
     m_directory_seen = directory;
     m_configuration_seen = configuration;
-    m_parts.router->Refresh(*m_parts.directory, *m_parts.configuration, now);
+    m_dependencies.router->Refresh(*m_dependencies.directory,
+                                   *m_dependencies.configuration, now);
   }
-  Finally(now);
+  FinishEvent(now);
 }
 
 void Core::StartDraining(Instant now) {
   m_draining = true;
-  Finally(now);
+  FinishEvent(now);
 }
 
 bool Core::Drained() const {
   if (!m_draining || !m_requests.empty()) return false;
   const bool connected = m_reach == ControlReach::kConnected;
   if (connected && !m_refusals.empty()) return false;
-  return !m_commands.Owes(connected);
+  return !m_commands.HasUnacknowledged(connected);
 }
 
 void Core::SetDue(Request* request, std::optional<Instant> due) {
@@ -120,15 +123,15 @@
     case Stage::kArrived:
       break;
     case Stage::kQueued:
-    case Stage::kApart:
+    case Stage::kAwaitingIsolation:
       Fail(request, ErrorKind::kDeadlineBeforeRun, now);
       break;
-    case Stage::kBudget:
+    case Stage::kAwaitingTokens:
       RefuseForBudget(request, now);
       break;
     case Stage::kClaiming:
     case Stage::kOpening:
-      OnWitnessLate(request, now);
+      OnCommitTimeout(request, now);
       break;
     case Stage::kRunning:
       CancelAndFail(request, ErrorKind::kDeadlineWhileRunning, now);
@@ -136,10 +139,10 @@
     case Stage::kReporting:
       // Other entries may not know of the death, so the content is not retried.
       request->retry_wanted = false;
-      GoOnAfterFailure(request, now);
+      RetryOrFail(request, now);
       break;
     case Stage::kSettling:
-      SpoolOpenSettlement(request, now);
+      SpoolPendingSettlement(request, now);
       break;
   }
 }
@@ -149,16 +152,16 @@
     OnDue(FindRequest(m_timers.begin()->second), now);
   m_blocklist.OnTimer(now);
   m_suspects.OnTimer(now);
-  const std::optional<Instant> ledger_due = m_parts.ledger->NextDue();
-  if (ledger_due && *ledger_due <= now) m_wishes_due = true;
+  const std::optional<Instant> ledger_due = m_dependencies.ledger->NextDue();
+  if (ledger_due && *ledger_due <= now) m_adjustments_due = true;
   if (!m_waiters.empty() && m_next_reserve <= now) {
     for (const auto& [budget, waiters] : m_waiters) m_freed.insert(budget);
   }
-  Finally(now);
+  FinishEvent(now);
 }
 
 std::optional<Instant> Core::NextTimer() const {
-  std::optional<Instant> next = m_parts.ledger->NextDue();
+  std::optional<Instant> next = m_dependencies.ledger->NextDue();
   const auto consider = [&next](Instant when) {
     next = next ? std::min(*next, when) : when;
   };
@@ -169,27 +172,27 @@
   return next;
 }
 
-void Core::Finally(Instant now) {
+void Core::FinishEvent(Instant now) {
   do {
     std::vector<RequestId> soon;
-    soon.swap(m_soon);
+    soon.swap(m_deferred);
     for (const RequestId id : soon) {
       Request* request = FindRequest(id);
       if (request != nullptr) Enqueue(request, now);
     }
-    m_parts.queue->Offer([this, now](const admission::Waiting& waiting) {
+    m_dependencies.queue->Offer([this, now](const admission::Waiting& waiting) {
       return TryStart(waiting.request, now);
     });
     if (!m_freed.empty()) RetryWaiters(now);
-  } while (!m_soon.empty() || !m_freed.empty());
+  } while (!m_deferred.empty() || !m_freed.empty());
 
   const bool connected = m_reach == ControlReach::kConnected;
   const bool flush = m_draining || m_refusals.Due() <= now;
   if (connected && flush && !m_refusals.empty()) RecordRefusals();
   if (m_draining && m_requests.empty()) ReturnGrants(now);
-  if (!m_wishes_due) return;
-  m_wishes_due = false;
-  SendWishes(m_parts.ledger->TakeWishes(now));
+  if (!m_adjustments_due) return;
+  m_adjustments_due = false;
+  SendAdjustments(m_dependencies.ledger->TakeAdjustments(now));
 }
 
 std::vector<Action> Core::TakeActions() {
--- a/src/dotterelshift/serving/serving_property_test.cc
+++ b/src/dotterelshift/serving/serving_property_test.cc
@@ -15,12 +15,12 @@
 constexpr Tokens kPurchased = 12'000;
 
 // The actual state of an attempt on its endpoint, known only to the test.
-struct Trial {
+struct ObservedAttempt {
   RequestId request = 0;
   std::string loan;  // key of a request that is not idempotent, or empty
   bool open = true;
   bool ran = true;  // unless the endpoint is known not to have run it
-  bool has_pieces = false;
+  bool has_chunks = false;
   Tokens consumed = 100;
 };
 
@@ -35,12 +35,12 @@
   explicit RandomRun(uint64_t seed)
       : m_seed(seed), m_random(seed), m_control(kPurchased) {
     RequestCoreOptions options;
-    options.settle_patience = 500ms;
+    options.settle_timeout = 500ms;
     for (const char* host : {"first", "second"}) {
       m_entries.push_back(
           std::make_unique<TestEntry>(&m_control, host, options));
     }
-    m_trials.resize(2);
+    m_observed.resize(2);
     m_sent.resize(2);
     for (size_t at : {0, 1}) {
       for (int i = 0; i < 4; ++i) Announce(at);
@@ -51,8 +51,8 @@
     for (int step = 0; step < kSteps; ++step) {
       const size_t at = Below(2);
       Step(at);
-      Look(0);
-      Look(1);
+      ObserveAttempts(0);
+      ObserveAttempts(1);
       CheckSpend();
     }
     Settle();
@@ -60,7 +60,7 @@
 
  private:
   size_t Below(size_t bound) { return m_random() % bound; }
-  std::string Where(const std::string& what) const {
+  std::string WithSeed(const std::string& what) const {
     return what + ", seed " + std::to_string(m_seed);
   }
 
@@ -78,7 +78,7 @@
       case 4:
       case 5:
       case 6:
-        GivePiece(at);
+        SendChunk(at);
         break;
       case 7:
       case 8:
@@ -86,7 +86,7 @@
         EndAttempt(at);
         break;
       case 10:
-        Leave(at);
+        DisconnectCaller(at);
         break;
       case 11:
         entry.held = !entry.held;
@@ -97,14 +97,14 @@
                                   : ControlReach::kConnected);
         break;
       case 13:
-        entry.disks = !entry.disks;
+        entry.spooling_available = !entry.spooling_available;
         MergeSpool(at);
         break;
       case 14:
         Announce(at);
         break;
       default:
-        entry.Pass(std::chrono::milliseconds(10 + Below(1500)));
+        entry.AdvanceClock(std::chrono::milliseconds(10 + Below(1500)));
     }
   }
 
@@ -142,21 +142,21 @@
         .attempt;
   }
 
-  void GivePiece(size_t at) {
+  void SendChunk(size_t at) {
     const AttemptId attempt = AnyAttempt(at);
     if (attempt == 0) return;
-    Trial& trial = m_trials[at][attempt];
+    ObservedAttempt& observed = m_observed[at][attempt];
     const Tokens tokens = static_cast<Tokens>(1 + Below(20));
-    const bool was_open = trial.open;
-    const PieceVerdict verdict = m_entries[at]->Piece(tokens, attempt);
+    const bool was_open = observed.open;
+    const ChunkVerdict verdict = m_entries[at]->Chunk(tokens, attempt);
     if (was_open) {
       // The engine respects the output limit of the request.
-      if (trial.loan.empty())
-        trial.consumed = std::min<Tokens>(150, trial.consumed + tokens);
-      trial.has_pieces = true;
+      if (observed.loan.empty())
+        observed.consumed = std::min<Tokens>(150, observed.consumed + tokens);
+      observed.has_chunks = true;
     }
-    const bool late = !was_open && verdict != PieceVerdict::kDrop;
-    CPPUNIT_ASSERT_MESSAGE(Where("late chunk forwarded"), !late);
+    const bool late = !was_open && verdict != ChunkVerdict::kDrop;
+    CPPUNIT_ASSERT_MESSAGE(WithSeed("late chunk forwarded"), !late);
   }
 
   void EndAttempt(size_t at) {
@@ -167,34 +167,35 @@
         AttemptEnd::kCallerError};
     const AttemptId attempt = AnyAttempt(at);
     if (attempt == 0) return;
-    Trial& trial = m_trials[at][attempt];
+    ObservedAttempt& observed = m_observed[at][attempt];
     AttemptEnd end = kEnds[Below(7)];
     // An attempt that returned chunks has run.
-    if (trial.has_pieces &&
+    if (observed.has_chunks &&
         (end == AttemptEnd::kNotSent || end == AttemptEnd::kRefusedBeforeRun ||
          end == AttemptEnd::kCallerError))
       end = AttemptEnd::kDied;
-    if (trial.open) {
-      trial.open = false;
-      trial.ran =
+    if (observed.open) {
+      observed.open = false;
+      observed.ran =
           end != AttemptEnd::kNotSent && end != AttemptEnd::kRefusedBeforeRun;
-      if (!trial.ran || end == AttemptEnd::kCallerError) trial.consumed = 0;
+      if (!observed.ran || end == AttemptEnd::kCallerError)
+        observed.consumed = 0;
       if (end == AttemptEnd::kDied || end == AttemptEnd::kTimedOut)
-        WriteOn(&trial);
+        ConsumeReservation(&observed);
     }
     m_entries[at]->End(end, attempt);
   }
 
   // The engine generates output up to the limit, although nobody receives it.
-  static void WriteOn(Trial* trial) {
-    if (trial->loan.empty()) trial->consumed = 150;
+  static void ConsumeReservation(ObservedAttempt* observed) {
+    if (observed->loan.empty()) observed->consumed = 150;
   }
 
-  void Leave(size_t at) {
+  void DisconnectCaller(size_t at) {
     if (m_sent[at].empty()) return;
     const RequestId request = 1 + Below(m_sent[at].size());
     if (!m_entries[at]->HasEnded(request)) m_sent[at][request].gone = true;
-    m_entries[at]->Gone(request);
+    m_entries[at]->CallerGone(request);
   }
 
   // Another host proposes the settlements that this entry spooled.
@@ -208,41 +209,42 @@
   }
 
   // Records new attempts and cancellations.
-  void Look(size_t at) {
+  void ObserveAttempts(size_t at) {
     TestEntry& entry = *m_entries[at];
-    for (; m_seen[at] < entry.starts.size(); ++m_seen[at]) {
-      const StartAttempt& start = entry.starts[m_seen[at]];
-      Trial trial;
-      trial.request = start.request;
-      trial.loan = m_sent[at].at(start.request).loan;
-      CheckAtMostOnce(trial.loan);
-      if (!trial.loan.empty()) trial.consumed = 10;
-      m_trials[at].emplace(start.attempt, trial);
+    for (; m_starts_seen[at] < entry.starts.size(); ++m_starts_seen[at]) {
+      const StartAttempt& start = entry.starts[m_starts_seen[at]];
+      ObservedAttempt observed;
+      observed.request = start.request;
+      observed.loan = m_sent[at].at(start.request).loan;
+      CheckAtMostOnce(observed.loan);
+      if (!observed.loan.empty()) observed.consumed = 10;
+      m_observed[at].emplace(start.attempt, observed);
     }
     for (const AttemptId attempt : entry.cancelled) {
-      m_trials[at][attempt].open = false;
-      WriteOn(&m_trials[at][attempt]);
+      m_observed[at][attempt].open = false;
+      ConsumeReservation(&m_observed[at][attempt]);
     }
     entry.cancelled.clear();
   }
 
   void CheckAtMostOnce(const std::string& loan) {
     if (loan.empty()) return;
-    for (const auto& trials : m_trials) {
-      for (const auto& [attempt, trial] : trials) {
-        const bool twice = trial.loan == loan && trial.ran;
-        CPPUNIT_ASSERT_MESSAGE(Where(loan + " may run twice"), !twice);
+    for (const auto& observed_attempts : m_observed) {
+      for (const auto& [attempt, observed] : observed_attempts) {
+        const bool twice = observed.loan == loan && observed.ran;
+        CPPUNIT_ASSERT_MESSAGE(WithSeed(loan + " may run twice"), !twice);
       }
     }
   }
 
   void CheckSpend() {
     Tokens consumed = 0;
-    for (const auto& trials : m_trials) {
-      for (const auto& [attempt, trial] : trials) consumed += trial.consumed;
+    for (const auto& observed_attempts : m_observed) {
+      for (const auto& [attempt, observed] : observed_attempts)
+        consumed += observed.consumed;
     }
-    CPPUNIT_ASSERT_MESSAGE(Where("overspend"), consumed <= kPurchased);
-    CPPUNIT_ASSERT_MESSAGE(Where("overspend in the account"),
+    CPPUNIT_ASSERT_MESSAGE(WithSeed("overspend"), consumed <= kPurchased);
+    CPPUNIT_ASSERT_MESSAGE(WithSeed("overspend in the account"),
                            m_control.Account().Free() >= 0);
   }
 
@@ -251,12 +253,12 @@
   void Settle() {
     for (const auto& entry : m_entries) {
       entry->held = false;
-      entry->disks = true;
+      entry->spooling_available = true;
       entry->Reach(ControlReach::kConnected);
     }
     for (size_t at : {0, 1}) {
-      m_entries[at]->Pass(70s);
-      Look(at);
+      m_entries[at]->AdvanceClock(70s);
+      ObserveAttempts(at);
       MergeSpool(at);
       m_entries[at]->core->StartDraining(m_entries[at]->now);
       m_entries[at]->Pump();
@@ -264,21 +266,22 @@
     CheckSpend();
     for (size_t at : {0, 1}) CheckEnds(at);
     for (const state::Holding& holding : m_control.state->HoldingsOf("budget"))
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(Where("open"), Tokens{0}, holding.opened);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(WithSeed("open"), Tokens{0}, holding.opened);
     const std::vector<std::string> wrong = m_control.state->Disagreements();
-    CPPUNIT_ASSERT_MESSAGE(Where(wrong.empty() ? "" : wrong[0]), wrong.empty());
+    CPPUNIT_ASSERT_MESSAGE(WithSeed(wrong.empty() ? "" : wrong[0]),
+                           wrong.empty());
   }
 
   void CheckEnds(size_t at) {
     TestEntry& entry = *m_entries[at];
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(Where("open requests"), size_t{0},
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(WithSeed("open requests"), size_t{0},
                                  entry.core->OpenRequests());
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(Where("reserved"), Tokens{0},
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(WithSeed("reserved"), Tokens{0},
                                  entry.ledger->Reserved(0));
-    CPPUNIT_ASSERT_MESSAGE(Where("not drained"), entry.core->Drained());
+    CPPUNIT_ASSERT_MESSAGE(WithSeed("not drained"), entry.core->Drained());
     for (const auto& [request, sent] : m_sent[at]) {
       const int ends = entry.end_counts[request];
-      CPPUNIT_ASSERT_MESSAGE(Where("number of ends of a request"),
+      CPPUNIT_ASSERT_MESSAGE(WithSeed("number of ends of a request"),
                              sent.gone ? ends <= 1 : ends == 1);
       if (ends == 1) CheckRan(at, request);
     }
@@ -287,10 +290,10 @@
   void CheckRan(size_t at, RequestId request) {
     const ErrorKind kind = m_entries[at]->EndOf(request);
     if (kind == ErrorKind::kNone || RowOf(kind).ran != Ran::kNo) return;
-    for (const auto& [attempt, trial] : m_trials[at]) {
-      const bool lie = trial.request == request && trial.ran;
-      CPPUNIT_ASSERT_MESSAGE(Where(std::string(RowOf(kind).name) +
-                                   " reported for a request that ran"),
+    for (const auto& [attempt, observed] : m_observed[at]) {
+      const bool lie = observed.request == request && observed.ran;
+      CPPUNIT_ASSERT_MESSAGE(WithSeed(std::string(RowOf(kind).name) +
+                                      " reported for a request that ran"),
                              !lie);
     }
   }
@@ -299,19 +302,19 @@
   std::mt19937_64 m_random;
   TestControl m_control;
   std::vector<std::unique_ptr<TestEntry>> m_entries;
-  std::vector<std::map<AttemptId, Trial>> m_trials;
+  std::vector<std::map<AttemptId, ObservedAttempt>> m_observed;
   std::vector<std::map<RequestId, Sent>> m_sent;
-  size_t m_seen[2] = {0, 0};
+  size_t m_starts_seen[2] = {0, 0};
   Incarnation m_spools = 0;
 };
 
 class ServingPropertyTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ServingPropertyTest);
-  CPPUNIT_TEST(PromisesHoldUnderRandomEvents);
+  CPPUNIT_TEST(InvariantsHoldUnderRandomEvents);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void PromisesHoldUnderRandomEvents() {
+  void InvariantsHoldUnderRandomEvents() {
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) RandomRun(seed).Run();
   }
 };
--- a/src/dotterelshift/serving/serving_testing.h
+++ b/src/dotterelshift/serving/serving_testing.h
@@ -107,13 +107,13 @@
     ledger = budget::MakeLedger();
     queue = admission::MakeFairQueue();
     router = routing::MakeRouter(routing);
-    RequestCoreParts parts;
-    parts.configuration = &control->state->GetConfiguration();
-    parts.directory = &directory;
-    parts.ledger = ledger.get();
-    parts.router = router.get();
-    parts.queue = queue.get();
-    core = MakeRequestCore(options, parts);
+    RequestCoreDependencies dependencies;
+    dependencies.configuration = &control->state->GetConfiguration();
+    dependencies.directory = &directory;
+    dependencies.ledger = ledger.get();
+    dependencies.router = router.get();
+    dependencies.queue = queue.get();
+    core = MakeRequestCore(options, dependencies);
     wire::CommandT registration;
     registration.id = std::make_unique<wire::CommandIdT>();
     registration.id->host = host;
@@ -178,29 +178,29 @@
 
   // Events of an endpoint. The default attempt is the last one that was
   // started.
-  PieceVerdict Piece(Tokens tokens, AttemptId attempt = 0) {
-    serving::Piece piece;
-    piece.tokens = tokens;
-    return Give(piece, attempt);
+  ChunkVerdict Chunk(Tokens tokens, AttemptId attempt = 0) {
+    serving::Chunk chunk;
+    chunk.tokens = tokens;
+    return Deliver(chunk, attempt);
   }
-  PieceVerdict Usage(Tokens prompt, Tokens output, AttemptId attempt = 0) {
-    serving::Piece piece;
-    piece.has_usage = true;
-    piece.usage_prompt = prompt;
-    piece.usage_output = output;
-    return Give(piece, attempt);
+  ChunkVerdict SendUsage(Tokens prompt, Tokens output, AttemptId attempt = 0) {
+    serving::Chunk chunk;
+    chunk.has_usage = true;
+    chunk.usage_prompt = prompt;
+    chunk.usage_output = output;
+    return Deliver(chunk, attempt);
   }
   void End(AttemptEnd end, AttemptId attempt = 0) {
     core->OnAttemptEnd(attempt == 0 ? LastStart().attempt : attempt, end, now);
     Pump();
   }
-  void Gone(RequestId request) {
+  void CallerGone(RequestId request) {
     core->OnCallerGone(request, now);
     Pump();
   }
 
   // Advances the clock in steps of 50 ms and runs the timers.
-  void Pass(Duration duration) {
+  void AdvanceClock(Duration duration) {
     for (const Instant end = now + duration; now < end;) {
       now = std::min(end, now + 50ms);
       for (const auto& [id, endpoint] : directory.All())
@@ -215,7 +215,7 @@
     for (;;) {
       std::vector<Action> actions = core->TakeActions();
       for (Action& action : actions)
-        std::visit([this](auto& wanted) { Carry(wanted); }, action);
+        std::visit([this](auto& wanted) { Execute(wanted); }, action);
       const bool answered = connected && !held && AnswerOldest();
       if (actions.empty() && !answered) return;
     }
@@ -253,7 +253,7 @@
   // Control accepts commands but does not answer them.
   bool held = false;
   // Control replicas that store spools are reachable.
-  bool disks = true;
+  bool spooling_available = true;
   directory::Directory directory;
   std::unique_ptr<budget::Ledger> ledger;
   std::unique_ptr<admission::FairQueue> queue;
@@ -274,29 +274,29 @@
     return text;
   }
 
-  PieceVerdict Give(const serving::Piece& piece, AttemptId attempt) {
+  ChunkVerdict Deliver(const serving::Chunk& chunk, AttemptId attempt) {
     const AttemptId to = attempt == 0 ? LastStart().attempt : attempt;
-    const PieceVerdict verdict = core->OnChunk(to, piece, now);
+    const ChunkVerdict verdict = core->OnChunk(to, chunk, now);
     Pump();
     return verdict;
   }
 
-  void Carry(StartAttempt& action) { starts.push_back(action); }
-  void Carry(CancelAttempt& action) { cancelled.push_back(action.attempt); }
-  void Carry(FinishAnswer& action) {
+  void Execute(StartAttempt& action) { starts.push_back(action); }
+  void Execute(CancelAttempt& action) { cancelled.push_back(action.attempt); }
+  void Execute(FinishResponse& action) {
     ends[action.request] = {};
     ++end_counts[action.request];
   }
-  void Carry(FailAnswer& action) {
+  void Execute(FailResponse& action) {
     ends[action.request] = {action.kind, action.retry_after_seconds};
     ++end_counts[action.request];
   }
-  void Carry(ProposeCommand& action) {
+  void Execute(ProposeCommand& action) {
     proposals.push_back(std::move(action.command));
   }
-  void Carry(SpoolCommand& action) {
+  void Execute(SpoolCommand& action) {
     spooled.push_back(action.command);
-    if (disks) core->OnSpooled(*action.command.id, now);
+    if (spooling_available) core->OnSpooled(*action.command.id, now);
   }
 
   TestControl* m_control;
--- a/src/dotterelshift/serving/settlement.cc
+++ b/src/dotterelshift/serving/settlement.cc
@@ -6,7 +6,7 @@
 namespace {
 
 // Whether a valid request was refused for lack of tokens or of capacity.
-bool TurnedAway(ErrorKind kind) {
+bool IsCapacityRefusal(ErrorKind kind) {
   return kind >= ErrorKind::kBudgetExhausted &&
          kind <= ErrorKind::kTooManyConnections;
 }
@@ -31,7 +31,8 @@
 void Core::Settle(Request* request, const Attempt& attempt,
                   const Settlement& settlement, Instant now) {
   const Spend& spend = settlement.spend;
-  GiveBack(*request, {attempt.reserved, attempt.standing}, spend.spent, now);
+  ReleaseReservation(*request, {attempt.reserved, attempt.standing},
+                     spend.spent, now);
   request->spent += spend.spent;
   request->usage_difference += spend.difference;
   const bool ends_claim = request->claim_open && settlement.last;
@@ -83,17 +84,17 @@
   if (pending == nullptr || pending->spooling) return;
   pending->spooling = true;
   ++m_counters.spooled_settlements;
-  Act(SpoolCommand{*pending->command});
+  AddAction(SpoolCommand{*pending->command});
 }
 
-void Core::SpoolOpenSettlement(Request* request, Instant now) {
+void Core::SpoolPendingSettlement(Request* request, Instant now) {
   const PendingCommand* pending = m_commands.Find(request->awaited);
   if (pending == nullptr || pending->spooling) {
     Fail(request, ErrorKind::kBillNotRecorded, now);
     return;
   }
   Spool(request->awaited);
-  SetDue(request, now + m_options.settle_patience);
+  SetDue(request, now + m_options.settle_timeout);
 }
 
 void Core::OnSpooled(const wire::CommandIdT& id, Instant now) {
@@ -103,7 +104,7 @@
   Request* request = FindRequest(pending->request);
   if (request == nullptr || request->stage != Stage::kSettling) return;
   Finish(request, now);
-  Finally(now);
+  FinishEvent(now);
 }
 
 void Core::OnAnswer(const wire::CommandAnswerT& answer, Instant now) {
@@ -113,7 +114,7 @@
   PendingCommand pending = std::move(*found);
   m_commands.Erase(answer.id->sequence);
   switch (pending.kind) {
-    case PendingCommand::Kind::kAsk:
+    case PendingCommand::Kind::kRequestGrant:
       OnGrantAnswer(pending, answer, now);
       break;
     case PendingCommand::Kind::kOpen:
@@ -128,26 +129,26 @@
       break;
     case PendingCommand::Kind::kReturn:
       break;
-    case PendingCommand::Kind::kNote:
+    case PendingCommand::Kind::kOther:
       if (const wire::SuspectAnswerT* suspect = answer.body.AsSuspectAnswer())
         m_blocklist.OnEntry(*suspect, now);
       if (Request* request = FindRequest(pending.request))
         OnReported(request, now);
       break;
   }
-  Finally(now);
+  FinishEvent(now);
 }
 
 void Core::OnGrantAnswer(const PendingCommand& pending,
                          const wire::CommandAnswerT& answer, Instant now) {
-  m_asking.erase(pending.budget);
+  m_grants_pending.erase(pending.budget);
   const wire::GrantAnswerT* grant = answer.body.AsGrantAnswer();
   const bool valid = answer.error == 0 && grant != nullptr;
   if (valid) m_last_grant[pending.budget] = *grant;
-  m_parts.ledger->OnGrant(pending.budget, valid ? *grant : wire::GrantAnswerT{},
-                          now);
+  m_dependencies.ledger->OnGrant(pending.budget,
+                                 valid ? *grant : wire::GrantAnswerT{}, now);
   m_freed.insert(pending.budget);
-  m_wishes_due = true;
+  m_adjustments_due = true;
 }
 
 void Core::OnOpenAnswer(const PendingCommand& pending,
@@ -190,14 +191,14 @@
 
 void Core::ReturnGrants(Instant now) {
   if (m_reach != ControlReach::kConnected) return;
-  SendWishes(m_parts.ledger->ReturnAll(now));
+  SendAdjustments(m_dependencies.ledger->ReturnAll(now));
   // Disconnects the ledger so that it requests no more tokens: they would only
   // be returned again.
-  m_parts.ledger->SetConnected(false, now);
+  m_dependencies.ledger->SetConnected(false, now);
 }
 
 void Core::Finish(Request* request, Instant now) {
-  if (!request->caller_gone) Act(FinishAnswer{request->id});
+  if (!request->caller_gone) AddAction(FinishResponse{request->id});
   Summarize(*request,
             request->caller_gone ? ErrorKind::kCallerGone : ErrorKind::kNone,
             now);
@@ -206,27 +207,29 @@
 
 void Core::Fail(Request* request, ErrorKind wanted, Instant now,
                 int retry_after_seconds, std::string detail) {
-  if (request->stage == Stage::kQueued) m_parts.queue->Remove(request->id);
-  if (request->stage == Stage::kBudget) LeaveWaiters(*request);
+  if (request->stage == Stage::kQueued)
+    m_dependencies.queue->Remove(request->id);
+  if (request->stage == Stage::kAwaitingTokens) RemoveFromWaiters(*request);
   request->stage = Stage::kArrived;
   if (request->attempt) DropUnsentAttempt(request, now);
   if (request->reserved > 0)
-    GiveBack(*request, {request->reserved, request->standing}, 0, now);
+    ReleaseReservation(*request, {request->reserved, request->standing}, 0,
+                       now);
   ReleaseClaim(request);
 
-  const ErrorKind kind = Truthful(*request, wanted);
+  const ErrorKind kind = ReportableKind(*request, wanted);
   if (!request->caller_gone) {
     const int wait = retry_after_seconds > 0 ? retry_after_seconds
                                              : RowOf(kind).retry_after_seconds;
-    Act(FailAnswer{request->id, kind, std::move(detail), wait});
+    AddAction(FailResponse{request->id, kind, std::move(detail), wait});
     CountRefusal(*request, kind, now);
   }
   Summarize(*request, kind, now);
   Forget(request);
 }
 
-ErrorKind Core::Truthful(const Request& request, ErrorKind kind) {
-  if (!request.handed || RowOf(kind).ran != Ran::kNo) return kind;
+ErrorKind Core::ReportableKind(const Request& request, ErrorKind kind) {
+  if (!request.may_have_run || RowOf(kind).ran != Ran::kNo) return kind;
   if (kind == ErrorKind::kDeadlineBeforeRun)
     return ErrorKind::kDeadlineWhileRunning;
   return ErrorKind::kEndpointFailed;
@@ -236,7 +239,7 @@
   if (RowOf(kind).ran != Ran::kNo || request.team.empty()) return;
   const bool remained = !request.budget_id.empty() && BudgetRemained(request);
   m_refusals.Count(request.team, kind, remained, now);
-  if (remained && TurnedAway(kind)) ++m_counters.false_refusals;
+  if (remained && IsCapacityRefusal(kind)) ++m_counters.false_refusals;
 }
 
 void Core::Summarize(const Request& request, ErrorKind kind, Instant now) {
--- a/src/dotterelshift/serving/spend.cc
+++ b/src/dotterelshift/serving/spend.cc
@@ -18,11 +18,12 @@
 
   const Tokens prompt =
       attempt.has_usage ? attempt.usage_prompt : request.caller.prompt_bound;
-  const Tokens output = std::max(attempt.counted, attempt.usage_output);
+  const Tokens output = std::max(attempt.counted_output, attempt.usage_output);
   Spend spend;
   spend.spent = std::min(attempt.reserved, prompt + output);
   if (attempt.has_usage)
-    spend.difference = std::llabs(attempt.usage_output - attempt.counted);
+    spend.difference =
+        std::llabs(attempt.usage_output - attempt.counted_output);
   return spend;
 }
 
--- a/src/dotterelshift/serving/suspects_test.cc
+++ b/src/dotterelshift/serving/suspects_test.cc
@@ -8,30 +8,30 @@
 namespace dotterelshift::serving {
 namespace {
 
-constexpr uint64_t kGuilty = 666;
+constexpr uint64_t kCrashingContent = 666;
 
 class ServingSuspectsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ServingSuspectsTest);
-  CPPUNIT_TEST(ContentThatKillsIsBlockedEverywhere);
+  CPPUNIT_TEST(ContentThatCrashesEndpointsIsBlockedEverywhere);
   CPPUNIT_TEST(ResendUnderAnotherKeyIsBlockedToo);
   CPPUNIT_TEST(SuspectRunsOnOneEndpointAtATime);
-  CPPUNIT_TEST(InnocentAreRetriedApartAndCleared);
+  CPPUNIT_TEST(InnocentRequestsAreRetriedInIsolationAndCleared);
   CPPUNIT_TEST(WaitingRequestIsRefusedWhenItsContentIsBlocked);
-  CPPUNIT_TEST(BlockedAfterAnAttemptIsNotCalledNotRun);
-  CPPUNIT_TEST(SuspectsOfTwoEntriesRunApart);
+  CPPUNIT_TEST(BlockedAfterAnAttemptIsNotReportedAsNotRun);
+  CPPUNIT_TEST(SuspectsOfTwoEntriesRunOnSeparateEndpoints);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ContentThatKillsIsBlockedEverywhere() {
+  void ContentThatCrashesEndpointsIsBlockedEverywhere() {
     TestControl control(100'000);
     TestEntry first(&control, "first");
     TestEntry second(&control, "second");
     Announce(&first, 6);
     Announce(&second, 6);
-    const std::set<EndpointId> killed = KillUntilGivenUp(&first);
+    const std::set<EndpointId> killed = CrashUntilAbandoned(&first);
     CPPUNIT_ASSERT_EQUAL(size_t{3}, killed.size());
     Push(control, &second);
-    const RequestId resend = second.Send(TestEntry::Chat(kGuilty));
+    const RequestId resend = second.Send(TestEntry::Chat(kCrashingContent));
     CPPUNIT_ASSERT(second.EndOf(resend) == ErrorKind::kQuarantined);
     CPPUNIT_ASSERT(second.ends[resend].retry_after_seconds > 0);
     CPPUNIT_ASSERT(second.starts.empty());
@@ -41,8 +41,8 @@
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     Announce(&entry, 6);
-    KillUntilGivenUp(&entry);
-    callers::CallerRequest request = TestEntry::Chat(kGuilty);
+    CrashUntilAbandoned(&entry);
+    callers::CallerRequest request = TestEntry::Chat(kCrashingContent);
     request.idempotency_key = "another";
     const RequestId resend = entry.Send(request);
     CPPUNIT_ASSERT(entry.EndOf(resend) == ErrorKind::kQuarantined);
@@ -52,19 +52,19 @@
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     Announce(&entry, 6);
-    entry.Send(TestEntry::Chat(kGuilty));
+    entry.Send(TestEntry::Chat(kCrashingContent));
     entry.End(AttemptEnd::kDied);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, entry.starts.size());
-    const RequestId copy = entry.Send(TestEntry::Chat(kGuilty));
-    entry.Pass(1s);
+    const RequestId copy = entry.Send(TestEntry::Chat(kCrashingContent));
+    entry.AdvanceClock(1s);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, entry.starts.size());
     CPPUNIT_ASSERT(!entry.HasEnded(copy));
-    entry.Piece(1);
+    entry.Chunk(1);
     entry.End(AttemptEnd::kWhole);
     CPPUNIT_ASSERT_EQUAL(size_t{3}, entry.starts.size());
   }
 
-  void InnocentAreRetriedApartAndCleared() {
+  void InnocentRequestsAreRetriedInIsolationAndCleared() {
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     entry.Announce("a");
@@ -89,38 +89,38 @@
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     Announce(&entry, 2);
-    entry.Send(TestEntry::Chat(kGuilty));
+    entry.Send(TestEntry::Chat(kCrashingContent));
     entry.End(AttemptEnd::kDied);
-    const RequestId waiting = entry.Send(TestEntry::Chat(kGuilty));
+    const RequestId waiting = entry.Send(TestEntry::Chat(kCrashingContent));
     wire::QuarantinePushT push;
     push.entries.push_back(std::make_unique<wire::SuspectAnswerT>());
-    push.entries.back()->content_hash = kGuilty;
+    push.entries.back()->content_hash = kCrashingContent;
     push.entries.back()->quarantined_until_ms = kStamp;
     entry.core->OnQuarantine(push, entry.now);
     entry.Pump();
     CPPUNIT_ASSERT(entry.EndOf(waiting) == ErrorKind::kQuarantined);
   }
 
-  void BlockedAfterAnAttemptIsNotCalledNotRun() {
+  void BlockedAfterAnAttemptIsNotReportedAsNotRun() {
     TestControl control(100'000);
     TestEntry entry(&control, "entry");
     Announce(&entry, 6);
-    KillUntilGivenUp(&entry);
+    CrashUntilAbandoned(&entry);
     CPPUNIT_ASSERT(entry.EndOf(1) == ErrorKind::kEndpointFailed);
   }
 
   // One entry runs the content that crashes endpoints, the other an innocent
   // one that becomes suspect because both ran on the first endpoint.
-  void SuspectsOfTwoEntriesRunApart() {
+  void SuspectsOfTwoEntriesRunOnSeparateEndpoints() {
     constexpr uint64_t kInnocent = 1;
     TestControl control(100'000);
     TestEntry first(&control, "first");
     TestEntry second(&control, "second");
-    first.core->OnEntries(0, 2);
-    second.core->OnEntries(1, 2);
+    first.core->OnEntriesChanged(0, 2);
+    second.core->OnEntriesChanged(1, 2);
     Announce(&first, 1);
     Announce(&second, 1);
-    const RequestId guilty = first.Send(TestEntry::Chat(kGuilty));
+    const RequestId guilty = first.Send(TestEntry::Chat(kCrashingContent));
     second.Send(TestEntry::Chat(kInnocent));
     Announce(&first, 4);
     Announce(&second, 4);
@@ -128,17 +128,17 @@
     while (!first.HasEnded(guilty)) {
       const EndpointId endpoint = first.LastStart().endpoint;
       CPPUNIT_ASSERT(killed.insert(endpoint).second);
-      const bool beside = second.LastStart().endpoint == endpoint;
+      const bool same_endpoint = second.LastStart().endpoint == endpoint;
       first.End(AttemptEnd::kDied);
-      if (beside) second.End(AttemptEnd::kDied);
+      if (same_endpoint) second.End(AttemptEnd::kDied);
     }
     CPPUNIT_ASSERT_EQUAL(size_t{3}, killed.size());
     Push(control, &second);
     const RequestId again = second.Send(TestEntry::Chat(kInnocent));
-    const bool held_back = second.HasEnded(again) &&
-                           second.EndOf(again) == ErrorKind::kQuarantined;
-    CPPUNIT_ASSERT(!held_back);
-    const RequestId resend = second.Send(TestEntry::Chat(kGuilty));
+    const bool quarantined = second.HasEnded(again) &&
+                             second.EndOf(again) == ErrorKind::kQuarantined;
+    CPPUNIT_ASSERT(!quarantined);
+    const RequestId resend = second.Send(TestEntry::Chat(kCrashingContent));
     CPPUNIT_ASSERT(second.EndOf(resend) == ErrorKind::kQuarantined);
   }
 
@@ -150,8 +150,8 @@
 
   // Sends the content that crashes endpoints until the entry abandons it.
   // Returns the endpoints that died.
-  static std::set<EndpointId> KillUntilGivenUp(TestEntry* entry) {
-    const RequestId request = entry->Send(TestEntry::Chat(kGuilty));
+  static std::set<EndpointId> CrashUntilAbandoned(TestEntry* entry) {
+    const RequestId request = entry->Send(TestEntry::Chat(kCrashingContent));
     std::set<EndpointId> killed;
     while (!entry->HasEnded(request)) {
       killed.insert(entry->LastStart().endpoint);
--- a/src/dotterelshift/state/apply_request_grant.cc
+++ b/src/dotterelshift/state/apply_request_grant.cc
@@ -1,7 +1,7 @@
 #include <algorithm>  // for max, min
 #include <optional>   // for optional
 
-#include "dotterelshift/budget/grant_way.h"  // for WithWay
+#include "dotterelshift/budget/grant_way.h"  // for WithGrantMode
 #include "dotterelshift/state/apply.h"       // for Apply
 #include "dotterelshift/state/grants.h"      // for GrantOf
 
@@ -83,9 +83,10 @@
   const budget::HoldingFacts facts{
       grant.tokens, grant.tokens - grant.OpenedTokens(),
       grant.demand_per_second, team.partition_seconds};
-  const Tokens target = budget::WithWay(team.grant_way, [&facts](auto policy) {
-    return decltype(policy)::StandingTarget(facts);
-  });
+  const Tokens target =
+      budget::WithGrantMode(team.grant_way, [&facts](auto policy) {
+        return decltype(policy)::PreauthorizedTarget(facts);
+      });
   return std::max<Tokens>(0, target - grant.standing);
 }
 
@@ -106,9 +107,10 @@
   return team == nullptr ? std::nullopt : std::optional<wire::TeamT>(*team);
 }
 
-bool Lapses(const wire::TeamT& team) {
-  return budget::WithWay(
-      team.grant_way, [](auto policy) { return decltype(policy)::Lapses(); });
+bool ExpiresWhenSilent(const wire::TeamT& team) {
+  return budget::WithGrantMode(team.grant_way, [](auto policy) {
+    return decltype(policy)::ExpiresWhenSilent();
+  });
 }
 
 }  // namespace
@@ -124,7 +126,7 @@
       !IsValidAmount(command.demand_per_second))
     return Refuse(answer, ErrorKind::kBadFrame, "amount out of range");
 
-  if (Lapses(*team) && account->amounts.Free() < command.wanted)
+  if (ExpiresWhenSilent(*team) && account->amounts.Free() < command.wanted)
     ReclaimExpiredLeases(context, *account);
   Grant& grant = GrantOf(*account, context.run);
   wire::GrantAnswerT body;
--- a/tests/scenarios/control_host.cc
+++ b/tests/scenarios/control_host.cc
@@ -229,8 +229,9 @@
   }
 }
 
-void ControlHost::OnBeat(const HostId& entry, const wire::EntryBeatT& beat) {
-  if (Leads()) m_recall.OnBeat(entry, beat, m_links.network->Now());
+void ControlHost::OnHeartbeat(const HostId& entry,
+                              const wire::EntryBeatT& beat) {
+  if (Leads()) m_recall.OnHeartbeat(entry, beat, m_links.network->Now());
 }
 
 void ControlHost::MakeSnapshot() {
--- a/tests/scenarios/control_host.h
+++ b/tests/scenarios/control_host.h
@@ -53,7 +53,7 @@
   void Tick();
   void Propose(std::vector<wire::CommandT> commands);
   void Spool(const wire::CommandT& command);
-  void OnBeat(const HostId& entry, const wire::EntryBeatT& beat);
+  void OnHeartbeat(const HostId& entry, const wire::EntryBeatT& beat);
   void ProposeMember(const wire::ReplicaT& replica, bool remove);
   // Calls back once a quorum has confirmed that this one leads; perhaps never.
   void ConfirmedRead(std::function<void()> callback);
--- a/tests/scenarios/engine.cc
+++ b/tests/scenarios/engine.cc
@@ -84,7 +84,7 @@
 void Engine::Finish(const Connection& connection, const Stream& stream) {
   const RequestRecord& record = m_records->Of(stream.request);
   if (!record.service && !fault.usage_missing) {
-    serving::Piece usage;
+    serving::Chunk usage;
     usage.has_usage = true;
     usage.usage_prompt = record.prompt;
     usage.usage_output = stream.written;
--- a/tests/scenarios/engine.h
+++ b/tests/scenarios/engine.h
@@ -6,7 +6,7 @@
 #include <string>      // for string
 #include <utility>     // for pair
 
-#include "dotterelshift/serving/request_core.h"   // for Piece, AttemptEnd
+#include "dotterelshift/serving/request_core.h"   // for Chunk, AttemptEnd
 #include "dotterelshift/wire/frames_generated.h"  // for EndpointRecordT
 #include "scenarios/network.h"                    // for Network
 #include "scenarios/records.h"                    // for Records
@@ -24,7 +24,7 @@
 // What comes back over a connection.
 struct EngineEvents {
   std::function<void(const Connection&, int status)> on_head;
-  std::function<void(const Connection&, RequestId from, const serving::Piece&)>
+  std::function<void(const Connection&, RequestId from, const serving::Chunk&)>
       on_piece;
   std::function<void(const Connection&, serving::AttemptEnd)> on_end;
 };
--- a/tests/scenarios/entry_host.cc
+++ b/tests/scenarios/entry_host.cc
@@ -92,11 +92,11 @@
   const wire::EntryBeatT held = HeldNow();
   for (ControlHost* control : m_links.controls()) {
     m_links.network->Send(m_name, control->Name(), [this, control, sent, held] {
-      control->OnBeat(m_name, held);
+      control->OnHeartbeat(m_name, held);
       control->ConfirmedRead([this, control, sent] {
         const Beat beat = BeatOf(*control, sent, Version());
         m_links.network->Send(control->Name(), m_name,
-                              [this, beat] { OnBeat(beat); });
+                              [this, beat] { OnHeartbeat(beat); });
       });
     });
   }
@@ -128,7 +128,7 @@
   return beat;
 }
 
-void EntryHost::OnBeat(const Beat& beat) {
+void EntryHost::OnHeartbeat(const Beat& beat) {
   if (!Alive()) return;
   m_last_beat = std::max(m_last_beat, beat.sent);
   if (beat.version > Version()) {
@@ -235,12 +235,12 @@
 }
 
 void EntryHost::OnChunk(const Connection& connection, RequestId from,
-                        const serving::Piece& piece) {
+                        const serving::Chunk& piece) {
   if (!Is(connection)) return;
   const Instant now = m_links.network->Now();
   const auto verdict = m_core->OnChunk(connection.attempt, piece, now);
   const auto request = m_requests.find(connection.attempt);
-  if (verdict == serving::PieceVerdict::kForward &&
+  if (verdict == serving::ChunkVerdict::kForward &&
       request != m_requests.end() && piece.tokens > 0) {
     m_links.records->OnChunk(request->second, from, connection.attempt,
                              piece.tokens, now);
@@ -297,11 +297,11 @@
                         [engine, connection] { engine->Cancel(connection); });
 }
 
-void EntryHost::CarryOut(const serving::FinishAnswer& action) {
+void EntryHost::CarryOut(const serving::FinishResponse& action) {
   m_links.records->OnAnswered(action.request, m_links.network->Now());
 }
 
-void EntryHost::CarryOut(const serving::FailAnswer& action) {
+void EntryHost::CarryOut(const serving::FailResponse& action) {
   m_links.records->OnFailed(action.request, action.kind,
                             m_links.network->Now());
 }
--- a/tests/scenarios/entry_host.h
+++ b/tests/scenarios/entry_host.h
@@ -59,7 +59,7 @@
   void OnAnnouncement(const wire::EndpointRecordT& record);
   void OnHead(const Connection& connection, int status);
   void OnChunk(const Connection& connection, RequestId from,
-               const serving::Piece& piece);
+               const serving::Chunk& piece);
   void OnEnd(const Connection& connection, serving::AttemptEnd end);
   // The link to an endpoint has been cut: its connections break.
   void OnCut(const EndpointId& endpoint);
@@ -77,7 +77,7 @@
   void SendBeat();
   // What it holds of each budget and has not reserved.
   wire::EntryBeatT HeldNow() const;
-  void OnBeat(const Beat& beat);
+  void OnHeartbeat(const Beat& beat);
   static Beat BeatOf(const ControlHost& control, Instant sent,
                      uint64_t version);
   void SetReach(serving::ControlReach reach);
@@ -90,8 +90,8 @@
   void CarryOutAll();
   void CarryOut(const serving::StartAttempt& action);
   void CarryOut(const serving::CancelAttempt& action);
-  void CarryOut(const serving::FinishAnswer& action);
-  void CarryOut(const serving::FailAnswer& action);
+  void CarryOut(const serving::FinishResponse& action);
+  void CarryOut(const serving::FailResponse& action);
   void CarryOut(const serving::ProposeCommand& action);
   void CarryOut(const serving::SpoolCommand& action);
 
--- a/tests/scenarios/world.cc
+++ b/tests/scenarios/world.cc
@@ -122,7 +122,7 @@
     FindEntry(connection.entry)->OnHead(connection, status);
   };
   events.on_piece = [this](const Connection& connection, RequestId from,
-                           const serving::Piece& piece) {
+                           const serving::Chunk& piece) {
     FindEntry(connection.entry)->OnChunk(connection, from, piece);
   };
   events.on_end = [this](const Connection& connection,
