--- a/bench/commit_bench.cc
+++ b/bench/commit_bench.cc
@@ -382,7 +382,7 @@
 void MeasureRestart(uint64_t commands, uint64_t snapshot_every_bytes) {
   const TemporaryFolder folder;
   app::ControlReplicaOptions options;
-  options.snapshot.every_bytes = snapshot_every_bytes;
+  options.snapshot.min_log_bytes = snapshot_every_bytes;
   options.self = "r0";
   options.first_members = {"r0"};
   options.store.folder = folder.Path();
@@ -433,7 +433,7 @@
   constexpr uint64_t kCommands = 1'000'000;
   dotterelshift::MeasureRestart(
       kCommands,
-      dotterelshift::app::ControlReplicaOptions().snapshot.every_bytes);
+      dotterelshift::app::ControlReplicaOptions().snapshot.min_log_bytes);
   dotterelshift::MeasureRestart(kCommands, 1 << 30);  // the log alone
   return 0;
 }
--- a/include/dotterelshift/orders/order_core.h
+++ b/include/dotterelshift/orders/order_core.h
@@ -15,12 +15,12 @@
 
 struct OrderOptions {
   // Limited by the weight store's bandwidth.
-  int loads_at_once = 2;
+  int max_concurrent_loads = 2;
   // After this time a sent order can no longer arrive.
-  Duration longest_delivery = 10s;
+  Duration max_delivery_time = 10s;
   // Resend interval for endpoints that check fencing numbers. Orders for other
-  // endpoints are resent after `longest_delivery`.
-  Duration resend = 5s;
+  // endpoints are resent after `max_delivery_time`.
+  Duration resend_interval = 5s;
   // Longest lease that a previous leader may still hold.
   Duration lease = 3s;
   // After this many sends without a result the order is recorded as Lost.
--- a/include/dotterelshift/replication/node.h
+++ b/include/dotterelshift/replication/node.h
@@ -17,13 +17,14 @@
 
 struct NodeOptions {
   Duration heartbeat = 50ms;
-  // Election timeouts are drawn from [election_least, 2 * election_least).
-  Duration election_least = 300ms;
+  // Election timeouts are drawn from [min_election_timeout, 2 *
+  // min_election_timeout).
+  Duration min_election_timeout = 300ms;
   // How long a leader's lease is valid after a quorum's last confirmation.
-  // Shorter than `election_least`, which leaves a margin for clock drift.
+  // Shorter than `min_election_timeout`, which leaves a margin for clock drift.
   Duration lease = 250ms;
   size_t max_append_bytes = 256 << 10;
-  size_t snapshot_piece_bytes = 256 << 10;
+  size_t snapshot_chunk_bytes = 256 << 10;
   uint64_t seed = 1;
 };
 
@@ -70,7 +71,7 @@
 
 // Maximum payload bytes of committed entries in one Ready. The last entry may
 // exceed it.
-inline constexpr size_t kMostCommittedBytes = 256 << 10;
+inline constexpr size_t kMaxCommittedBytes = 256 << 10;
 
 enum class NodeRole { kFollower, kPreCandidate, kCandidate, kLeader };
 
@@ -115,10 +116,10 @@
                                  std::shared_ptr<const std::string> bytes) = 0;
 
   // Returns the pending work. Committed entries are added until they reach
-  // `most_committed_bytes` of payload; 0 requests none, for a driver that still
+  // `max_committed_bytes` of payload; 0 requests none, for a driver that still
   // has entries to apply.
-  virtual Ready TakeReady(size_t most_committed_bytes) = 0;
-  Ready TakeReady() { return TakeReady(kMostCommittedBytes); }
+  virtual Ready TakeReady(size_t max_committed_bytes) = 0;
+  Ready TakeReady() { return TakeReady(kMaxCommittedBytes); }
 
   virtual NodeRole Role() const = 0;
   virtual uint64_t Term() const = 0;
--- a/include/dotterelshift/replication/snapshot_policy.h
+++ b/include/dotterelshift/replication/snapshot_policy.h
@@ -9,18 +9,18 @@
 namespace dotterelshift::replication {
 
 struct SnapshotPolicyOptions {
-  // A snapshot is due after `every_bytes` of log, or after `log_per_snapshot`
-  // times the size of the last snapshot, whichever is more. The log is kept in
-  // memory, while making a snapshot pauses the replica for a time that grows
-  // with the size of the state.
-  uint64_t every_bytes = 4 << 20;
-  uint64_t log_per_snapshot = 4;
-  // A snapshot is also due once applying entries has taken `most_applying`, or
-  // `applying_per_snapshot` times as long as making the last snapshot,
+  // A snapshot is due after `min_log_bytes` of log, or after
+  // `log_to_snapshot_ratio` times the size of the last snapshot, whichever is
+  // more. The log is kept in memory, while making a snapshot pauses the replica
+  // for a time that grows with the size of the state.
+  uint64_t min_log_bytes = 4 << 20;
+  uint64_t log_to_snapshot_ratio = 4;
+  // A snapshot is also due once applying entries has taken `min_applying_time`,
+  // or `applying_to_snapshot_ratio` times as long as making the last snapshot,
   // whichever is more. A restart must apply the same entries again before it
   // can serve a read.
-  Duration most_applying = 1s;
-  int applying_per_snapshot = 8;
+  Duration min_applying_time = 1s;
+  int applying_to_snapshot_ratio = 8;
 };
 
 // Decides when a replica makes a snapshot of its state. This bounds the time
@@ -37,7 +37,7 @@
   // Reports that a snapshot was made or loaded.
   void OnSnapshot(uint64_t bytes, Duration took);
 
-  bool IsDue(bool leads_others) const;
+  bool IsDue(bool has_followers) const;
 
   uint64_t AppliedBytes() const { return m_applied_bytes; }
   uint64_t SnapshotBytes() const { return m_snapshot_bytes; }
--- a/src/dotterelshift/app/control.cc
+++ b/src/dotterelshift/app/control.cc
@@ -163,7 +163,7 @@
   options.self_address = settings.address + ":" + std::to_string(m_hub->Port());
   options.self_healing = settings.self_healing;
   options.node.heartbeat = settings.leader_heartbeat;
-  options.node.election_least = settings.election_timeout;
+  options.node.min_election_timeout = settings.election_timeout;
   options.node.lease = LeaseOf(settings.election_timeout);
   m_replica = MakeControlReplica(loop, options, ReplicaCallbacks());
   m_pushes = std::make_unique<EntryPushes>(*m_hub, *m_replica);
--- a/src/dotterelshift/app/control_replica_test.cc
+++ b/src/dotterelshift/app/control_replica_test.cc
@@ -165,9 +165,9 @@
 
   void LaggingReplicaInstallsASnapshot() {
     ReplicaGroup group({"a", "b", "c"});
-    group.Options().snapshot.every_bytes = 8 << 10;
+    group.Options().snapshot.min_log_bytes = 8 << 10;
     group.Options().store.segment_bytes = 8 << 10;
-    group.Options().node.snapshot_piece_bytes = 512;
+    group.Options().node.snapshot_chunk_bytes = 512;
     StartThree(group);
     group.AcceptPlan(ATeam("first"));
     const HostId lagging = group.AwaitLeader() == "c" ? "b" : "c";
--- a/src/dotterelshift/app/leader_testing.h
+++ b/src/dotterelshift/app/leader_testing.h
@@ -9,7 +9,7 @@
 #include <vector>      // for vector
 
 #include "dotterelshift/app/control_replica.h"    // for ControlReplica
-#include "dotterelshift/replication/bootstrap.h"  // for FirstLog
+#include "dotterelshift/replication/bootstrap.h"  // for MakeInitialLog
 #include "dotterelshift/state/state.h"            // for MakeState
 
 namespace dotterelshift::app {
@@ -23,7 +23,8 @@
     self->id = 1;
     self->voter = true;
     members.replicas.push_back(std::move(self));
-    m_node = replication::MakeNode({}, replication::FirstLog(1, members), {});
+    m_node =
+        replication::MakeNode({}, replication::MakeInitialLog(1, members), {});
   }
   void Propose(std::vector<wire::CommandT>, ProposalCallback) override {}
   void ConfirmedRead(std::function<void(ErrorKind)>) override {}
--- a/src/dotterelshift/app/replica.h
+++ b/src/dotterelshift/app/replica.h
@@ -16,9 +16,9 @@
 #include "dotterelshift/app/member_changes.h"            // for MemberChanges
 #include "dotterelshift/app/proposals.h"                 // for Proposals
 #include "dotterelshift/app/spool_sender.h"              // for SpoolSender
-#include "dotterelshift/replication/bootstrap.h"         // for FirstLog
+#include "dotterelshift/replication/bootstrap.h"         // for MakeInitialLog
 #include "dotterelshift/replication/member_discovery.h"  // for MemberDiscovery
-#include "dotterelshift/replication/member_keeper.h"     // for MemberKeeper
+#include "dotterelshift/replication/member_keeper.h"     // for MembershipRepair
 #include "dotterelshift/replication/membership.h"        // for FindMember
 #include "dotterelshift/replication/messages.h"          // for SenderOf
 #include "dotterelshift/replication/snapshot_policy.h"   // for SnapshotPolicy
@@ -90,12 +90,12 @@
   // Starting.
   void Restore(storage::OpenedStore opened);
   void LogOpened(Instant start) const;
-  replication::GroupView View() const { return ViewOf(*m_node); }
+  replication::GroupView View() const { return GroupViewOf(*m_node); }
   void OnHousekeeping();
-  void KeepMembers();
-  void SayHello(const HostId& host, bool answer_wanted);
+  void RepairMembership();
+  void SendHello(const HostId& host, bool answer_wanted);
   void OnHello(const HostId& from, const wire::ReplicaHelloT& hello);
-  void TryToFound();
+  void TryBootstrap();
 
   // One turn: proposals in, messages out, files written, entries applied.
   void SchedulePump();
@@ -160,7 +160,8 @@
   int m_ticks = 0;
   uint64_t m_hellos = 0;  // heard
 
-  std::optional<replication::MemberKeeper> m_keeper;        // with self_healing
+  std::optional<replication::MembershipRepair>
+      m_membership_repair;                                  // with self_healing
   std::optional<replication::MemberDiscovery> m_discovery;  // once restored
   std::map<ReplicaId, HostId> m_hosts;                      // heard from
 
--- a/src/dotterelshift/app/replica_group.h
+++ b/src/dotterelshift/app/replica_group.h
@@ -23,7 +23,7 @@
   explicit ReplicaGroup(std::vector<HostId> first_members)
       : m_first_members(std::move(first_members)) {
     m_options.node.heartbeat = 25ms;
-    m_options.node.election_least = 150ms;
+    m_options.node.min_election_timeout = 150ms;
     m_options.node.lease = 125ms;
   }
 
--- a/src/dotterelshift/app/replica_pump.h
+++ b/src/dotterelshift/app/replica_pump.h
@@ -56,7 +56,8 @@
   // A replica that cannot write must not help to commit.
   if (sender == 0 || m_trouble != ErrorKind::kNone) return;
   m_hosts[sender] = from.run.host;
-  if (m_keeper) m_keeper->OnHeard(sender, m_loop.Now());
+  if (m_membership_repair)
+    m_membership_repair->OnMessageFrom(sender, m_loop.Now());
   try {
     m_node->OnMessage(frame, m_loop.Now());
   } catch (const Error& error) {
@@ -97,7 +98,7 @@
   while (!m_unwritten) {
     ApplySome(until);
     Ready ready = m_node->TakeReady(
-        m_unapplied.empty() ? replication::kMostCommittedBytes : 0);
+        m_unapplied.empty() ? replication::kMaxCommittedBytes : 0);
     if (IsEmpty(ready)) break;
     const bool messages = !ready.messages.empty();
     SendMessages(ready);
--- a/src/dotterelshift/app/replica_simulation.h
+++ b/src/dotterelshift/app/replica_simulation.h
@@ -203,7 +203,7 @@
  public:
   ReplicaSimulation(size_t hosts, const WorkCosts& costs) : m_costs(costs) {
     m_options.node.heartbeat = 100ms;
-    m_options.node.election_least = 500ms;
+    m_options.node.min_election_timeout = 500ms;
     m_options.node.lease = 417ms;
     m_options.self_healing = true;
     for (size_t i = 1; i <= hosts; ++i) {
@@ -216,7 +216,8 @@
       m_members = replication::WithMember(m_members, member);
     }
     for (auto& [name, host] : m_hosts)
-      host.disk.log = replication::FirstLog(host.disk.log.self, m_members);
+      host.disk.log =
+          replication::MakeInitialLog(host.disk.log.self, m_members);
   }
 
   // Writes this many committed commands into every folder, in entries of at
--- a/src/dotterelshift/app/replica_snapshot.h
+++ b/src/dotterelshift/app/replica_snapshot.h
@@ -24,9 +24,9 @@
 
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::MaybeSnapshot() {
-  const bool leads_others = m_node->Role() == NodeRole::kLeader &&
-                            m_node->Members().replicas.size() > 1;
-  if (m_trouble != ErrorKind::kNone || !m_snapshots->IsDue(leads_others))
+  const bool has_followers = m_node->Role() == NodeRole::kLeader &&
+                             m_node->Members().replicas.size() > 1;
+  if (m_trouble != ErrorKind::kNone || !m_snapshots->IsDue(has_followers))
     return;
   const Instant start = m_loop.Now();
   std::string bytes = m_state->Snapshot();
--- a/src/dotterelshift/app/replica_start.h
+++ b/src/dotterelshift/app/replica_start.h
@@ -9,7 +9,7 @@
 
 // How often a new group is attempted, a waiting replica says hello, and a spool
 // is proposed again.
-inline constexpr Duration kHousekeeping = 200ms;
+inline constexpr Duration kHousekeepingInterval = 200ms;
 inline constexpr int kTicksBetweenRetries = 5;
 
 template <ReplicaRuntime Runtime>
@@ -47,7 +47,7 @@
   m_node = replication::MakeNode(m_options.node, std::move(opened.log),
                                  m_loop.Now());
   if (meta.last_index > 0) InstallSnapshot(meta, opened.snapshot);
-  if (m_options.self_healing) m_keeper.emplace(m_self);
+  if (m_options.self_healing) m_membership_repair.emplace(m_self);
   m_discovery.emplace(replication::MemberDiscoveryOptions{
       m_options.self, m_self, m_options.first_members, m_options.self_healing});
 }
@@ -69,11 +69,11 @@
 
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::OnHousekeeping() {
-  m_housekeeping.ArmIn(kHousekeeping);
-  TryToFound();
-  const bool coordinates = m_discovery->Coordinates();
+  m_housekeeping.ArmIn(kHousekeepingInterval);
+  TryBootstrap();
+  const bool coordinates = m_discovery->IsCoordinator();
   for (const HostId& host : m_discovery->StartRound())
-    SayHello(host, coordinates);
+    SendHello(host, coordinates);
   if (++m_ticks % kTicksBetweenRetries == 0) {
     if (m_trouble == ErrorKind::kStorageFull) m_trouble = ErrorKind::kNone;
     SendSpool();
@@ -81,28 +81,29 @@
   }
   if (m_node->Role() == NodeRole::kLeader && m_member_changes.Next())
     SchedulePump();
-  if (m_keeper && m_ticks % kTicksBetweenRetries == 0) KeepMembers();
+  if (m_membership_repair && m_ticks % kTicksBetweenRetries == 0)
+    RepairMembership();
 }
 
 // The leader heals the group; a replica that hears none says so to all control
 // hosts, because it may have been replaced while it was away.
 template <ReplicaRuntime Runtime>
-void Replica<Runtime>::KeepMembers() {
+void Replica<Runtime>::RepairMembership() {
   const Instant now = m_loop.Now();
   if (m_node->Role() == NodeRole::kLeader) {
     const auto change =
-        m_keeper->Next(m_node->Members(), WaitingReplicas(), now);
+        m_membership_repair->Next(m_node->Members(), WaitingReplicas(), now);
     if (!change) return;
     m_node->ProposeMember(change->replica, change->remove, now);
     return SchedulePump();
   }
-  m_keeper->StopLeading();
+  m_membership_repair->StopLeading();
   if (m_node->Leader() != 0 || !m_callbacks.control_hosts) return;
-  for (const HostId& host : m_callbacks.control_hosts()) SayHello(host, false);
+  for (const HostId& host : m_callbacks.control_hosts()) SendHello(host, false);
 }
 
 template <ReplicaRuntime Runtime>
-void Replica<Runtime>::SayHello(const HostId& host, bool answer_wanted) {
+void Replica<Runtime>::SendHello(const HostId& host, bool answer_wanted) {
   m_callbacks.send(host,
                    peers::MakeFrame(m_discovery->Hello(View(), answer_wanted)));
 }
@@ -111,20 +112,22 @@
 void Replica<Runtime>::OnHello(const HostId& from,
                                const wire::ReplicaHelloT& hello) {
   ++m_hellos;
-  if (m_discovery->OnHello(from, hello, View())) SayHello(from, false);
-  if (m_keeper && !hello.members.empty() && m_callbacks.on_members_heard)
+  if (m_discovery->OnHello(from, hello, View())) SendHello(from, false);
+  if (m_membership_repair && !hello.members.empty() &&
+      m_callbacks.on_members_heard)
     m_callbacks.on_members_heard(hello.members);
-  TryToFound();
+  TryBootstrap();
 }
 
 template <ReplicaRuntime Runtime>
-void Replica<Runtime>::TryToFound() {
-  if (View().in_group) return m_discovery->EndFounding();
+void Replica<Runtime>::TryBootstrap() {
+  if (View().in_group) return m_discovery->EndBootstrap();
   if (m_trouble != ErrorKind::kNone) return;
-  const std::optional<wire::MembershipT> members = m_discovery->Compose();
+  const std::optional<wire::MembershipT> members =
+      m_discovery->ComposeMembership();
   if (!members) return;
-  m_discovery->EndFounding();
-  replication::RestoredLog log = replication::FirstLog(m_self, *members);
+  m_discovery->EndBootstrap();
+  replication::RestoredLog log = replication::MakeInitialLog(m_self, *members);
   Ready first;
   first.hard_state = log.hard_state;
   first.append = log.entries;
--- a/src/dotterelshift/orders/order_core.cc
+++ b/src/dotterelshift/orders/order_core.cc
@@ -13,13 +13,13 @@
          order.state == wire::OrderState::Sent;
 }
 
-bool DrawsOnStore(const wire::OrderT& order) {
+bool LoadsFromWeightStore(const wire::OrderT& order) {
   return order.kind == wire::OrderKind::LoadModel ||
          order.kind == wire::OrderKind::LoadAdapter;
 }
 
-const wire::ModelStateT* ModelOn(const wire::EndpointRecordT& record,
-                                 const ModelName& model) {
+const wire::ModelStateT* FindModelState(const wire::EndpointRecordT& record,
+                                        const ModelName& model) {
   for (const auto& state : record.models)
     if (state->model == model) return state.get();
   return nullptr;
@@ -28,7 +28,7 @@
 // Whether the endpoint's announcement shows the effect of the order.
 bool IsObserved(const wire::OrderT& order,
                 const wire::EndpointRecordT& record) {
-  const wire::ModelStateT* model = ModelOn(record, order.model);
+  const wire::ModelStateT* model = FindModelState(record, order.model);
   switch (order.kind) {
     case wire::OrderKind::LoadModel:
       return model != nullptr && model->version == order.version;
@@ -63,7 +63,7 @@
     m_open.clear();
     // By this time every order that the previous leader sent while it held its
     // lease has arrived or is lost.
-    m_quiet_until = now + m_options.lease + m_options.longest_delivery;
+    m_unfenced_not_before = now + m_options.lease + m_options.max_delivery_time;
   }
 
   void OnResult(const std::string& order, wire::OrderState state,
@@ -84,22 +84,23 @@
     m_next_due.reset();
     if (!m_leads) return actions;
     const std::vector<wire::OrderT> orders = state.Orders();
-    ForgetEnded(orders);
+    EraseEndedOrders(orders);
     int loads = 0;
     for (const wire::OrderT& order : orders)
-      if (order.state == wire::OrderState::Sent && DrawsOnStore(order)) ++loads;
+      if (order.state == wire::OrderState::Sent && LoadsFromWeightStore(order))
+        ++loads;
     std::set<EndpointId> busy;
     for (const wire::OrderT& order : orders) {
       if (!IsOpen(order)) continue;
       // The orders of one endpoint are sent one after another, in plan order.
       if (!busy.insert(order.endpoint).second) continue;
       const directory::Endpoint* endpoint = directory.Find(order.endpoint);
-      if (RecordEnd(order, endpoint, now, &actions)) continue;
+      if (RecordOutcome(order, endpoint, now, &actions)) continue;
       if (endpoint == nullptr || !endpoint->usable) continue;
       if (!MaySend(order, *endpoint, lease_until, now)) continue;
       const bool takes_slot = order.state == wire::OrderState::Planned &&
-                              DrawsOnStore(order) && !IsFlying(order.id);
-      if (takes_slot && loads >= m_options.loads_at_once) continue;
+                              LoadsFromWeightStore(order) && !WasSent(order.id);
+      if (takes_slot && loads >= m_options.max_concurrent_loads) continue;
       if (takes_slot) ++loads;
       Send(order, *endpoint, now, &actions);
     }
@@ -109,12 +110,12 @@
   std::optional<Instant> NextDue() const override { return m_next_due; }
 
  private:
-  bool IsFlying(const std::string& order) const {
+  bool WasSent(const std::string& order) const {
     const auto found = m_open.find(order);
     return found != m_open.end() && found->second.sends > 0;
   }
 
-  void ForgetEnded(const std::vector<wire::OrderT>& orders) {
+  void EraseEndedOrders(const std::vector<wire::OrderT>& orders) {
     std::set<std::string> open;
     for (const wire::OrderT& order : orders)
       if (IsOpen(order)) open.insert(order.id);
@@ -124,8 +125,9 @@
 
   // Records the result of an order once it is known. Returns true when there is
   // nothing more to send.
-  bool RecordEnd(const wire::OrderT& order, const directory::Endpoint* endpoint,
-                 Instant now, std::vector<OrderAction>* actions) {
+  bool RecordOutcome(const wire::OrderT& order,
+                     const directory::Endpoint* endpoint, Instant now,
+                     std::vector<OrderAction>* actions) {
     const auto found = m_open.find(order.id);
     if (found == m_open.end()) return false;
     OpenOrder& open = found->second;
@@ -135,9 +137,10 @@
                           endpoint->last_news > open.sent_at &&
                           IsObserved(order, endpoint->record);
     if (observed) open.result = wire::OrderState::Done;
-    const bool given_up = !open.result && open.sends >= m_options.max_sends &&
-                          now >= open.not_before;
-    if (given_up) open.result = wire::OrderState::Lost;
+    const bool sends_exhausted = !open.result &&
+                                 open.sends >= m_options.max_sends &&
+                                 now >= open.not_before;
+    if (sends_exhausted) open.result = wire::OrderState::Lost;
     if (!open.result) return false;
     Record(order, *open.result, open.detail, actions);
     return true;
@@ -164,7 +167,7 @@
     if (found != m_open.end() && !restarted)
       earliest = found->second.not_before;
     if (!endpoint.record.checks_fencing) {
-      earliest = std::max(earliest, m_quiet_until);
+      earliest = std::max(earliest, m_unfenced_not_before);
       // Without fencing, an earlier send may still reach this address even
       // after the endpoint has restarted.
       if (found != m_open.end())
@@ -172,7 +175,7 @@
       if (now >= lease_until) return false;
     }
     if (now >= earliest) return true;
-    DueBy(earliest);
+    ScheduleBy(earliest);
     return false;
   }
 
@@ -183,9 +186,9 @@
     open.sent_at = now;
     open.incarnation = endpoint.record.incarnation;
     open.not_before =
-        now + (endpoint.record.checks_fencing ? m_options.resend
-                                              : m_options.longest_delivery);
-    DueBy(open.not_before);
+        now + (endpoint.record.checks_fencing ? m_options.resend_interval
+                                              : m_options.max_delivery_time);
+    ScheduleBy(open.not_before);
     if (order.state == wire::OrderState::Planned)
       Record(order, wire::OrderState::Sent, "", actions);
     OrderAction action;
@@ -195,13 +198,13 @@
     actions->push_back(std::move(action));
   }
 
-  void DueBy(Instant when) {
+  void ScheduleBy(Instant when) {
     if (!m_next_due || when < *m_next_due) m_next_due = when;
   }
 
   OrderOptions m_options;
   bool m_leads = false;
-  Instant m_quiet_until;
+  Instant m_unfenced_not_before;
   std::unordered_map<std::string, OpenOrder> m_open;
   std::optional<Instant> m_next_due;
 };
--- a/src/dotterelshift/orders/order_core_test.cc
+++ b/src/dotterelshift/orders/order_core_test.cc
@@ -9,13 +9,13 @@
 
 class OrderCoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OrderCoreTest);
-  CPPUNIT_TEST(LoadsAreStaged);
-  CPPUNIT_TEST(OrdersOfAnEndpointGoOneByOne);
-  CPPUNIT_TEST(EndpointWithoutFencingTable);
-  CPPUNIT_TEST(SilenceIsAnsweredByAResend);
-  CPPUNIT_TEST(LostAnswerIsReadFromTheAnnouncement);
-  CPPUNIT_TEST(RefusalAndSilenceEndAnOrder);
-  CPPUNIT_TEST(FencingNumbersRise);
+  CPPUNIT_TEST(ConcurrentLoadsAreLimited);
+  CPPUNIT_TEST(OrdersOfOneEndpointAreSequential);
+  CPPUNIT_TEST(EndpointFencingTable);
+  CPPUNIT_TEST(UnansweredOrderIsResent);
+  CPPUNIT_TEST(AnnouncementCompletesOrderAfterLostAnswer);
+  CPPUNIT_TEST(RefusalOrMaxSendsEndsOrder);
+  CPPUNIT_TEST(FencingNumbersIncrease);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -30,7 +30,7 @@
     m_core->OnLeadership(true, m_now);
   }
 
-  void LoadsAreStaged() {
+  void ConcurrentLoadsAreLimited() {
     for (const char* id : {"e1", "e2", "e3"}) Announce(id, true);
     Place("draft", {"e1", "e2", "e3"});
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Step().size());
@@ -44,7 +44,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("e3"), sent[0]);
   }
 
-  void OrdersOfAnEndpointGoOneByOne() {
+  void OrdersOfOneEndpointAreSequential() {
     Announce("e1", true);
     Place("draft", {"e1"}, "loans");
     CPPUNIT_ASSERT_EQUAL(size_t{1}, Step().size());
@@ -55,7 +55,7 @@
     CPPUNIT_ASSERT(StateOf("p1/2") == wire::OrderState::Sent);
   }
 
-  void EndpointWithoutFencingTable() {
+  void EndpointFencingTable() {
     struct Row {
       const char* name;
       bool checks;
@@ -63,7 +63,7 @@
       Duration lease_left;
       size_t sent;
     };
-    const Duration quiet = m_options.lease + m_options.longest_delivery;
+    const Duration quiet = m_options.lease + m_options.max_delivery_time;
     const Row rows[] = {
         {"checks", true, 0s, 1s, 1},
         {"checks, lease over", true, 0s, -1s, 1},
@@ -82,15 +82,15 @@
     }
   }
 
-  void SilenceIsAnsweredByAResend() {
+  void UnansweredOrderIsResent() {
     for (const bool checks : {true, false}) {
       setUp();
-      m_now += m_options.lease + m_options.longest_delivery;
+      m_now += m_options.lease + m_options.max_delivery_time;
       Announce("e1", checks);
       Place("draft", {"e1"});
       CPPUNIT_ASSERT_EQUAL(size_t{1}, Step().size());
       const Duration wait =
-          checks ? m_options.resend : m_options.longest_delivery;
+          checks ? m_options.resend_interval : m_options.max_delivery_time;
       CPPUNIT_ASSERT(m_core->NextDue() == m_now + wait);
       m_now += wait - 1ms;
       Announce("e1", checks);
@@ -100,7 +100,7 @@
     }
   }
 
-  void LostAnswerIsReadFromTheAnnouncement() {
+  void AnnouncementCompletesOrderAfterLostAnswer() {
     Announce("e1", true);
     Place("draft", {"e1"});
     Step();
@@ -110,7 +110,7 @@
     CPPUNIT_ASSERT(StateOf("p1/1") == wire::OrderState::Done);
   }
 
-  void RefusalAndSilenceEndAnOrder() {
+  void RefusalOrMaxSendsEndsOrder() {
     Announce("e1", true);
     Place("draft", {"e1"});
     Step();
@@ -123,13 +123,13 @@
     Place("draft", {"e1"});
     for (int i = 0; i < 4; ++i) {
       Step();
-      m_now += m_options.resend;
+      m_now += m_options.resend_interval;
       Announce("e1", true);
     }
     CPPUNIT_ASSERT(StateOf("p1/1") == wire::OrderState::Lost);
   }
 
-  void FencingNumbersRise() {
+  void FencingNumbersIncrease() {
     Announce("e1", true);
     Place("draft", {"e1"});
     Place("big", {"e1"});
--- a/src/dotterelshift/plan/effects.cc
+++ b/src/dotterelshift/plan/effects.cc
@@ -26,7 +26,7 @@
 
 // Copies the teams and endpoint sets, which determine the models and services
 // that each team can access.
-Configuration CopyOfReach(const Configuration& from) {
+Configuration CopyAccessConfiguration(const Configuration& from) {
   std::vector<wire::ChangeT> changes;
   for (const auto& [id, set] : from.EndpointSets()) {
     wire::UpsertEndpointSetT body;
@@ -43,7 +43,7 @@
   return copy;
 }
 
-Names ReachOf(const Configuration& configuration, const TeamId& id) {
+Names AccessibleNames(const Configuration& configuration, const TeamId& id) {
   Names names;
   const wire::TeamT* team = configuration.FindTeam(id);
   if (team == nullptr) return names;
@@ -56,7 +56,7 @@
   return names;
 }
 
-std::vector<std::string> Minus(const Names& a, const Names& b) {
+std::vector<std::string> Difference(const Names& a, const Names& b) {
   std::vector<std::string> rest;
   std::set_difference(a.begin(), a.end(), b.begin(), b.end(),
                       std::back_inserter(rest));
@@ -77,7 +77,7 @@
   return "change role";
 }
 
-std::string TextOf(const wire::OrderT& order) {
+std::string OrderText(const wire::OrderT& order) {
   std::string text(NameOf(order.kind));
   if (!order.argument.empty()) text += " " + order.argument;
   text += order.kind == wire::OrderKind::LoadModel ||
@@ -90,12 +90,12 @@
 }
 
 // Describes the effects of a plan's changes.
-class Describer {
+class EffectDescriber {
  public:
-  Describer(const state::State& state, wire::PlanT* plan)
+  EffectDescriber(const state::State& state, wire::PlanT* plan)
       : m_state(state),
         m_before(state.GetConfiguration()),
-        m_after(CopyOfReach(m_before)),
+        m_after(CopyAccessConfiguration(m_before)),
         m_plan(plan) {}
 
   void Run() {
@@ -103,8 +103,8 @@
     for (const auto& change : m_plan->changes) changes.push_back(*change);
     m_after.Apply(changes, m_before.Version() + 1);
     for (const wire::ChangeT& change : changes) Describe(change.body);
-    DescribeReach();
-    WarnOfSetsWithoutPlacement(changes);
+    DescribeAccessChanges();
+    WarnOfModelsWithoutPlacement(changes);
     if (changes.empty()) Warn("nothing is to be changed");
   }
 
@@ -146,7 +146,7 @@
                       std::to_string(body.AsRemoveReplica()->replica) +
                       " leaves");
       default:
-        return;  // endpoint sets are covered by DescribeReach()
+        return;  // endpoint sets are covered by DescribeAccessChanges()
     }
   }
 
@@ -189,7 +189,7 @@
                       const wire::ModelPlacementT* after) {
     for (const wire::OrderT& order :
          state::OrdersBetween(m_before.FindPlacement(model), after))
-      Effect("order " + std::to_string(++m_orders) + ": " + TextOf(order));
+      Effect("order " + std::to_string(++m_orders) + ": " + OrderText(order));
     if (after != nullptr && after->endpoints.empty())
       Warn("model " + model + " is placed on no endpoint");
   }
@@ -202,7 +202,8 @@
     for (const auto& host : m_state.Hosts()) known = known || host.run == run;
     for (const auto& [budget, unused] : m_before.Budgets())
       for (const state::Holding& holding : m_state.HoldingsOf(budget))
-        if (holding.holder == run) DescribeRetired(name, budget, holding);
+        if (holding.holder == run)
+          DescribeRetiredHolding(name, budget, holding);
     if (!known) return;
     Warn(name +
          " is the newest run of its host. If it still runs it goes on "
@@ -210,8 +211,8 @@
          "that part is given out again before a second retirement");
   }
 
-  void DescribeRetired(const std::string& name, const BudgetId& budget,
-                       const state::Holding& holding) {
+  void DescribeRetiredHolding(const std::string& name, const BudgetId& budget,
+                              const state::Holding& holding) {
     const std::string of = " of budget " + budget;
     if (!holding.dead) {
       Effect(name + " is shut out: what it cannot have spent of " +
@@ -231,16 +232,16 @@
          "been read");
   }
 
-  void DescribeReach() {
+  void DescribeAccessChanges() {
     Names teams;
     for (const auto& [id, team] : m_before.Teams()) teams.insert(id);
     for (const auto& [id, team] : m_after.Teams()) teams.insert(id);
     for (const TeamId& team : teams) {
-      const Names before = ReachOf(m_before, team);
-      const Names after = ReachOf(m_after, team);
+      const Names before = AccessibleNames(m_before, team);
+      const Names after = AccessibleNames(m_after, team);
       if (before == after) continue;
-      const auto gained = Minus(after, before);
-      const auto lost = Minus(before, after);
+      const auto gained = Difference(after, before);
+      const auto lost = Difference(before, after);
       if (!gained.empty())
         Effect("team " + team + " gains reach of " + Join(gained));
       if (lost.empty()) continue;
@@ -251,7 +252,7 @@
     }
   }
 
-  void WarnOfSetsWithoutPlacement(const std::vector<wire::ChangeT>& changes) {
+  void WarnOfModelsWithoutPlacement(const std::vector<wire::ChangeT>& changes) {
     for (const wire::ChangeT& change : changes) {
       if (change.body.type != ChangeBody::UpsertEndpointSet) continue;
       const auto& set = *change.body.AsUpsertEndpointSet()->endpoint_set;
@@ -276,7 +277,7 @@
 }  // namespace
 
 void DescribeEffects(const state::State& state, wire::PlanT* plan) {
-  Describer(state, plan).Run();
+  EffectDescriber(state, plan).Run();
 }
 
 }  // namespace dotterelshift::plan
--- a/src/dotterelshift/plan/intent.cc
+++ b/src/dotterelshift/plan/intent.cc
@@ -14,7 +14,7 @@
 
 constexpr std::array<std::string_view, 2> kPolicies = {"overspend_first",
                                                        "refusals_first"};
-constexpr std::array<std::string_view, 3> kGrantWays = {
+constexpr std::array<std::string_view, 3> kGrantModes = {
     "unwitnessed", "clock_lease", "witnessed"};
 
 constexpr std::array<std::string_view, 9> kIntentFields = {
@@ -44,10 +44,10 @@
 constexpr std::array<std::string_view, 3> kReplicaFields = {"host", "address",
                                                             "replica"};
 
-constexpr Duration kMostPartition = 7 * 24 * 3600s;
-constexpr int64_t kMostWeight = 1000;
-constexpr size_t kLeastKeySize = 16;
-constexpr size_t kMostKeySize = 512;
+constexpr Duration kMaxPartition = 7 * 24 * 3600s;
+constexpr int64_t kMaxWeight = 1000;
+constexpr size_t kMinKeySize = 16;
+constexpr size_t kMaxKeySize = 512;
 
 // Reads an intent; each Read method handles one of its lists.
 class IntentReader {
@@ -95,8 +95,8 @@
   }
 
   // Reads the name of a new item. Names must be unique within their list.
-  std::string NewName(const YamlMap& map, std::string_view list,
-                      std::string_view field) {
+  std::string UniqueNameAt(const YamlMap& map, std::string_view list,
+                           std::string_view field) {
     std::string name = NameAt(map, field);
     if (!m_names[std::string(list)].insert(name).second) {
       m_source.Refuse(map.At(field),
@@ -109,18 +109,18 @@
   void ReadTeams(const YamlMap& map) {
     ForEach(map, "teams", kTeamFields, [this](const YamlMap& item) {
       wire::TeamT team;
-      team.id = NewName(item, "teams", "id");
+      team.id = UniqueNameAt(item, "teams", "id");
       if (item.Has("policy"))
         team.policy = static_cast<wire::TeamPolicy>(
             m_source.Word(item.At("policy"), item.Label("policy"), kPolicies));
       if (item.Has("grant_way"))
         team.grant_way = static_cast<wire::GrantWay>(m_source.Word(
-            item.At("grant_way"), item.Label("grant_way"), kGrantWays));
+            item.At("grant_way"), item.Label("grant_way"), kGrantModes));
       team.partition_seconds =
           item.Has("partition") ? Partition(item) : kDefaultPartitionSeconds;
       if (item.Has("weight"))
         team.weight = static_cast<uint32_t>(m_source.Number(
-            item.At("weight"), item.Label("weight"), 1, kMostWeight, false));
+            item.At("weight"), item.Label("weight"), 1, kMaxWeight, false));
       team.request_class = NameOr(item, "class", "default");
       team.endpoint_sets = NamesOr(item, "endpoint_sets");
       m_intent.teams.push_back(std::move(team));
@@ -130,7 +130,7 @@
   uint32_t Partition(const YamlMap& item) const {
     const YAML::Node node = item.At("partition");
     const Duration time =
-        m_source.Time(node, item.Label("partition"), 0s, kMostPartition);
+        m_source.Time(node, item.Label("partition"), 0s, kMaxPartition);
     if (time % 1s != 0s)
       m_source.Refuse(node, item.Label("partition") + " is not in seconds",
                       "whole seconds, like 60s");
@@ -140,7 +140,7 @@
   void ReadKeys(const YamlMap& map) {
     ForEach(map, "keys", kKeyFields, [this](const YamlMap& item) {
       wire::ApiKeyT key;
-      key.id = NewName(item, "keys", "id");
+      key.id = UniqueNameAt(item, "keys", "id");
       key.team = NameAt(item, "team");
       const state::KeyHash hash = m_hash_key(BearerKey(item));
       key.hash.assign(hash.begin(), hash.end());
@@ -155,7 +155,7 @@
   std::string BearerKey(const YamlMap& item) const {
     const YAML::Node node = item.At("key");
     std::string key = m_source.Text(node, item.Label("key"));
-    bool good = key.size() >= kLeastKeySize && key.size() <= kMostKeySize;
+    bool good = key.size() >= kMinKeySize && key.size() <= kMaxKeySize;
     for (char c : key) good = good && c > ' ' && c <= '~';
     if (!good)
       m_source.Refuse(node, item.Label("key") + " is not a bearer key",
@@ -166,7 +166,7 @@
   void ReadBudgets(const YamlMap& map) {
     ForEach(map, "budgets", kBudgetFields, [this](const YamlMap& item) {
       wire::BudgetT budget;
-      budget.id = NewName(item, "budgets", "id");
+      budget.id = UniqueNameAt(item, "budgets", "id");
       budget.team = NameAt(item, "team");
       m_intent.budgets.push_back(std::move(budget));
     });
@@ -175,7 +175,7 @@
   void ReadTopUps(const YamlMap& map) {
     ForEach(map, "top_ups", kTopUpFields, [this](const YamlMap& item) {
       wire::TopUpT top_up;
-      top_up.id = NewName(item, "top_ups", "id");
+      top_up.id = UniqueNameAt(item, "top_ups", "id");
       top_up.budget = NameAt(item, "budget");
       top_up.tokens = m_source.Number(item.At("tokens"), item.Label("tokens"),
                                       1, kMaxTokens, true);
@@ -186,7 +186,7 @@
   void ReadEndpointSets(const YamlMap& map) {
     ForEach(map, "endpoint_sets", kSetFields, [this](const YamlMap& item) {
       wire::EndpointSetT set;
-      set.id = NewName(item, "endpoint_sets", "id");
+      set.id = UniqueNameAt(item, "endpoint_sets", "id");
       set.endpoints = NamesOr(item, "endpoints");
       set.models = NamesOr(item, "models");
       set.services = NamesOr(item, "services");
@@ -197,7 +197,7 @@
   void ReadPlacements(const YamlMap& map) {
     ForEach(map, "placements", kPlacementFields, [this](const YamlMap& item) {
       wire::ModelPlacementT placement;
-      placement.model = NewName(item, "placements", "model");
+      placement.model = UniqueNameAt(item, "placements", "model");
       placement.version = NameOr(item, "version", "");
       placement.adapters = NamesOr(item, "adapters");
       placement.endpoints = NamesOr(item, "endpoints");
@@ -221,7 +221,7 @@
     for (const YAML::Node& item :
          m_source.Items(remove.At("replicas"), "remove's replicas")) {
       wire::RemoveReplicaT body;
-      body.replica = ReplicaNumber(item, "a replica to remove");
+      body.replica = PositiveNumber(item, "a replica to remove");
       AddChange(body);
     }
   }
@@ -256,7 +256,7 @@
       wire::RetireHolderT body;
       body.host = NameAt(item, "host");
       body.incarnation =
-          ReplicaNumber(item.At("incarnation"), item.Label("incarnation"));
+          PositiveNumber(item.At("incarnation"), item.Label("incarnation"));
       if (!seen.emplace(body.host, body.incarnation).second)
         m_source.Refuse(item.At("host"), "the same holder stands twice",
                         "each holder once");
@@ -267,7 +267,7 @@
   void ReadReplicas(const YamlMap& map) {
     ForEach(map, "add_replicas", kReplicaFields, [this](const YamlMap& item) {
       wire::AddReplicaT replica;
-      replica.host = NewName(item, "add_replicas", "host");
+      replica.host = UniqueNameAt(item, "add_replicas", "host");
       replica.address = NameAt(item, "address");
       if (!ParseAddress(replica.address)) {
         m_source.Refuse(item.At("address"),
@@ -275,13 +275,13 @@
                         "IP:port, like 10.0.0.7:7400");
       }
       replica.replica =
-          ReplicaNumber(item.At("replica"), item.Label("replica"));
+          PositiveNumber(item.At("replica"), item.Label("replica"));
       m_intent.add_replicas.push_back(std::move(replica));
     });
   }
 
-  uint64_t ReplicaNumber(const YAML::Node& node,
-                         const std::string& what) const {
+  uint64_t PositiveNumber(const YAML::Node& node,
+                          const std::string& what) const {
     return m_source.Number(node, what, 1, INT64_MAX, false);
   }
 
--- a/src/dotterelshift/plan/intent_test.cc
+++ b/src/dotterelshift/plan/intent_test.cc
@@ -15,7 +15,7 @@
   return hash;
 }
 
-const std::string kWhole = R"(
+const std::string kFullIntent = R"(
 teams: [{id: ucad, policy: refusals_first, grant_way: clock_lease, partition: 90s, weight: 3, class: gold, endpoint_sets: [drafting]}]
 keys: [{id: ucad-1, team: ucad, key: "0123456789abcdef"}]
 budgets: [{id: ucad-2026, team: ucad}]
@@ -87,14 +87,14 @@
 
 class IntentTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(IntentTest);
-  CPPUNIT_TEST(WholeIntentIsRead);
-  CPPUNIT_TEST(ATeamHasDefaults);
-  CPPUNIT_TEST(BadIntentsAreRefusedWithTheirLine);
-  CPPUNIT_TEST(ARefusedKeyIsNotShown);
+  CPPUNIT_TEST(ReadsEveryField);
+  CPPUNIT_TEST(TeamFieldsHaveDefaults);
+  CPPUNIT_TEST(InvalidIntentsAreRejectedWithTheirLine);
+  CPPUNIT_TEST(RejectedKeyIsNotInErrorText);
   CPPUNIT_TEST_SUITE_END();
 
-  void WholeIntentIsRead() {
-    const Intent intent = ParseIntent(kWhole, "i.yaml", HashForTest);
+  void ReadsEveryField() {
+    const Intent intent = ParseIntent(kFullIntent, "i.yaml", HashForTest);
     const wire::TeamT& team = intent.teams.at(0);
     CPPUNIT_ASSERT(team.policy == wire::TeamPolicy::RefusalsFirst);
     CPPUNIT_ASSERT(team.grant_way == wire::GrantWay::ClockLease);
@@ -110,7 +110,7 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{4}, intent.add_replicas.at(0).replica);
   }
 
-  void ATeamHasDefaults() {
+  void TeamFieldsHaveDefaults() {
     const Intent intent =
         ParseIntent("teams: [{id: a}]\n", "i.yaml", HashForTest);
     const wire::TeamT& team = intent.teams.at(0);
@@ -129,7 +129,7 @@
     return "accepted";
   }
 
-  void BadIntentsAreRefusedWithTheirLine() {
+  void InvalidIntentsAreRejectedWithTheirLine() {
     for (const BadCase& bad : kBadIntents) {
       const std::string refusal = RefusalOf(bad.yaml);
       CPPUNIT_ASSERT_MESSAGE(
@@ -139,7 +139,7 @@
     }
   }
 
-  void ARefusedKeyIsNotShown() {
+  void RejectedKeyIsNotInErrorText() {
     const std::string refusal =
         RefusalOf("keys: [{id: a, team: t, key: 'secret words'}]\n");
     CPPUNIT_ASSERT(refusal.find("secret") == std::string::npos);
--- a/src/dotterelshift/plan/planner.cc
+++ b/src/dotterelshift/plan/planner.cc
@@ -12,7 +12,7 @@
 using wire::ChangeBody;
 
 template <typename Table>
-std::string BytesOf(const Table& table) {
+std::string PackedBytes(const Table& table) {
   flatbuffers::FlatBufferBuilder builder;
   builder.Finish(Table::TableType::Pack(builder, &table));
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()),
@@ -21,7 +21,7 @@
 
 template <typename Table>
 bool Differs(const Table* before, const Table& after) {
-  return before == nullptr || BytesOf(*before) != BytesOf(after);
+  return before == nullptr || PackedBytes(*before) != PackedBytes(after);
 }
 
 template <typename Body, typename Part>
@@ -32,9 +32,9 @@
 }
 
 // Adds the changes that are needed to fulfil an intent to a plan.
-class Differ {
+class IntentDiff {
  public:
-  Differ(const Intent& intent, const state::State& state, wire::PlanT* plan)
+  IntentDiff(const Intent& intent, const state::State& state, wire::PlanT* plan)
       : m_intent(intent),
         m_state(state),
         m_configuration(state.GetConfiguration()),
@@ -67,7 +67,7 @@
     m_plan->changes.push_back(std::move(change));
   }
 
-  void NeedTeam(const TeamId& team, const std::string& by) const {
+  void RequireTeam(const TeamId& team, const std::string& by) const {
     const bool known =
         m_teams.contains(team) || m_configuration.FindTeam(team) != nullptr;
     if (!known) Fail(by + " names team " + team + ", which does not exist");
@@ -95,7 +95,7 @@
 
   void AddKeys() {
     for (const auto& key : m_intent.keys) {
-      NeedTeam(key.team, "key " + key.id);
+      RequireTeam(key.team, "key " + key.id);
       if (key.hash.size() != state::KeyHash().size())
         Fail("key " + key.id + " has no whole hash");
       if (Differs(m_configuration.FindKey(key.id), key))
@@ -105,7 +105,7 @@
 
   void AddBudgets() {
     for (const auto& budget : m_intent.budgets) {
-      NeedTeam(budget.team, "budget " + budget.id);
+      RequireTeam(budget.team, "budget " + budget.id);
       const wire::BudgetT* before = m_configuration.FindBudget(budget.id);
       if (before != nullptr && before->team != budget.team)
         Fail("budget " + budget.id + " is of team " + before->team +
@@ -142,22 +142,22 @@
     const wire::ChangeBodyUnion& body = removal.body;
     const state::Configuration& c = m_configuration;
     if (body.type == ChangeBody::RemoveTeam)
-      NeedKnown(c.FindTeam(body.AsRemoveTeam()->id), "team",
-                body.AsRemoveTeam()->id);
+      RequireExisting(c.FindTeam(body.AsRemoveTeam()->id), "team",
+                      body.AsRemoveTeam()->id);
     if (body.type == ChangeBody::RemoveKey)
-      NeedKnown(c.FindKey(body.AsRemoveKey()->id), "key",
-                body.AsRemoveKey()->id);
+      RequireExisting(c.FindKey(body.AsRemoveKey()->id), "key",
+                      body.AsRemoveKey()->id);
     if (body.type == ChangeBody::RemoveEndpointSet)
-      NeedKnown(c.FindEndpointSet(body.AsRemoveEndpointSet()->id),
-                "endpoint set", body.AsRemoveEndpointSet()->id);
+      RequireExisting(c.FindEndpointSet(body.AsRemoveEndpointSet()->id),
+                      "endpoint set", body.AsRemoveEndpointSet()->id);
     if (body.type == ChangeBody::RemovePlacement)
-      NeedKnown(c.FindPlacement(body.AsRemovePlacement()->model),
-                "placement of", body.AsRemovePlacement()->model);
+      RequireExisting(c.FindPlacement(body.AsRemovePlacement()->model),
+                      "placement of", body.AsRemovePlacement()->model);
     m_plan->changes.push_back(std::make_unique<wire::ChangeT>(removal));
   }
 
-  static void NeedKnown(const void* found, const std::string& kind,
-                        const std::string& id) {
+  static void RequireExisting(const void* found, const std::string& kind,
+                              const std::string& id) {
     if (found == nullptr) Fail("remove: no " + kind + " " + id);
   }
 
@@ -179,7 +179,7 @@
   plan.author = author;
   plan.base_version = state.GetConfiguration().Version();
   plan.created_ms = state.LastStamp();
-  Differ(intent, state, &plan).Run();
+  IntentDiff(intent, state, &plan).Run();
   DescribeEffects(state, &plan);
   return plan;
 }
--- a/src/dotterelshift/plan/planner_test.cc
+++ b/src/dotterelshift/plan/planner_test.cc
@@ -13,10 +13,10 @@
 class PlannerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlannerTest);
   CPPUNIT_TEST(OnlyDifferencesBecomeChanges);
-  CPPUNIT_TEST(ReachIsToldInWords);
-  CPPUNIT_TEST(OrdersAreToldInSequence);
+  CPPUNIT_TEST(AccessChangesAreDescribed);
+  CPPUNIT_TEST(OrdersAreDescribedInSequence);
   CPPUNIT_TEST(BadReferencesTable);
-  CPPUNIT_TEST(RetirementIsToldAndWarnedOf);
+  CPPUNIT_TEST(RetirementIsDescribedWithWarning);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -40,29 +40,29 @@
     intent.top_ups.push_back(TopUpOf("t1", "b", 1000));
     const wire::PlanT same = Plan(intent);
     CPPUNIT_ASSERT(same.changes.empty());
-    CPPUNIT_ASSERT(Says(same.warnings, "t1 was counted before"));
-    CPPUNIT_ASSERT(Says(same.warnings, "nothing is to be changed"));
+    CPPUNIT_ASSERT(ContainsText(same.warnings, "t1 was counted before"));
+    CPPUNIT_ASSERT(ContainsText(same.warnings, "nothing is to be changed"));
     intent.teams[0].weight = 3;
     CPPUNIT_ASSERT_EQUAL(size_t{1}, Plan(intent).changes.size());
   }
 
-  void ReachIsToldInWords() {
+  void AccessChangesAreDescribed() {
     Intent intent;
     intent.endpoint_sets.push_back(SetOf("drafting", {"draft", "new"}));
     const wire::PlanT plan = Plan(intent);
-    CPPUNIT_ASSERT(Says(plan.effects, "team dakar gains reach of new"));
-    CPPUNIT_ASSERT(Says(plan.effects, "team dakar loses reach of big"));
-    CPPUNIT_ASSERT(Says(plan.warnings, "model new"));
+    CPPUNIT_ASSERT(ContainsText(plan.effects, "team dakar gains reach of new"));
+    CPPUNIT_ASSERT(ContainsText(plan.effects, "team dakar loses reach of big"));
+    CPPUNIT_ASSERT(ContainsText(plan.warnings, "model new"));
     Intent removal;
     wire::RemoveTeamT body;
     body.id = "dakar";
     removal.removals.push_back(state::ChangeOf(body));
     const wire::PlanT removed = Plan(removal);
-    CPPUNIT_ASSERT(Says(removed.effects, "loses reach of big, draft"));
-    CPPUNIT_ASSERT(Says(removed.warnings, "still has 1000 tokens"));
+    CPPUNIT_ASSERT(ContainsText(removed.effects, "loses reach of big, draft"));
+    CPPUNIT_ASSERT(ContainsText(removed.warnings, "still has 1000 tokens"));
   }
 
-  void OrdersAreToldInSequence() {
+  void OrdersAreDescribedInSequence() {
     Intent intent;
     wire::ModelPlacementT placement;
     placement.model = "draft";
@@ -82,7 +82,8 @@
     intent.placements[0].endpoints = {"e2"};
     const wire::PlanT fewer = Plan(intent);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, fewer.effects.size());
-    CPPUNIT_ASSERT(Says(fewer.effects, "unload model draft version 1 on e1"));
+    CPPUNIT_ASSERT(
+        ContainsText(fewer.effects, "unload model draft version 1 on e1"));
   }
 
   void BadReferencesTable() {
@@ -121,7 +122,7 @@
     }
   }
 
-  void RetirementIsToldAndWarnedOf() {
+  void RetirementIsDescribedWithWarning() {
     state::TestSender entry(m_state.get(), "entry", 5);
     entry.Send(state::GrantRequestOf("b", 200, 1), 1);
     Intent intent;
@@ -130,12 +131,13 @@
     body.incarnation = 5;
     intent.removals.push_back(state::ChangeOf(body));
     const wire::PlanT first = Plan(intent);
-    CPPUNIT_ASSERT(Says(first.effects, "is shut out"));
-    CPPUNIT_ASSERT(Says(first.warnings, "newest run of its host"));
+    CPPUNIT_ASSERT(ContainsText(first.effects, "is shut out"));
+    CPPUNIT_ASSERT(ContainsText(first.warnings, "newest run of its host"));
     Confirm(intent);
     const wire::PlanT second = Plan(intent);
-    CPPUNIT_ASSERT(Says(second.effects, "60 tokens of budget b"));
-    CPPUNIT_ASSERT(Says(second.warnings, "spend can exceed the budget"));
+    CPPUNIT_ASSERT(ContainsText(second.effects, "60 tokens of budget b"));
+    CPPUNIT_ASSERT(
+        ContainsText(second.warnings, "spend can exceed the budget"));
   }
 
  private:
@@ -178,8 +180,8 @@
     const auto answer = m_run.Send(state::ConfirmOf(id), 1);
     CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.detail, uint16_t{0}, answer.error);
   }
-  static bool Says(const std::vector<std::string>& lines,
-                   const std::string& text) {
+  static bool ContainsText(const std::vector<std::string>& lines,
+                           const std::string& text) {
     return std::any_of(lines.begin(), lines.end(), [&](const auto& line) {
       return line.find(text) != std::string::npos;
     });
--- a/src/dotterelshift/replication/bootstrap.cc
+++ b/src/dotterelshift/replication/bootstrap.cc
@@ -22,12 +22,12 @@
       m_replica(replica),
       m_first_members(Sorted(std::move(first_members))) {}
 
-bool Bootstrap::Coordinates() const {
+bool Bootstrap::IsCoordinator() const {
   return !m_first_members.empty() && m_first_members.front() == m_self;
 }
 
 std::vector<HostId> Bootstrap::StartRound() {
-  m_new_replicas.clear();
+  m_agreeing_replicas.clear();
   std::vector<HostId> others = m_first_members;
   std::erase(others, m_self);
   return others;
@@ -36,15 +36,16 @@
 void Bootstrap::OnHello(const HostId& from, const wire::ReplicaHelloT& hello) {
   const bool agrees = !hello.in_group && hello.replica != 0 &&
                       Sorted(hello.first_members) == m_first_members;
-  if (agrees) m_new_replicas[from] = hello.replica;
+  if (agrees) m_agreeing_replicas[from] = hello.replica;
 }
 
-std::optional<wire::MembershipT> Bootstrap::Compose() const {
-  if (!Coordinates()) return std::nullopt;
+std::optional<wire::MembershipT> Bootstrap::ComposeMembership() const {
+  if (!IsCoordinator()) return std::nullopt;
   wire::MembershipT members;
   for (const HostId& host : m_first_members) {
-    const auto heard = m_new_replicas.find(host);
-    if (host != m_self && heard == m_new_replicas.end()) return std::nullopt;
+    const auto heard = m_agreeing_replicas.find(host);
+    if (host != m_self && heard == m_agreeing_replicas.end())
+      return std::nullopt;
     wire::ReplicaT replica;
     replica.id = host == m_self ? m_replica : heard->second;
     replica.host = host;
@@ -54,7 +55,7 @@
   return members;
 }
 
-RestoredLog FirstLog(ReplicaId self, const wire::MembershipT& members) {
+RestoredLog MakeInitialLog(ReplicaId self, const wire::MembershipT& members) {
   RestoredLog log;
   log.self = self;
   log.hard_state.term = 1;
--- a/src/dotterelshift/replication/bootstrap.h
+++ b/src/dotterelshift/replication/bootstrap.h
@@ -24,7 +24,7 @@
             std::vector<std::string> first_members);
 
   // Whether this replica composes the membership.
-  bool Coordinates() const;
+  bool IsCoordinator() const;
 
   // Starts a round and discards the answers of the previous one. Returns the
   // hosts to ask.
@@ -34,17 +34,17 @@
   void OnHello(const HostId& from, const wire::ReplicaHelloT& hello);
 
   // The membership; empty until all first members have agreed in this round.
-  std::optional<wire::MembershipT> Compose() const;
+  std::optional<wire::MembershipT> ComposeMembership() const;
 
  private:
   const HostId m_self;
   const ReplicaId m_replica;
   std::vector<std::string> m_first_members;  // sorted
-  std::map<HostId, ReplicaId> m_new_replicas;
+  std::map<HostId, ReplicaId> m_agreeing_replicas;
 };
 
 // The initial log of a new group. Its only entry is the membership.
-RestoredLog FirstLog(ReplicaId self, const wire::MembershipT& members);
+RestoredLog MakeInitialLog(ReplicaId self, const wire::MembershipT& members);
 
 }  // namespace dotterelshift::replication
 
--- a/src/dotterelshift/replication/member_discovery.cc
+++ b/src/dotterelshift/replication/member_discovery.cc
@@ -6,7 +6,8 @@
 namespace {
 
 // The replica that the membership lists for a host; 0 if there is none.
-ReplicaId ListedFor(const HostId& host, const wire::MembershipT& members) {
+ReplicaId ReplicaListedFor(const HostId& host,
+                           const wire::MembershipT& members) {
   for (const auto& member : members.replicas)
     if (member->host == host) return member->id;
   return 0;
@@ -14,7 +15,7 @@
 
 }  // namespace
 
-GroupView ViewOf(const Node& node) {
+GroupView GroupViewOf(const Node& node) {
   const wire::MembershipT& members = node.Members();
   return {!members.replicas.empty(), node.Leader() != 0, &members};
 }
@@ -32,7 +33,7 @@
   hello.in_group = view.in_group;
   hello.answer_wanted = answer_wanted;
   hello.first_members = m_options.first_members;
-  hello.lost = !view.hears_leader;
+  hello.lost = !view.has_leader;
   for (const auto& member : view.members->replicas)
     hello.members.push_back(member->host);
   return hello;
@@ -44,14 +45,14 @@
   // A member that has no contact with a leader may have been removed meanwhile.
   const bool waits = !hello.in_group || (m_options.self_healing && hello.lost);
   if (waits)
-    m_waiting[from] = {hello.replica, ListedFor(from, *view.members)};
+    m_waiting[from] = {hello.replica, ReplicaListedFor(from, *view.members)};
   else
     m_waiting.erase(from);
   if (m_bootstrap) m_bootstrap->OnHello(from, hello);
   // The answer tells a waiting replica where the group is. A member without
   // contact with a leader knows no more than another such member; if two of
   // them answered each other, they would continue until there is a leader.
-  const bool knows_more = !hello.in_group || view.hears_leader;
+  const bool knows_more = !hello.in_group || view.has_leader;
   const bool helps =
       m_options.self_healing && waits && view.in_group && knows_more;
   return hello.answer_wanted || helps;
@@ -61,12 +62,12 @@
   return m_bootstrap ? m_bootstrap->StartRound() : std::vector<HostId>{};
 }
 
-bool MemberDiscovery::Coordinates() const {
-  return m_bootstrap && m_bootstrap->Coordinates();
+bool MemberDiscovery::IsCoordinator() const {
+  return m_bootstrap && m_bootstrap->IsCoordinator();
 }
 
-std::optional<wire::MembershipT> MemberDiscovery::Compose() const {
-  return m_bootstrap ? m_bootstrap->Compose() : std::nullopt;
+std::optional<wire::MembershipT> MemberDiscovery::ComposeMembership() const {
+  return m_bootstrap ? m_bootstrap->ComposeMembership() : std::nullopt;
 }
 
 std::vector<wire::ReplicaT> MemberDiscovery::Waiting(
@@ -74,7 +75,7 @@
   std::vector<wire::ReplicaT> waiting;
   for (const auto& [host, waiter] : m_waiting) {
     if (FindMember(members, waiter.replica) != nullptr) continue;
-    const ReplicaId listed = ListedFor(host, members);
+    const ReplicaId listed = ReplicaListedFor(host, members);
     if (listed != 0 && listed != waiter.listed) continue;
     waiting.emplace_back().id = waiter.replica;
     waiting.back().host = host;
--- a/src/dotterelshift/replication/member_discovery.h
+++ b/src/dotterelshift/replication/member_discovery.h
@@ -22,7 +22,7 @@
 // A replica's current view of its own group.
 struct GroupView {
   bool in_group = false;
-  bool hears_leader = false;
+  bool has_leader = false;
   const wire::MembershipT* members = nullptr;
 };
 
@@ -30,7 +30,7 @@
 // an entry. Having voted is not enough: if the first member loses its data
 // folder before any other member has received an entry, the others would wait
 // for that group forever.
-GroupView ViewOf(const Node& node);
+GroupView GroupViewOf(const Node& node);
 
 // Handles the hellos that replicas exchange outside the log. They tell which
 // replicas are in a group, which wait to be added to one, and whether all first
@@ -48,14 +48,14 @@
                const GroupView& view);
 
   // Starts a bootstrap round and returns the hosts to ask; none after
-  // EndFounding().
+  // EndBootstrap().
   std::vector<HostId> StartRound();
   // Whether this replica composes the first membership.
-  bool Coordinates() const;
+  bool IsCoordinator() const;
   // The first membership; empty until all first members have agreed in this
   // round.
-  std::optional<wire::MembershipT> Compose() const;
-  void EndFounding() { m_bootstrap.reset(); }
+  std::optional<wire::MembershipT> ComposeMembership() const;
+  void EndBootstrap() { m_bootstrap.reset(); }
 
   // The waiting replicas that are not in `members`. A host is skipped if the
   // membership lists another replica for it than at the time of its last hello.
@@ -66,11 +66,11 @@
  private:
   const MemberDiscoveryOptions m_options;
   std::optional<Bootstrap> m_bootstrap;
-  struct Waiter {
+  struct WaitingReplica {
     ReplicaId replica = 0;
     ReplicaId listed = 0;  // of its host, at the time of the hello; 0: none
   };
-  std::map<HostId, Waiter> m_waiting;
+  std::map<HostId, WaitingReplica> m_waiting;
 };
 
 }  // namespace dotterelshift::replication
--- a/src/dotterelshift/replication/member_discovery_test.cc
+++ b/src/dotterelshift/replication/member_discovery_test.cc
@@ -11,15 +11,15 @@
 
 class MemberDiscoveryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MemberDiscoveryTest);
-  CPPUNIT_TEST(AHelloTellsTheGroupAndWhetherItIsHeard);
-  CPPUNIT_TEST(OneInNoGroupWaitsUntilItIsInOne);
-  CPPUNIT_TEST(OneThatLostItsGroupWaitsOnlyInAHealingGroup);
+  CPPUNIT_TEST(HelloContainsGroupAndLeaderContact);
+  CPPUNIT_TEST(ReplicaWithoutGroupWaitsUntilItJoins);
+  CPPUNIT_TEST(MemberWithoutLeaderWaitsOnlyWithSelfHealing);
   CPPUNIT_TEST(MembersDoNotWait);
-  CPPUNIT_TEST(AHostThatWasReplacedSinceItWasHeardDoesNotWait);
-  CPPUNIT_TEST(AReplicaOutsideAGroupDoesNotAnswerUnasked);
+  CPPUNIT_TEST(HostReplacedAfterItsHelloDoesNotWait);
+  CPPUNIT_TEST(ReplicaWithoutGroupAnswersOnlyOnRequest);
   CPPUNIT_TEST(MembersWithoutALeaderDoNotAnswerEachOther);
-  CPPUNIT_TEST(TheFirstMembersFoundOnce);
-  CPPUNIT_TEST(AVoterWithoutAnyEntryIsInNoGroup);
+  CPPUNIT_TEST(FirstMembersBootstrapOnce);
+  CPPUNIT_TEST(VoterWithoutEntriesIsInNoGroup);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -48,7 +48,7 @@
     return hello;
   }
 
-  void AHelloTellsTheGroupAndWhetherItIsHeard() {
+  void HelloContainsGroupAndLeaderContact() {
     const MemberDiscovery discovery = Make(true);
     const wire::ReplicaHelloT hello = discovery.Hello(InGroup(), true);
     CPPUNIT_ASSERT(hello.in_group && hello.answer_wanted && !hello.lost);
@@ -57,7 +57,7 @@
     CPPUNIT_ASSERT(discovery.Hello(Outside(), false).lost);
   }
 
-  void OneInNoGroupWaitsUntilItIsInOne() {
+  void ReplicaWithoutGroupWaitsUntilItJoins() {
     MemberDiscovery discovery = Make(false);
     discovery.OnHello("core-2", HelloOf(2, false, true), InGroup());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, discovery.Waiting(m_members).size());
@@ -69,7 +69,7 @@
 
   // A replica that was replaced while it was offline still has a membership,
   // but no contact with a leader.
-  void OneThatLostItsGroupWaitsOnlyInAHealingGroup() {
+  void MemberWithoutLeaderWaitsOnlyWithSelfHealing() {
     for (const bool self_healing : {false, true}) {
       MemberDiscovery discovery = Make(self_healing);
       const bool answered =
@@ -87,7 +87,7 @@
 
   // Host core-2 waited with replica 2, then lost its data folder and was added
   // with replica 3, which this replica knows only from the log.
-  void AHostThatWasReplacedSinceItWasHeardDoesNotWait() {
+  void HostReplacedAfterItsHelloDoesNotWait() {
     MemberDiscovery discovery = Make(true);
     discovery.OnHello("core-2", HelloOf(2, false, true), InGroup());
     wire::ReplicaT replaced;
@@ -101,7 +101,7 @@
   }
 
   // Two waiting replicas would otherwise answer each other forever.
-  void AReplicaOutsideAGroupDoesNotAnswerUnasked() {
+  void ReplicaWithoutGroupAnswersOnlyOnRequest() {
     MemberDiscovery discovery = Make(true);
     wire::ReplicaHelloT hello = HelloOf(2, false, true);
     CPPUNIT_ASSERT(!discovery.OnHello("core-2", hello, Outside()));
@@ -117,32 +117,32 @@
     CPPUNIT_ASSERT(discovery.OnHello("core-2", HelloOf(2, false, true), lost));
   }
 
-  void TheFirstMembersFoundOnce() {
+  void FirstMembersBootstrapOnce() {
     MemberDiscovery discovery = Make(true);
-    CPPUNIT_ASSERT(discovery.Coordinates());
+    CPPUNIT_ASSERT(discovery.IsCoordinator());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, discovery.StartRound().size());
-    CPPUNIT_ASSERT(!discovery.Compose());
+    CPPUNIT_ASSERT(!discovery.ComposeMembership());
     discovery.OnHello("core-2", HelloOf(2, false, true), Outside());
-    const auto members = discovery.Compose();
+    const auto members = discovery.ComposeMembership();
     CPPUNIT_ASSERT(members);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, members->replicas.size());
-    discovery.EndFounding();
-    CPPUNIT_ASSERT(!discovery.Compose());
+    discovery.EndBootstrap();
+    CPPUNIT_ASSERT(!discovery.ComposeMembership());
     CPPUNIT_ASSERT(discovery.StartRound().empty());
   }
 
   // The first member lost its data folder after the vote, before any other
   // member received its first entry. The voter must be able to bootstrap again.
-  void AVoterWithoutAnyEntryIsInNoGroup() {
+  void VoterWithoutEntriesIsInNoGroup() {
     RestoredLog voted;
     voted.self = 2;
     voted.hard_state.term = 2;
     voted.hard_state.voted_for = 1;
     const auto voter = MakeNode(NodeOptions(), voted, Instant{1s});
-    CPPUNIT_ASSERT(!ViewOf(*voter).in_group);
+    CPPUNIT_ASSERT(!GroupViewOf(*voter).in_group);
     const auto founder =
-        MakeNode(NodeOptions(), FirstLog(1, m_members), Instant{1s});
-    CPPUNIT_ASSERT(ViewOf(*founder).in_group);
+        MakeNode(NodeOptions(), MakeInitialLog(1, m_members), Instant{1s});
+    CPPUNIT_ASSERT(GroupViewOf(*founder).in_group);
   }
 
   wire::MembershipT m_members;
--- a/src/dotterelshift/replication/member_keeper.cc
+++ b/src/dotterelshift/replication/member_keeper.cc
@@ -6,45 +6,46 @@
 namespace {
 
 // A group with fewer voters does not tolerate the loss of one.
-constexpr size_t kLeastVoters = 3;
+constexpr size_t kMinVoters = 3;
 
 }  // namespace
 
-std::optional<KeptMember> MemberKeeper::Next(
+std::optional<MembershipChange> MembershipRepair::Next(
     const wire::MembershipT& members,
     const std::vector<wire::ReplicaT>& waiting, Instant now) {
-  if (!m_leads_since) m_leads_since = now;
-  if (auto superseded = SupersededBy(members, waiting, now)) return superseded;
-  if (!waiting.empty()) return KeptMember{waiting.front(), false};
-  return Surplus(members, now);
+  if (!m_leader_since) m_leader_since = now;
+  if (auto superseded = FindSuperseded(members, waiting, now))
+    return superseded;
+  if (!waiting.empty()) return MembershipChange{waiting.front(), false};
+  return FindSurplus(members, now);
 }
 
 // A new leader has not received any messages yet, so silence is counted from
 // its election at the earliest.
-bool MemberKeeper::IsLost(ReplicaId replica, Instant now) const {
+bool MembershipRepair::IsLost(ReplicaId replica, Instant now) const {
   if (replica == m_self) return false;
   const auto heard = m_heard.find(replica);
   const Instant last = heard == m_heard.end()
-                           ? *m_leads_since
-                           : std::max(heard->second, *m_leads_since);
+                           ? *m_leader_since
+                           : std::max(heard->second, *m_leader_since);
   return now - last >= m_options.lost_after;
 }
 
 // A member whose host waits with another replica: the host has lost the
 // member's data folder.
-std::optional<KeptMember> MemberKeeper::SupersededBy(
+std::optional<MembershipChange> MembershipRepair::FindSuperseded(
     const wire::MembershipT& members,
     const std::vector<wire::ReplicaT>& waiting, Instant) const {
   for (const auto& member : members.replicas) {
-    for (const wire::ReplicaT& newcomer : waiting) {
-      if (newcomer.host == member->host && newcomer.id != member->id)
-        return KeptMember{*member, true};
+    for (const wire::ReplicaT& joining : waiting) {
+      if (joining.host == member->host && joining.id != member->id)
+        return MembershipChange{*member, true};
     }
   }
   return std::nullopt;
 }
 
-std::optional<KeptMember> MemberKeeper::Surplus(
+std::optional<MembershipChange> MembershipRepair::FindSurplus(
     const wire::MembershipT& members, Instant now) const {
   size_t voters = 0;
   size_t lost = 0;
@@ -56,9 +57,9 @@
     ++lost;
     silent = member.get();
   }
-  const bool one_too_many = voters % 2 == 0 && voters > kLeastVoters;
+  const bool one_too_many = voters % 2 == 0 && voters > kMinVoters;
   if (lost != 1 || !one_too_many) return std::nullopt;
-  return KeptMember{*silent, true};
+  return MembershipChange{*silent, true};
 }
 
 }  // namespace dotterelshift::replication
--- a/src/dotterelshift/replication/member_keeper.h
+++ b/src/dotterelshift/replication/member_keeper.h
@@ -11,7 +11,7 @@
 
 namespace dotterelshift::replication {
 
-struct MemberKeeperOptions {
+struct MembershipRepairOptions {
   // A member from which nothing was received for this long counts as lost. Must
   // be well above the time of an election and of a restart, so that a short
   // pause does not cause a replacement.
@@ -19,7 +19,7 @@
 };
 
 // The addition or removal of one replica.
-struct KeptMember {
+struct MembershipChange {
   wire::ReplicaT replica;
   bool remove = false;
 };
@@ -36,32 +36,33 @@
 //
 // A partition alone therefore never reduces the number of failures that a group
 // tolerates, and an entry that a majority holds stays on a majority.
-class MemberKeeper {
+class MembershipRepair {
  public:
-  explicit MemberKeeper(ReplicaId self, const MemberKeeperOptions& options = {})
+  explicit MembershipRepair(ReplicaId self,
+                            const MembershipRepairOptions& options = {})
       : m_self(self), m_options(options) {}
 
   // Records that a message of a replica was received.
-  void OnHeard(ReplicaId replica, Instant now) { m_heard[replica] = now; }
-  void StopLeading() { m_leads_since.reset(); }
+  void OnMessageFrom(ReplicaId replica, Instant now) { m_heard[replica] = now; }
+  void StopLeading() { m_leader_since.reset(); }
 
   // The change that the leader should propose now; empty if none is needed.
-  std::optional<KeptMember> Next(const wire::MembershipT& members,
-                                 const std::vector<wire::ReplicaT>& waiting,
-                                 Instant now);
+  std::optional<MembershipChange> Next(
+      const wire::MembershipT& members,
+      const std::vector<wire::ReplicaT>& waiting, Instant now);
 
  private:
   bool IsLost(ReplicaId replica, Instant now) const;
-  std::optional<KeptMember> SupersededBy(
+  std::optional<MembershipChange> FindSuperseded(
       const wire::MembershipT& members,
       const std::vector<wire::ReplicaT>& waiting, Instant now) const;
-  std::optional<KeptMember> Surplus(const wire::MembershipT& members,
-                                    Instant now) const;
+  std::optional<MembershipChange> FindSurplus(const wire::MembershipT& members,
+                                              Instant now) const;
 
   const ReplicaId m_self;
-  const MemberKeeperOptions m_options;
+  const MembershipRepairOptions m_options;
   std::map<ReplicaId, Instant> m_heard;
-  std::optional<Instant> m_leads_since;
+  std::optional<Instant> m_leader_since;
 };
 
 }  // namespace dotterelshift::replication
--- a/src/dotterelshift/replication/member_keeper_test.cc
+++ b/src/dotterelshift/replication/member_keeper_test.cc
@@ -24,21 +24,23 @@
 
 class MemberKeeperTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MemberKeeperTest);
-  CPPUNIT_TEST(AWaitingReplicaIsAdded);
-  CPPUNIT_TEST(AWipedHostsFormerReplicaGoesFirst);
-  CPPUNIT_TEST(ASilentMemberGoesOnlyOnceItIsReplaced);
-  CPPUNIT_TEST(ANewLeaderWaitsBeforeItJudges);
+  CPPUNIT_TEST(WaitingReplicaIsAdded);
+  CPPUNIT_TEST(WipedHostsOldReplicaIsRemovedFirst);
+  CPPUNIT_TEST(SilentMemberIsRemovedOnlyOnceReplaced);
+  CPPUNIT_TEST(NewLeaderWaitsBeforeRemovingMembers);
   CPPUNIT_TEST_SUITE_END();
 
-  std::optional<KeptMember> Next(const wire::MembershipT& members,
-                                 const std::vector<wire::ReplicaT>& waiting) {
-    return m_keeper.Next(members, waiting, m_now);
+  std::optional<MembershipChange> Next(
+      const wire::MembershipT& members,
+      const std::vector<wire::ReplicaT>& waiting) {
+    return m_membership_repair.Next(members, waiting, m_now);
   }
   void HearAll(std::initializer_list<ReplicaId> replicas) {
-    for (const ReplicaId id : replicas) m_keeper.OnHeard(id, m_now);
+    for (const ReplicaId id : replicas)
+      m_membership_repair.OnMessageFrom(id, m_now);
   }
 
-  void AWaitingReplicaIsAdded() {
+  void WaitingReplicaIsAdded() {
     const auto members = GroupOf({ReplicaOf(1, "a")});
     CPPUNIT_ASSERT(!Next(members, {}));
     const auto change = Next(members, {ReplicaOf(2, "b")});
@@ -46,7 +48,7 @@
     CPPUNIT_ASSERT_EQUAL(ReplicaId{2}, change->replica.id);
   }
 
-  void AWipedHostsFormerReplicaGoesFirst() {
+  void WipedHostsOldReplicaIsRemovedFirst() {
     const auto members =
         GroupOf({ReplicaOf(1, "a"), ReplicaOf(2, "b"), ReplicaOf(3, "c")});
     const auto change = Next(members, {ReplicaOf(9, "c")});
@@ -55,7 +57,7 @@
   }
 
   // A partition alone never shrinks a group of three or five.
-  void ASilentMemberGoesOnlyOnceItIsReplaced() {
+  void SilentMemberIsRemovedOnlyOnceReplaced() {
     const auto three =
         GroupOf({ReplicaOf(1, "a"), ReplicaOf(2, "b"), ReplicaOf(3, "c")});
     Next(three, {});
@@ -74,20 +76,20 @@
     CPPUNIT_ASSERT(!Next(four, {}));
   }
 
-  void ANewLeaderWaitsBeforeItJudges() {
+  void NewLeaderWaitsBeforeRemovingMembers() {
     const auto four = GroupOf({ReplicaOf(1, "a"), ReplicaOf(2, "b"),
                                ReplicaOf(3, "c"), ReplicaOf(4, "d")});
     HearAll({2, 3});
     CPPUNIT_ASSERT(!Next(four, {}));
-    m_now += MemberKeeperOptions().lost_after;
+    m_now += MembershipRepairOptions().lost_after;
     HearAll({2, 3});
     CPPUNIT_ASSERT(Next(four, {}));
-    m_keeper.StopLeading();
+    m_membership_repair.StopLeading();
     CPPUNIT_ASSERT(!Next(four, {}));
   }
 
   Instant m_now{1000s};
-  MemberKeeper m_keeper{1};
+  MembershipRepair m_membership_repair{1};
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(MemberKeeperTest);
 
--- a/src/dotterelshift/replication/healing_world.h
+++ b/src/dotterelshift/replication/membership_simulation.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHIFT_REPLICATION_HEALING_WORLD_H_
-#define DOTTERELSHIFT_REPLICATION_HEALING_WORLD_H_
+#ifndef DOTTERELSHIFT_REPLICATION_MEMBERSHIP_SIMULATION_H_
+#define DOTTERELSHIFT_REPLICATION_MEMBERSHIP_SIMULATION_H_
 
 // Simulates control hosts that bootstrap, repair and replace their group
 // without an operator, under a seeded schedule of faults. For tests only.
@@ -17,18 +17,18 @@
 #include <vector>     // for vector
 
 #include "dotterelshift/replication/member_discovery.h"  // for MemberDiscovery
-#include "dotterelshift/replication/member_keeper.h"     // for MemberKeeper
+#include "dotterelshift/replication/member_keeper.h"     // for MembershipRepair
 #include "dotterelshift/replication/membership.h"        // for FindMember
 #include "dotterelshift/replication/messages.h"          // for SenderOf
 #include "dotterelshift/replication/node.h"              // for MakeNode
 #include "dotterelshift/replication/raft_log.h"          // for RaftLog
-#include "dotterelshift/replication/schedule_world.h"    // for Violation
+#include "dotterelshift/replication/raft_simulation.h"   // for Violation
 
 namespace dotterelshift::replication {
 
 // Counts of what the schedules exercised, so that a test can check that they
 // exercised enough.
-struct HealingCounts {
+struct MembershipSimulationCounts {
   uint64_t founded = 0;
   uint64_t committed = 0;
   uint64_t wipes = 0;
@@ -36,7 +36,7 @@
   uint64_t additions = 0;
   uint64_t cuts = 0;
 
-  void Add(const HealingCounts& other) {
+  void Add(const MembershipSimulationCounts& other) {
     founded += other.founded;
     committed += other.committed;
     wipes += other.wipes;
@@ -48,8 +48,8 @@
 
 // The implementations under test. A test replaces one of them with a broken
 // version to check that the simulation detects it.
-struct HealingRules {
-  using Keeper = MemberKeeper;
+struct MembershipSimulationRules {
+  using RepairPolicy = MembershipRepair;
   using Discovery = MemberDiscovery;
 };
 
@@ -65,21 +65,21 @@
 // Messages between two hosts are delivered in order, as on a connection, and
 // are lost when either host crashes or the two are cut off from each other.
 template <typename Rules>
-class HealingWorld {
+class MembershipSimulation {
  public:
-  explicit HealingWorld(uint64_t seed) : m_random(seed) {
+  explicit MembershipSimulation(uint64_t seed) : m_random(seed) {
     for (size_t i = 0; i < kHosts; ++i) {
       Host& host = m_hosts[i];
       host.name = "core-" + std::to_string(i + 1);
-      if (i < kFounders) m_first_members.push_back(host.name);
+      if (i < kFirstMembers) m_first_members.push_back(host.name);
     }
     for (Host& host : m_hosts) {
       host.disk.self = ++m_last_id;
-      if (Chance(kEarlyStart)) Start(host);
+      if (Chance(kEarlyStartPercent)) Start(host);
     }
   }
 
-  HealingCounts Run(int steps) {
+  MembershipSimulationCounts Run(int steps) {
     for (int step = 0; step < steps; ++step) Step();
     Settle();
     m_counts.committed = m_history.size();
@@ -88,16 +88,16 @@
 
  private:
   static constexpr size_t kHosts = 5;
-  static constexpr size_t kFounders = 3;
-  static constexpr uint64_t kEarlyStart = 70;  // in percent
-  static constexpr Duration kHousekeeping = 200ms;
+  static constexpr size_t kFirstMembers = 3;
+  static constexpr uint64_t kEarlyStartPercent = 70;  // in percent
+  static constexpr Duration kHousekeepingInterval = 200ms;
 
   struct Host {
     HostId name;
     RestoredLog disk;            // what has been synced
     std::unique_ptr<Node> node;  // null: not running
     std::optional<typename Rules::Discovery> discovery;
-    std::optional<typename Rules::Keeper> keeper;
+    std::optional<typename Rules::RepairPolicy> repair;
     std::map<ReplicaId, HostId> heard;
     std::optional<Ready> unsynced;
     uint64_t applied = 0;
@@ -146,7 +146,7 @@
     host.discovery.emplace(MemberDiscoveryOptions{
         host.name, host.disk.self,
         founds ? m_first_members : std::vector<HostId>{}, true});
-    host.keeper.emplace(host.disk.self);
+    host.repair.emplace(host.disk.self);
     host.heard.clear();
     host.unsynced.reset();
     host.applied = 0;
@@ -170,25 +170,25 @@
   }
 
   void Housekeeping(Host& host) {
-    host.housekeeping = m_now + kHousekeeping;
-    TryToFound(host);
-    const bool coordinates = host.discovery->Coordinates();
+    host.housekeeping = m_now + kHousekeepingInterval;
+    TryBootstrap(host);
+    const bool coordinates = host.discovery->IsCoordinator();
     for (const HostId& other : host.discovery->StartRound())
-      SayHello(host, other, coordinates);
-    KeepMembers(host);
+      SendHello(host, other, coordinates);
+    RepairMembership(host);
     Pump(host);
   }
 
-  void KeepMembers(Host& host) {
+  void RepairMembership(Host& host) {
     if (host.node->Role() != NodeRole::kLeader) {
-      host.keeper->StopLeading();
+      host.repair->StopLeading();
       if (host.node->Leader() != 0) return;
       for (const Host& other : m_hosts)
-        if (other.name != host.name) SayHello(host, other.name, false);
+        if (other.name != host.name) SendHello(host, other.name, false);
       return;
     }
     const auto change =
-        host.keeper->Next(host.node->Members(),
+        host.repair->Next(host.node->Members(),
                           host.discovery->Waiting(host.node->Members()), m_now);
     if (!change) return;
     CheckChange(host, *change);
@@ -199,44 +199,45 @@
 
   // A group without a surplus voter may only remove a member that has lost its
   // folder.
-  void CheckChange(const Host& host, const KeptMember& change) const {
+  void CheckChange(const Host& host, const MembershipChange& change) const {
     if (!change.remove || m_lost.contains(change.replica.id)) return;
-    if (VoterCount(host.node->Members()) <= kFounders)
+    if (VoterCount(host.node->Members()) <= kFirstMembers)
       throw Violation(
           "removal of a member that has its log, from a group with this many "
           "voters: " +
           std::to_string(VoterCount(host.node->Members())));
   }
 
-  void TryToFound(Host& host) {
-    if (ViewOf(*host.node).in_group) return host.discovery->EndFounding();
-    const auto members = host.discovery->Compose();
+  void TryBootstrap(Host& host) {
+    if (GroupViewOf(*host.node).in_group) return host.discovery->EndBootstrap();
+    const auto members = host.discovery->ComposeMembership();
     if (!members) return;
-    host.discovery->EndFounding();
+    host.discovery->EndBootstrap();
     ++m_counts.founded;
-    host.disk = FirstLog(host.disk.self, *members);
+    host.disk = MakeInitialLog(host.disk.self, *members);
     NodeOptions options;
     options.seed = m_random();
     host.node = MakeNode(options, host.disk, m_now);
     Pump(host);
   }
 
-  void SayHello(const Host& from, const HostId& to, bool answer_wanted) {
+  void SendHello(const Host& from, const HostId& to, bool answer_wanted) {
     wire::FrameT frame;
-    frame.body.Set(from.discovery->Hello(ViewOf(*from.node), answer_wanted));
+    frame.body.Set(
+        from.discovery->Hello(GroupViewOf(*from.node), answer_wanted));
     m_sent.push_back({from.name, to, std::move(frame)});
   }
 
   void OnFrame(Host& host, const SentFrame& sent) {
     if (const wire::ReplicaHelloT* hello = sent.frame.body.AsReplicaHello()) {
-      if (host.discovery->OnHello(sent.from, *hello, ViewOf(*host.node)))
-        SayHello(host, sent.from, false);
-      TryToFound(host);
+      if (host.discovery->OnHello(sent.from, *hello, GroupViewOf(*host.node)))
+        SendHello(host, sent.from, false);
+      TryBootstrap(host);
       return;
     }
     const ReplicaId sender = SenderOf(sent.frame);
     host.heard[sender] = sent.from;
-    host.keeper->OnHeard(sender, m_now);
+    host.repair->OnMessageFrom(sender, m_now);
     host.node->OnMessage(sent.frame, m_now);
     Pump(host);
   }
@@ -253,7 +254,7 @@
         if (!name.empty()) m_sent.push_back({host.name, name, frame});
       }
       Apply(host, ready);
-      NoteLeader(host);
+      RecordLeader(host);
       if (ready.HasWrites()) host.unsynced = std::move(ready);
     }
   }
@@ -265,7 +266,7 @@
     return member == nullptr ? HostId() : member->host;
   }
 
-  void NoteLeader(const Host& host) {
+  void RecordLeader(const Host& host) {
     if (host.node->Role() != NodeRole::kLeader) return;
     const uint64_t term = host.node->Term();
     // A group that was lost together with its first member before it had
@@ -367,13 +368,13 @@
   // Whether this replica's folder may be lost: it is not a member, or every
   // membership that is stored or proposed tolerates the loss of one more
   // folder.
-  bool MayLose(ReplicaId replica) const {
+  bool CanWipe(ReplicaId replica) const {
     bool member = FindMember(m_members, replica) != nullptr;
-    bool whole = BearsLoss(m_members);
+    bool whole = ToleratesLoss(m_members);
     for (const Host& host : m_hosts) {
       const wire::MembershipT members = MembersOf(host);
       member = member || FindMember(members, replica) != nullptr;
-      whole = whole && BearsLoss(members);
+      whole = whole && ToleratesLoss(members);
     }
     return !member || whole;
   }
@@ -383,16 +384,16 @@
     return RaftLog(host.disk.snapshot, host.disk.entries).Members();
   }
 
-  bool BearsLoss(const wire::MembershipT& members) const {
+  bool ToleratesLoss(const wire::MembershipT& members) const {
     if (members.replicas.empty()) return true;  // not in a group
     for (const auto& member : members.replicas)
       if (m_lost.contains(member->id)) return false;
-    return VoterCount(members) >= kFounders;
+    return VoterCount(members) >= kFirstMembers;
   }
 
   // The host loses its data folder and restarts now or later.
   void WipeIfAllowed(Host& host) {
-    if (!MayLose(host.disk.self)) return;
+    if (!CanWipe(host.disk.self)) return;
     ++m_counts.wipes;
     m_lost.insert(host.disk.self);
     Crash(host);
@@ -412,7 +413,7 @@
       for (int i = 0; i < 60; ++i) DeliverOne();
       for (Host& host : m_hosts) SyncOne(host);
       if (round % 20 == 0) ProposeSomewhere();
-      if (IsWhole(accepted)) return;
+      if (HasRecovered(accepted)) return;
     }
     throw Stall("the group does not recover: " + Describe());
   }
@@ -432,7 +433,7 @@
     return text;
   }
 
-  bool IsWhole(uint64_t accepted) const {
+  bool HasRecovered(uint64_t accepted) const {
     if (m_history.size() <= accepted) return false;
     for (const Host& host : m_hosts) {
       const bool whole = host.applied > accepted &&
@@ -458,9 +459,9 @@
   std::vector<std::string> m_history;  // entries that any replica has applied
   // By the first entry of the group's log and the term.
   std::map<std::pair<std::string, uint64_t>, ReplicaId> m_leaders;
-  HealingCounts m_counts;
+  MembershipSimulationCounts m_counts;
 };
 
 }  // namespace dotterelshift::replication
 
-#endif  // DOTTERELSHIFT_REPLICATION_HEALING_WORLD_H_
+#endif  // DOTTERELSHIFT_REPLICATION_MEMBERSHIP_SIMULATION_H_
--- a/src/dotterelshift/replication/healing_test.cc
+++ b/src/dotterelshift/replication/membership_simulation_test.cc
@@ -1,9 +1,9 @@
+#include "dotterelshift/replication/membership_simulation.h"  // for MembershipSimulation
+
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include <iostream>  // for cout
 
-#include "dotterelshift/replication/healing_world.h"  // for HealingWorld
-
 namespace dotterelshift::replication {
 namespace {
 
@@ -12,26 +12,26 @@
 constexpr int kSteps = 1500;
 // Seeds above kSchedules that once failed: a replica never became a member if
 // its addition was lost together with the leader that had proposed it.
-constexpr uint64_t kFormerFaults[] = {7460, 9018, 14064};
+constexpr uint64_t kRegressionSeeds[] = {7460, 9018, 14064};
 
 // Bootstraps a group without waiting for the other first members.
-class FoundsWithoutAll : public MemberDiscovery {
+class BootstrapsWithoutAll : public MemberDiscovery {
  public:
-  explicit FoundsWithoutAll(const MemberDiscoveryOptions& options)
-      : MemberDiscovery(AloneWith(options)) {}
+  explicit BootstrapsWithoutAll(const MemberDiscoveryOptions& options)
+      : MemberDiscovery(WithOnlySelf(options)) {}
 
  private:
-  static MemberDiscoveryOptions AloneWith(MemberDiscoveryOptions options) {
+  static MemberDiscoveryOptions WithOnlySelf(MemberDiscoveryOptions options) {
     if (!options.first_members.empty()) options.first_members = {options.self};
     return options;
   }
 };
-struct FoundingWithoutAll : HealingRules {
-  using Discovery = FoundsWithoutAll;
+struct BootstrapWithoutAllRules : MembershipSimulationRules {
+  using Discovery = BootstrapsWithoutAll;
 };
 
 // Bootstraps a group although another host reports that it is already in one.
-class FoundsBesideAGroup : public MemberDiscovery {
+class BootstrapsBesideExistingGroup : public MemberDiscovery {
  public:
   using MemberDiscovery::MemberDiscovery;
   bool OnHello(const HostId& from, const wire::ReplicaHelloT& hello,
@@ -41,43 +41,43 @@
     return MemberDiscovery::OnHello(from, fresh, view);
   }
 };
-struct FoundingBesideAGroup : HealingRules {
-  using Discovery = FoundsBesideAGroup;
+struct BootstrapBesideExistingGroupRules : MembershipSimulationRules {
+  using Discovery = BootstrapsBesideExistingGroup;
 };
 
 // Removes any member that has been silent for longer than the timeout.
-class RemovesTheSilent : public MemberKeeper {
+class RemovesSilentMembers : public MembershipRepair {
  public:
-  using MemberKeeper::MemberKeeper;
-  void OnHeard(ReplicaId replica, Instant now) {
+  using MembershipRepair::MembershipRepair;
+  void OnMessageFrom(ReplicaId replica, Instant now) {
     m_heard_last[replica] = now;
-    MemberKeeper::OnHeard(replica, now);
+    MembershipRepair::OnMessageFrom(replica, now);
   }
-  std::optional<KeptMember> Next(const wire::MembershipT& members,
-                                 const std::vector<wire::ReplicaT>& waiting,
-                                 Instant now) {
+  std::optional<MembershipChange> Next(
+      const wire::MembershipT& members,
+      const std::vector<wire::ReplicaT>& waiting, Instant now) {
     for (const auto& member : members.replicas) {
       const auto heard = m_heard_last.find(member->id);
       const bool silent =
           heard != m_heard_last.end() &&
-          now - heard->second > MemberKeeperOptions().lost_after;
-      if (silent) return KeptMember{*member, true};
+          now - heard->second > MembershipRepairOptions().lost_after;
+      if (silent) return MembershipChange{*member, true};
     }
-    return MemberKeeper::Next(members, waiting, now);
+    return MembershipRepair::Next(members, waiting, now);
   }
 
  private:
   std::map<ReplicaId, Instant> m_heard_last;
 };
-struct RemovalOfTheSilent : HealingRules {
-  using Keeper = RemovesTheSilent;
+struct RemoveSilentMembersRules : MembershipSimulationRules {
+  using RepairPolicy = RemovesSilentMembers;
 };
 
 template <typename Rules>
 std::string FirstViolation() {
   for (uint64_t seed = 1; seed <= kSchedules; ++seed) {
     try {
-      HealingWorld<Rules>(seed).Run(kSteps);
+      MembershipSimulation<Rules>(seed).Run(kSteps);
     } catch (const Violation& violation) {
       return "seed " + std::to_string(seed) + ": " + violation.what();
     }
@@ -87,16 +87,16 @@
 
 class HealingTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HealingTest);
-  CPPUNIT_TEST(GroupsFoundAndHealThemselves);
-  CPPUNIT_TEST(FoundingWithoutAllIsCaught);
-  CPPUNIT_TEST(FoundingBesideAGroupIsCaught);
-  CPPUNIT_TEST(RemovalOfTheSilentIsCaught);
+  CPPUNIT_TEST(GroupsBootstrapAndRepairThemselves);
+  CPPUNIT_TEST(BootstrapWithoutAllIsDetected);
+  CPPUNIT_TEST(BootstrapBesideExistingGroupIsDetected);
+  CPPUNIT_TEST(RemovalOfSilentMembersIsDetected);
   CPPUNIT_TEST_SUITE_END();
 
-  void GroupsFoundAndHealThemselves() {
-    HealingCounts sum;
+  void GroupsBootstrapAndRepairThemselves() {
+    MembershipSimulationCounts sum;
     for (uint64_t seed = 1; seed <= kSchedules; ++seed) sum.Add(Play(seed));
-    for (const uint64_t seed : kFormerFaults) Play(seed);
+    for (const uint64_t seed : kRegressionSeeds) Play(seed);
     CPPUNIT_ASSERT(sum.founded >= kSchedules);
     CPPUNIT_ASSERT(sum.committed > kSchedules * 10);
     CPPUNIT_ASSERT(sum.wipes > kSchedules);
@@ -104,21 +104,27 @@
     CPPUNIT_ASSERT(sum.additions > kSchedules);
   }
 
-  static HealingCounts Play(uint64_t seed) {
+  static MembershipSimulationCounts Play(uint64_t seed) {
     try {
-      return HealingWorld<HealingRules>(seed).Run(kSteps);
+      return MembershipSimulation<MembershipSimulationRules>(seed).Run(kSteps);
     } catch (const Violation& violation) {
       CPPUNIT_FAIL("seed " + std::to_string(seed) + ": " + violation.what());
     }
     return {};
   }
 
-  void FoundingWithoutAllIsCaught() { ExpectCaught<FoundingWithoutAll>(); }
-  void FoundingBesideAGroupIsCaught() { ExpectCaught<FoundingBesideAGroup>(); }
-  void RemovalOfTheSilentIsCaught() { ExpectCaught<RemovalOfTheSilent>(); }
+  void BootstrapWithoutAllIsDetected() {
+    ExpectViolation<BootstrapWithoutAllRules>();
+  }
+  void BootstrapBesideExistingGroupIsDetected() {
+    ExpectViolation<BootstrapBesideExistingGroupRules>();
+  }
+  void RemovalOfSilentMembersIsDetected() {
+    ExpectViolation<RemoveSilentMembersRules>();
+  }
 
   template <typename Rules>
-  static void ExpectCaught() {
+  static void ExpectViolation() {
     const std::string violation = FirstViolation<Rules>();
     std::cout << "caught by " << violation << "\n";
     CPPUNIT_ASSERT(!violation.empty());
--- a/src/dotterelshift/replication/node_test.cc
+++ b/src/dotterelshift/replication/node_test.cc
@@ -29,10 +29,10 @@
 class NodeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(NodeTest);
   CPPUNIT_TEST(GroupOfOneCommitsOnlyWhatIsSynced);
-  CPPUNIT_TEST(OneOfThreeDoesNotElectItself);
-  CPPUNIT_TEST(LeaderThatStoodStillIsJudgedLater);
-  CPPUNIT_TEST(ALeaderThatAskedNothingIsNotDeposed);
-  CPPUNIT_TEST(OneWithoutAVoteForgetsASilentLeader);
+  CPPUNIT_TEST(SingleVoterOfThreeIsNotElected);
+  CPPUNIT_TEST(StalledLeaderChecksQuorumLater);
+  CPPUNIT_TEST(LeaderWithoutOpenRoundsKeepsLeading);
+  CPPUNIT_TEST(NonVoterForgetsSilentLeader);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -58,7 +58,7 @@
     CPPUNIT_ASSERT(node->LeaseUntil() > now);
   }
 
-  void OneOfThreeDoesNotElectItself() {
+  void SingleVoterOfThreeIsNotElected() {
     Instant now{};
     const auto node = MakeNode({}, NewGroup(1, {1, 2, 3}), now);
     for (int i = 0; i < 10; ++i) {
@@ -75,7 +75,7 @@
 
   // A busy leader's timer fires late repeatedly, but every round that it
   // started has been acknowledged.
-  void ALeaderThatAskedNothingIsNotDeposed() {
+  void LeaderWithoutOpenRoundsKeepsLeading() {
     Instant now{};
     const auto node = MakeLeader(now);
     AnswerAll(*node, now);
@@ -94,11 +94,12 @@
       node->ConfirmLeadership(now);
       node->OnTimer(now);
       node->TakeReady();
-      CPPUNIT_ASSERT(now - silent_from <= 2 * NodeOptions().election_least);
+      CPPUNIT_ASSERT(now - silent_from <=
+                     2 * NodeOptions().min_election_timeout);
     }
   }
 
-  void LeaderThatStoodStillIsJudgedLater() {
+  void StalledLeaderChecksQuorumLater() {
     Instant now{};
     const auto node = MakeLeader(now);
     now += 1s;  // replies that arrived meanwhile are still unread
@@ -112,7 +113,7 @@
 
   // The addition of a new replica may be lost together with the leader that
   // proposed it. The replica must then be able to report that it has no leader.
-  void OneWithoutAVoteForgetsASilentLeader() {
+  void NonVoterForgetsSilentLeader() {
     Instant now{};
     RestoredLog fresh;
     fresh.self = 4;
--- a/src/dotterelshift/replication/raft.h
+++ b/src/dotterelshift/replication/raft.h
@@ -57,7 +57,7 @@
   size_t bytes_in_flight = 0;
   std::shared_ptr<const SnapshotSource> snapshot;  // snapshot being sent
   uint64_t snapshot_offset = 0;
-  bool piece_sent = false;
+  bool chunk_sent = false;
 };
 
 // The implementation of Node behind MakeNode(). The member functions are
@@ -82,7 +82,7 @@
                          std::shared_ptr<const std::string> bytes) override;
 
   using Node::TakeReady;
-  Ready TakeReady(size_t most_committed_bytes) override;
+  Ready TakeReady(size_t max_committed_bytes) override;
 
   NodeRole Role() const override { return m_role; }
   uint64_t Term() const override { return m_hard_state.term; }
@@ -113,12 +113,12 @@
   void CountVotes(Instant now);
   void BecomeFollower(uint64_t term, ReplicaId leader, Instant now);
   void BecomeLeader(Instant now);
-  bool HearsLeader(Instant now) const;
+  bool HasRecentLeaderContact(Instant now) const;
   bool LogIsUpToDate(const wire::VoteRequestT& request) const;
   void OnVoteRequest(const wire::VoteRequestT& request, Instant now);
   void OnVoteReply(const wire::VoteReplyT& reply, Instant now);
   void CheckQuorum(Instant now);
-  void FindOldestOpenRound();
+  void UpdateOldestUnconfirmedRound();
 
   // Log replication (raft_append.h).
   uint64_t AppendOwn(wire::LogEntryKind kind, std::vector<uint8_t> payload);
@@ -127,21 +127,21 @@
   bool StoreEntries(const wire::AppendRequestT& request);
   void OnAppendReply(const wire::AppendReplyT& reply, Instant now);
   void OnAcknowledged(Progress& progress, uint64_t match);
-  void NoteRound(Progress& progress, uint64_t round);
+  void RecordAcknowledgedRound(Progress& progress, uint64_t round);
   void StartRound(Instant now);
   void SendAppends();
-  bool SendAppend(ReplicaId to, Progress& progress, bool even_if_empty);
+  bool SendAppend(ReplicaId to, Progress& progress, bool allow_empty);
   void AdvanceCommit(Instant now);
   void SyncProgressWithMembers(Instant now);
   void PromoteLearners(Instant now);
   bool MayChangeMembers() const;
 
   // Snapshots (raft_snapshot.h).
-  void SendPiece(ReplicaId to, Progress& progress);
+  void SendSnapshotChunk(ReplicaId to, Progress& progress);
   void OnSnapshotPiece(const wire::SnapshotPieceT& piece, Instant now);
   void OnSnapshotReply(const wire::SnapshotReplyT& reply, Instant now);
-  void ReplyToPiece(ReplicaId to, uint64_t last_index, uint64_t next_offset,
-                    bool installed);
+  void ReplyToSnapshotChunk(ReplicaId to, uint64_t last_index,
+                            uint64_t next_offset, bool installed);
   void Install();
 
   // Of the voters' values (this replica's included), the largest that a
@@ -156,7 +156,8 @@
   // Sends the message once everything written so far is on disk.
   template <typename Body>
   void SendAfterSync(ReplicaId to, Body body) {
-    auto& queue = Rules::kAcknowledgeAfterSync ? m_after_sync : m_messages;
+    auto& queue =
+        Rules::kAcknowledgeAfterSync ? m_messages_for_next_sync : m_messages;
     queue.emplace_back(to, MakeMessage(to, std::move(body)));
   }
   template <typename Body>
@@ -172,7 +173,7 @@
     return Rules::kAcknowledgeAfterSync ? m_synced : m_log.LastIndex();
   }
   void TakeWrites(Ready& ready);
-  void TakeCommitted(Ready& ready, size_t most_bytes);
+  void TakeCommitted(Ready& ready, size_t max_bytes);
   void TakeReads(Ready& ready);
   uint64_t ConfirmedRound() const;
 
@@ -184,16 +185,16 @@
 
   NodeRole m_role = NodeRole::kFollower;
   ReplicaId m_leader = 0;
-  Instant m_heard_leader;
+  Instant m_last_leader_contact;
   Instant m_election_deadline;
   Instant m_next_heartbeat;
   bool m_timer_late = false;  // the last timer fired late
   std::set<ReplicaId> m_votes;
 
   uint64_t m_commit = 0;
-  uint64_t m_handed_out = 0;  // last committed entry given to the driver
-  uint64_t m_written = 0;     // last entry given to the driver for writing
-  uint64_t m_synced = 0;      // last entry on this replica's disk
+  uint64_t m_delivered = 0;  // last committed entry given to the driver
+  uint64_t m_written = 0;    // last entry given to the driver for writing
+  uint64_t m_synced = 0;     // last entry on this replica's disk
   bool m_sync_under_way = false;
 
   std::map<ReplicaId, Progress> m_progress;
@@ -201,7 +202,7 @@
   uint64_t m_round = 0;
   std::deque<std::pair<uint64_t, Instant>> m_rounds;
   // The leader's oldest round that a majority has not yet acknowledged.
-  std::optional<std::pair<uint64_t, Instant>> m_oldest_open;
+  std::optional<std::pair<uint64_t, Instant>> m_oldest_unconfirmed_round;
   bool m_round_unsent = false;
   std::vector<PendingRead> m_reads;
   uint64_t m_last_token = 0;
@@ -214,8 +215,8 @@
   std::optional<uint64_t> m_truncate_from;
   std::optional<std::pair<SnapshotMeta, std::string>> m_install;
   std::vector<std::pair<ReplicaId, wire::FrameT>> m_messages;
-  std::vector<std::pair<ReplicaId, wire::FrameT>> m_after_sync;
-  std::vector<std::pair<ReplicaId, wire::FrameT>> m_in_sync;
+  std::vector<std::pair<ReplicaId, wire::FrameT>> m_messages_for_next_sync;
+  std::vector<std::pair<ReplicaId, wire::FrameT>> m_messages_awaiting_sync;
   bool m_leadership_changed = false;
 };
 
--- a/src/dotterelshift/replication/raft_append.h
+++ b/src/dotterelshift/replication/raft_append.h
@@ -45,7 +45,7 @@
                        m_leader == request.from &&
                        request.term == m_hard_state.term;
   if (!follows) BecomeFollower(request.term, request.from, now);
-  m_heard_leader = now;
+  m_last_leader_contact = now;
   ResetElectionDeadline(now);
   reply.term = m_hard_state.term;
   reply.accepted = StoreEntries(request);
@@ -91,7 +91,7 @@
       peer == m_progress.end())
     return;
   Progress& progress = peer->second;
-  NoteRound(progress, reply.round);
+  RecordAcknowledgedRound(progress, reply.round);
   if (reply.accepted) {
     OnAcknowledged(progress, reply.match_index);
     return AdvanceCommit(now);
@@ -126,7 +126,7 @@
 }
 
 template <typename Rules>
-void Raft<Rules>::NoteRound(Progress& progress, uint64_t round) {
+void Raft<Rules>::RecordAcknowledgedRound(Progress& progress, uint64_t round) {
   if (round <= progress.acked_round) return;
   progress.acked_round = round;
   for (const auto& [number, sent] : m_rounds)
@@ -138,9 +138,9 @@
 // round started.
 template <typename Rules>
 void Raft<Rules>::StartRound(Instant now) {
-  constexpr size_t kRoundsKept = 256;
+  constexpr size_t kMaxRounds = 256;
   m_rounds.emplace_back(++m_round, now);
-  if (m_rounds.size() > kRoundsKept) m_rounds.pop_front();
+  if (m_rounds.size() > kMaxRounds) m_rounds.pop_front();
   m_round_unsent = true;
 }
 
@@ -148,7 +148,8 @@
 void Raft<Rules>::SendAppends() {
   const bool new_round = std::exchange(m_round_unsent, false);
   for (auto& [id, progress] : m_progress) {
-    if (progress.mode == Progress::Mode::kSnapshot) SendPiece(id, progress);
+    if (progress.mode == Progress::Mode::kSnapshot)
+      SendSnapshotChunk(id, progress);
     bool sent = false;
     while (SendAppend(id, progress, new_round && !sent)) sent = true;
   }
@@ -158,7 +159,7 @@
 // there may be more to send.
 template <typename Rules>
 bool Raft<Rules>::SendAppend(ReplicaId to, Progress& progress,
-                             bool even_if_empty) {
+                             bool allow_empty) {
   wire::AppendRequestT request;
   request.term = m_hard_state.term;
   request.from = m_self;
@@ -170,8 +171,8 @@
     progress.mode = Progress::Mode::kSnapshot;
     progress.snapshot = m_snapshot;
     progress.snapshot_offset = 0;
-    progress.piece_sent = false;
-    SendPiece(to, progress);
+    progress.chunk_sent = false;
+    SendSnapshotChunk(to, progress);
   }
   const bool may_send =
       previous_term.has_value() &&
@@ -190,7 +191,7 @@
     bytes += entry.payload.size();
     request.entries.push_back(std::make_unique<wire::LogEntryT>(entry));
   }
-  if (request.entries.empty() && !even_if_empty) return false;
+  if (request.entries.empty() && !allow_empty) return false;
   const bool some = !request.entries.empty();
   if (progress.mode == Progress::Mode::kProbe) progress.probe_sent = true;
   if (some && progress.mode == Progress::Mode::kReplicate) {
--- a/src/dotterelshift/replication/raft_election.h
+++ b/src/dotterelshift/replication/raft_election.h
@@ -17,20 +17,21 @@
 
 template <typename Rules>
 void Raft<Rules>::ResetElectionDeadline(Instant now) {
-  const auto least = static_cast<uint64_t>(m_options.election_least.count());
+  const auto least =
+      static_cast<uint64_t>(m_options.min_election_timeout.count());
   m_election_deadline =
-      now + m_options.election_least +
+      now + m_options.min_election_timeout +
       Duration(static_cast<int64_t>(m_random() % std::max<uint64_t>(1, least)));
 }
 
 template <typename Rules>
-bool Raft<Rules>::HearsLeader(Instant now) const {
+bool Raft<Rules>::HasRecentLeaderContact(Instant now) const {
   if (m_role == NodeRole::kLeader) {
     const Instant confirmed = MajorityValue(
         now, [](const Progress& peer) { return peer.acked_sent; });
-    return now < confirmed + m_options.election_least;
+    return now < confirmed + m_options.min_election_timeout;
   }
-  return now < m_heard_leader + m_options.election_least;
+  return now < m_last_leader_contact + m_options.min_election_timeout;
 }
 
 template <typename Rules>
@@ -95,7 +96,7 @@
   m_leadership_changed = true;
   m_progress.clear();
   m_rounds.clear();
-  m_oldest_open.reset();
+  m_oldest_unconfirmed_round.reset();
   SyncProgressWithMembers(now);
   m_term_start = AppendOwn(wire::LogEntryKind::Empty, {});
   m_next_heartbeat = now + m_options.heartbeat;
@@ -115,7 +116,7 @@
                                 Instant now) {
   // Leader lease: a replica that has recent contact with its leader does not
   // help to depose it.
-  if (HearsLeader(now) && request.term > m_hard_state.term) return;
+  if (HasRecentLeaderContact(now) && request.term > m_hard_state.term) return;
   wire::VoteReplyT reply;
   reply.from = m_self;
   reply.pre_vote = request.pre_vote;
@@ -156,22 +157,25 @@
 // others means nothing.
 template <typename Rules>
 void Raft<Rules>::CheckQuorum(Instant now) {
-  FindOldestOpenRound();
+  UpdateOldestUnconfirmedRound();
   const bool cut_off =
-      m_oldest_open && now - m_oldest_open->second >= m_options.election_least;
+      m_oldest_unconfirmed_round && now - m_oldest_unconfirmed_round->second >=
+                                        m_options.min_election_timeout;
   if (cut_off) BecomeFollower(m_hard_state.term, 0, now);
 }
 
 // The oldest open round may be older than the rounds in m_rounds, so it is
 // remembered until it is acknowledged.
 template <typename Rules>
-void Raft<Rules>::FindOldestOpenRound() {
+void Raft<Rules>::UpdateOldestUnconfirmedRound() {
   const uint64_t confirmed = ConfirmedRound();
-  if (m_oldest_open && m_oldest_open->first > confirmed) return;
-  m_oldest_open.reset();
+  if (m_oldest_unconfirmed_round &&
+      m_oldest_unconfirmed_round->first > confirmed)
+    return;
+  m_oldest_unconfirmed_round.reset();
   const auto open = std::ranges::find_if(
       m_rounds, [=](const auto& round) { return round.first > confirmed; });
-  if (open != m_rounds.end()) m_oldest_open = *open;
+  if (open != m_rounds.end()) m_oldest_unconfirmed_round = *open;
 }
 
 }  // namespace dotterelshift::replication
--- a/src/dotterelshift/replication/raft_events.h
+++ b/src/dotterelshift/replication/raft_events.h
@@ -20,10 +20,10 @@
       // Before the restart, this replica may have promised its leader not to
       // vote for another candidate. It keeps that promise for one minimum
       // election timeout from now.
-      m_heard_leader(now),
+      m_last_leader_contact(now),
       m_next_heartbeat(now),
       m_commit(restored.snapshot.last_index),
-      m_handed_out(m_commit),
+      m_delivered(m_commit),
       m_written(m_log.LastIndex()),
       m_synced(m_log.LastIndex()) {
   ResetElectionDeadline(now);
@@ -35,18 +35,21 @@
 // its data folder may still receive messages for its previous replica.
 template <typename Rules>
 void Raft<Rules>::OnMessage(const wire::FrameT& message, Instant now) {
-  const auto mine = [this](const auto* body) {
+  const auto addressed_to_self = [this](const auto* body) {
     return body != nullptr && body->to == m_self;
   };
   const wire::FrameBodyUnion& body = message.body;
-  if (mine(body.AsVoteRequest())) OnVoteRequest(*body.AsVoteRequest(), now);
-  if (mine(body.AsVoteReply())) OnVoteReply(*body.AsVoteReply(), now);
-  if (mine(body.AsAppendRequest()))
+  if (addressed_to_self(body.AsVoteRequest()))
+    OnVoteRequest(*body.AsVoteRequest(), now);
+  if (addressed_to_self(body.AsVoteReply()))
+    OnVoteReply(*body.AsVoteReply(), now);
+  if (addressed_to_self(body.AsAppendRequest()))
     OnAppendRequest(*body.AsAppendRequest(), now);
-  if (mine(body.AsAppendReply())) OnAppendReply(*body.AsAppendReply(), now);
-  if (mine(body.AsSnapshotPiece()))
+  if (addressed_to_self(body.AsAppendReply()))
+    OnAppendReply(*body.AsAppendReply(), now);
+  if (addressed_to_self(body.AsSnapshotPiece()))
     OnSnapshotPiece(*body.AsSnapshotPiece(), now);
-  if (mine(body.AsSnapshotReply()))
+  if (addressed_to_self(body.AsSnapshotReply()))
     OnSnapshotReply(*body.AsSnapshotReply(), now);
 }
 
@@ -65,7 +68,7 @@
     m_next_heartbeat = now + m_options.heartbeat;
     for (auto& [id, progress] : m_progress) {
       progress.probe_sent = false;  // the message may have been lost
-      progress.piece_sent = false;
+      progress.chunk_sent = false;
     }
     PromoteLearners(now);
     return StartRound(now);
@@ -90,8 +93,9 @@
 void Raft<Rules>::OnSynced(Instant now) {
   m_sync_under_way = false;
   m_synced = std::min(m_written, m_log.LastIndex());
-  for (auto& message : m_in_sync) m_messages.push_back(std::move(message));
-  m_in_sync.clear();
+  for (auto& message : m_messages_awaiting_sync)
+    m_messages.push_back(std::move(message));
+  m_messages_awaiting_sync.clear();
   if (m_role == NodeRole::kCandidate) CountVotes(now);
   if (m_role == NodeRole::kLeader) AdvanceCommit(now);
 }
@@ -142,13 +146,13 @@
 }
 
 template <typename Rules>
-Ready Raft<Rules>::TakeReady(size_t most_committed_bytes) {
+Ready Raft<Rules>::TakeReady(size_t max_committed_bytes) {
   if (m_role == NodeRole::kLeader) SendAppends();
   Ready ready;
   TakeWrites(ready);
   ready.messages = std::move(m_messages);
   m_messages.clear();
-  TakeCommitted(ready, most_committed_bytes);
+  TakeCommitted(ready, max_committed_bytes);
   TakeReads(ready);
   ready.leadership_changed = std::exchange(m_leadership_changed, false);
   return ready;
@@ -164,19 +168,20 @@
     ready.append.push_back(m_log.At(index));
   m_written = m_log.LastIndex();
   m_sync_under_way = m_sync_under_way || ready.HasWrites();
-  auto& queue = m_sync_under_way ? m_in_sync : m_messages;
-  for (auto& message : m_after_sync) queue.push_back(std::move(message));
-  m_after_sync.clear();
+  auto& queue = m_sync_under_way ? m_messages_awaiting_sync : m_messages;
+  for (auto& message : m_messages_for_next_sync)
+    queue.push_back(std::move(message));
+  m_messages_for_next_sync.clear();
 }
 
 template <typename Rules>
-void Raft<Rules>::TakeCommitted(Ready& ready, size_t most_bytes) {
+void Raft<Rules>::TakeCommitted(Ready& ready, size_t max_bytes) {
   // Excludes what a snapshot to install covers: `install` in the same Ready
   // applies it.
   size_t bytes = 0;
   const uint64_t end = std::min(m_commit, OwnMatch());
-  while (m_handed_out < end && bytes < most_bytes) {
-    const wire::LogEntryT& entry = m_log.At(++m_handed_out);
+  while (m_delivered < end && bytes < max_bytes) {
+    const wire::LogEntryT& entry = m_log.At(++m_delivered);
     bytes += entry.payload.size();
     ready.committed.push_back(entry);
   }
@@ -187,7 +192,7 @@
   if (m_reads.empty() || m_commit < m_term_start) return;
   const uint64_t confirmed = ConfirmedRound();
   std::erase_if(m_reads, [&](const PendingRead& read) {
-    if (read.round > confirmed || read.index > m_handed_out) return false;
+    if (read.round > confirmed || read.index > m_delivered) return false;
     ready.reads_confirmed.push_back(read.token);
     return true;
   });
--- a/src/dotterelshift/replication/schedule_world.h
+++ b/src/dotterelshift/replication/raft_simulation.h
@@ -1,5 +1,5 @@
-#ifndef DOTTERELSHIFT_REPLICATION_SCHEDULE_WORLD_H_
-#define DOTTERELSHIFT_REPLICATION_SCHEDULE_WORLD_H_
+#ifndef DOTTERELSHIFT_REPLICATION_RAFT_SIMULATION_H_
+#define DOTTERELSHIFT_REPLICATION_RAFT_SIMULATION_H_
 
 // Simulates a group of replicas under a seeded schedule of faults. For tests
 // only.
@@ -34,7 +34,7 @@
 
 // Counts of what a schedule exercised, so that a test can check that it
 // exercised enough.
-struct ScheduleCounts {
+struct RaftSimulationCounts {
   uint64_t committed = 0;
   uint64_t reads = 0;
   uint64_t leaders = 0;
@@ -49,9 +49,9 @@
 // partitions. Checked throughout: one leader per term, one history, no accepted
 // entry lost, no stale confirmed read, at most one lease at a time.
 template <typename Rules>
-class ScheduleWorld {
+class RaftSimulation {
  public:
-  explicit ScheduleWorld(uint64_t seed) : m_random(seed) {
+  explicit RaftSimulation(uint64_t seed) : m_random(seed) {
     for (size_t place = 0; place < kPlaces; ++place) {
       m_places[place].disk.self = ++m_last_id;
       wire::ReplicaT replica;
@@ -67,7 +67,7 @@
 
   // Runs the schedule, then ends all faults and checks that the group has every
   // accepted entry.
-  ScheduleCounts Run(int steps) {
+  RaftSimulationCounts Run(int steps) {
     for (int step = 0; step < steps; ++step) {
       Step();
       CheckLeases();
@@ -104,7 +104,7 @@
   void Start(Place& place) {
     NodeOptions options;
     options.seed = m_random();
-    options.snapshot_piece_bytes = 64;
+    options.snapshot_chunk_bytes = 64;
     options.max_append_bytes = 32;
     place.unsynced.reset();
     place.reads.clear();
@@ -154,12 +154,12 @@
       for (auto& [to, frame] : ready.messages)
         m_sent.push_back({place.disk.self, to, std::move(frame)});
       Apply(place, ready);
-      NoteLeader(place);
+      RecordLeader(place);
       if (ready.HasWrites()) place.unsynced = std::move(ready);
     }
   }
 
-  void NoteLeader(const Place& place) {
+  void RecordLeader(const Place& place) {
     if (place.node->Role() != NodeRole::kLeader) return;
     const uint64_t term = place.node->Term();
     const auto [leader, fresh] = m_leaders.emplace(term, place.disk.self);
@@ -405,9 +405,9 @@
   ReplicaId m_replacement = 0;
   State m_history;  // entries that any replica has applied
   std::map<uint64_t, ReplicaId> m_leaders;
-  ScheduleCounts m_counts;
+  RaftSimulationCounts m_counts;
 };
 
 }  // namespace dotterelshift::replication
 
-#endif  // DOTTERELSHIFT_REPLICATION_SCHEDULE_WORLD_H_
+#endif  // DOTTERELSHIFT_REPLICATION_RAFT_SIMULATION_H_
--- a/src/dotterelshift/replication/schedule_test.cc
+++ b/src/dotterelshift/replication/raft_simulation_test.cc
@@ -1,9 +1,9 @@
+#include "dotterelshift/replication/raft_simulation.h"  // for RaftSimulation
+
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include <iostream>  // for cout
 
-#include "dotterelshift/replication/schedule_world.h"  // for ScheduleWorld
-
 namespace dotterelshift::replication {
 namespace {
 
@@ -24,7 +24,7 @@
 std::string FirstViolation() {
   for (uint64_t seed = 1; seed <= kSchedules; ++seed) {
     try {
-      ScheduleWorld<Rules>(seed).Run(kSteps);
+      RaftSimulation<Rules>(seed).Run(kSteps);
     } catch (const Stall&) {
       continue;  // a failure as well, but of liveness, not of safety
     } catch (const Violation& violation) {
@@ -36,18 +36,18 @@
 
 class ScheduleTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ScheduleTest);
-  CPPUNIT_TEST(NothingAcceptedIsLost);
-  CPPUNIT_TEST(VoteWithoutLogCheckIsCaught);
-  CPPUNIT_TEST(AcknowledgementBeforeSyncIsCaught);
+  CPPUNIT_TEST(NoAcceptedEntryIsLost);
+  CPPUNIT_TEST(VoteWithoutLogCheckIsDetected);
+  CPPUNIT_TEST(AcknowledgementBeforeSyncIsDetected);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void NothingAcceptedIsLost() {
-    ScheduleCounts sum;
+  void NoAcceptedEntryIsLost() {
+    RaftSimulationCounts sum;
     for (uint64_t seed = 1; seed <= kSchedules; ++seed) {
-      ScheduleCounts counts;
+      RaftSimulationCounts counts;
       try {
-        counts = ScheduleWorld<StandardRules>(seed).Run(kSteps);
+        counts = RaftSimulation<StandardRules>(seed).Run(kSteps);
       } catch (const Violation& violation) {
         CPPUNIT_FAIL("seed " + std::to_string(seed) + ": " + violation.what());
       }
@@ -69,13 +69,13 @@
     CPPUNIT_ASSERT(sum.installs > kSchedules / 10);
   }
 
-  void VoteWithoutLogCheckIsCaught() {
+  void VoteWithoutLogCheckIsDetected() {
     const std::string violation = FirstViolation<VotesWithoutLogCheck>();
     CPPUNIT_ASSERT(!violation.empty());
     std::cout << "vote without log check: caught by " << violation << "\n";
   }
 
-  void AcknowledgementBeforeSyncIsCaught() {
+  void AcknowledgementBeforeSyncIsDetected() {
     const std::string violation = FirstViolation<AcknowledgesBeforeSync>();
     CPPUNIT_ASSERT(!violation.empty());
     std::cout << "acknowledge before sync: caught by " << violation << "\n";
--- a/src/dotterelshift/replication/raft_snapshot.h
+++ b/src/dotterelshift/replication/raft_snapshot.h
@@ -13,12 +13,12 @@
 
 template <typename Rules>
 void Raft<Rules>::OnSnapshotMade(uint64_t last_index) {
-  const uint64_t handed_out = std::min(last_index, m_handed_out);
-  uint64_t keep_from = handed_out;
+  const uint64_t delivered = std::min(last_index, m_delivered);
+  uint64_t keep_from = delivered;
   for (const auto& [id, progress] : m_progress) {
     const uint64_t needed =
         progress.snapshot ? progress.snapshot->meta.last_index : progress.match;
-    if (needed + kEntriesKeptForFollowers >= handed_out)
+    if (needed + kEntriesKeptForFollowers >= delivered)
       keep_from = std::min(keep_from, needed);
   }
   m_log.CompactTo(keep_from);
@@ -35,11 +35,11 @@
 }
 
 template <typename Rules>
-void Raft<Rules>::SendPiece(ReplicaId to, Progress& progress) {
-  if (progress.piece_sent) return;
+void Raft<Rules>::SendSnapshotChunk(ReplicaId to, Progress& progress) {
+  if (progress.chunk_sent) return;
   const SnapshotSource& source = *progress.snapshot;
   const size_t size =
-      std::min<size_t>(m_options.snapshot_piece_bytes,
+      std::min<size_t>(m_options.snapshot_chunk_bytes,
                        source.bytes->size() - progress.snapshot_offset);
   const auto begin = source.bytes->begin() +
                      static_cast<std::ptrdiff_t>(progress.snapshot_offset);
@@ -54,7 +54,7 @@
   piece.total = source.bytes->size();
   piece.data.assign(begin, begin + static_cast<std::ptrdiff_t>(size));
   piece.checksum = source.checksum;
-  progress.piece_sent = true;
+  progress.chunk_sent = true;
   Send(to, std::move(piece));
 }
 
@@ -66,7 +66,7 @@
                        m_leader == piece.from &&
                        piece.term == m_hard_state.term;
   if (!follows) BecomeFollower(piece.term, piece.from, now);
-  m_heard_leader = now;
+  m_last_leader_contact = now;
   ResetElectionDeadline(now);
   // Entries after the snapshot may have been acknowledged, so a log that
   // contains the snapshot's last entry is kept.
@@ -74,7 +74,8 @@
                           piece.last_index <= m_synced;
   if (holds_last) m_commit = std::max(m_commit, piece.last_index);
   if (piece.last_index <= m_commit)
-    return ReplyToPiece(piece.from, piece.last_index, piece.total, true);
+    return ReplyToSnapshotChunk(piece.from, piece.last_index, piece.total,
+                                true);
   const bool continues = m_incoming &&
                          m_incoming->meta.last_index == piece.last_index &&
                          m_incoming->meta.last_term == piece.last_term &&
@@ -92,16 +93,16 @@
     m_incoming->bytes.append(piece.data.begin(), piece.data.end());
   const uint64_t received = m_incoming->bytes.size();
   if (received < piece.total)
-    return ReplyToPiece(piece.from, piece.last_index, received, false);
+    return ReplyToSnapshotChunk(piece.from, piece.last_index, received, false);
   const std::string& bytes = m_incoming->bytes;
   const bool whole = received == piece.total &&
                      XXH3_64bits(bytes.data(), received) == piece.checksum;
   if (!whole) {
     m_incoming.reset();  // restart the transfer
-    return ReplyToPiece(piece.from, piece.last_index, 0, false);
+    return ReplyToSnapshotChunk(piece.from, piece.last_index, 0, false);
   }
   Install();
-  ReplyToPiece(piece.from, piece.last_index, piece.total, true);
+  ReplyToSnapshotChunk(piece.from, piece.last_index, piece.total, true);
 }
 
 template <typename Rules>
@@ -111,7 +112,7 @@
   // follow its last entry again.
   m_log.Reset(meta);
   m_commit = meta.last_index;
-  m_handed_out = m_commit;
+  m_delivered = m_commit;
   m_written = m_commit;
   m_synced = std::min(m_synced, m_commit);
   m_truncate_from.reset();
@@ -120,8 +121,8 @@
 }
 
 template <typename Rules>
-void Raft<Rules>::ReplyToPiece(ReplicaId to, uint64_t last_index,
-                               uint64_t next_offset, bool installed) {
+void Raft<Rules>::ReplyToSnapshotChunk(ReplicaId to, uint64_t last_index,
+                                       uint64_t next_offset, bool installed) {
   wire::SnapshotReplyT reply;
   reply.term = m_hard_state.term;
   reply.from = m_self;
@@ -151,7 +152,7 @@
   }
   progress.snapshot_offset =
       std::min<uint64_t>(reply.next_offset, progress.snapshot->bytes->size());
-  progress.piece_sent = false;
+  progress.chunk_sent = false;
 }
 
 }  // namespace dotterelshift::replication
--- a/src/dotterelshift/replication/snapshot_policy.cc
+++ b/src/dotterelshift/replication/snapshot_policy.cc
@@ -26,14 +26,15 @@
   m_snapshot_took = took;
 }
 
-bool SnapshotPolicy::IsDue(bool leads_others) const {
+bool SnapshotPolicy::IsDue(bool has_followers) const {
   const uint64_t quarters =
-      leads_others ? kLeaderFactor * kSteps : kSteps + m_self % kSteps;
-  const uint64_t bytes = std::max(
-      m_options.every_bytes, m_snapshot_bytes * m_options.log_per_snapshot);
+      has_followers ? kLeaderFactor * kSteps : kSteps + m_self % kSteps;
+  const uint64_t bytes =
+      std::max(m_options.min_log_bytes,
+               m_snapshot_bytes * m_options.log_to_snapshot_ratio);
   const Duration applying =
-      std::max(m_options.most_applying,
-               m_snapshot_took * m_options.applying_per_snapshot);
+      std::max(m_options.min_applying_time,
+               m_snapshot_took * m_options.applying_to_snapshot_ratio);
   return m_applied_bytes >= bytes / kSteps * quarters ||
          m_applying >= applying / kSteps * quarters;
 }
--- a/src/dotterelshift/replication/snapshot_policy_test.cc
+++ b/src/dotterelshift/replication/snapshot_policy_test.cc
@@ -9,14 +9,14 @@
 
 class SnapshotPolicyTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SnapshotPolicyTest);
-  CPPUNIT_TEST(BytesOfLogMakeOneDue);
-  CPPUNIT_TEST(TimeSpentOnApplyingMakesOneDue);
-  CPPUNIT_TEST(ALargeStateIsWrittenMoreRarely);
-  CPPUNIT_TEST(ReplicasComeToItAtDifferentTimes);
+  CPPUNIT_TEST(SnapshotIsDueAfterLogBytes);
+  CPPUNIT_TEST(SnapshotIsDueAfterApplyingTime);
+  CPPUNIT_TEST(LargeStateIsWrittenLessOften);
+  CPPUNIT_TEST(ReplicasTakeSnapshotsAtDifferentTimes);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void BytesOfLogMakeOneDue() {
+  void SnapshotIsDueAfterLogBytes() {
     SnapshotPolicy policy({}, 4);
     policy.OnApplied(4 * kMiB - 1, 0ms);
     CPPUNIT_ASSERT(!policy.IsDue(false));
@@ -30,7 +30,7 @@
   }
 
   // On a slow host, applying even a small log may take a long time.
-  void TimeSpentOnApplyingMakesOneDue() {
+  void SnapshotIsDueAfterApplyingTime() {
     SnapshotPolicy policy({}, 4);
     policy.OnApplied(1, 999ms);
     CPPUNIT_ASSERT(!policy.IsDue(false));
@@ -42,7 +42,7 @@
   }
 
   // Otherwise a large state would be written continually.
-  void ALargeStateIsWrittenMoreRarely() {
+  void LargeStateIsWrittenLessOften() {
     SnapshotPolicy policy({}, 4);
     policy.OnSnapshot(10 * kMiB, 500ms);
     policy.OnApplied(40 * kMiB - 1, 3999ms);
@@ -51,7 +51,7 @@
     CPPUNIT_ASSERT(policy.IsDue(false));
   }
 
-  void ReplicasComeToItAtDifferentTimes() {
+  void ReplicasTakeSnapshotsAtDifferentTimes() {
     for (ReplicaId self = 4; self < 8; ++self) {
       SnapshotPolicy policy({}, self);
       policy.OnApplied((self - 3) * kMiB + 3 * kMiB - 1, 0ms);
--- a/tools/explore/main.cc
+++ b/tools/explore/main.cc
@@ -8,21 +8,21 @@
 #include <exception>  // for exception
 #include <iostream>   // for cout
 
-#include "dotterelshift/replication/healing_world.h"  // for HealingWorld
+#include "dotterelshift/replication/membership_simulation.h"  // for MembershipSimulation
 
 namespace {
 
-using dotterelshift::replication::HealingCounts;
-using dotterelshift::replication::HealingRules;
-using dotterelshift::replication::HealingWorld;
+using dotterelshift::replication::MembershipSimulation;
+using dotterelshift::replication::MembershipSimulationCounts;
+using dotterelshift::replication::MembershipSimulationRules;
 using dotterelshift::replication::Violation;
 
 int Explore(uint64_t first, uint64_t schedules, int steps) {
-  HealingCounts sum;
+  MembershipSimulationCounts sum;
   uint64_t violations = 0;
   for (uint64_t seed = first; seed < first + schedules; ++seed) {
     try {
-      sum.Add(HealingWorld<HealingRules>(seed).Run(steps));
+      sum.Add(MembershipSimulation<MembershipSimulationRules>(seed).Run(steps));
     } catch (const Violation& violation) {
       ++violations;
       std::cout << "seed " << seed << ": " << violation.what() << "\n";
