--- a/include/dotterelshift/http/client.h
+++ b/include/dotterelshift/http/client.h
@@ -17,75 +17,77 @@
 
 namespace dotterelshift::http {
 
-// How a transfer ended.
+// Outcome of a transfer.
 enum class TransferEnd {
-  kWhole,          // the answer's own end mark was seen
-  kNotSent,        // no byte of the request left this host
-  kCutBeforeHead,  // some of the request left, no head came back
-  kCut,            // the answer broke off after its head
-  kTimedOut,       // the time given ran out
+  kWhole,          // the response is complete, as its framing says
+  kNotSent,        // the request was not sent
+  kCutBeforeHead,  // request sent in part or whole, no head received
+  kCut,            // the response ended early, after its head
+  kTimedOut,       // total_timeout expired
 };
 
 struct ClientRequest {
   std::string method = "POST";
-  std::string url;  // with an IP number, so that nothing is resolved
+  std::string url;  // the host is an IP address; names are not resolved
   Headers headers;
   std::string body;
   Duration connect_timeout = 1s;
-  Duration total_timeout = 0s;  // 0: none
+  Duration total_timeout = 0s;  // 0: no limit
 };
 
-// A request's bytes as they are handed to its connection.
+// Describes how a request was handed over to its connection.
 struct HandOver {
   size_t bytes = 0;
   bool new_connection = false;
-  Duration connected_in = 0s;  // of a new one: what it took to be made
+  Duration connected_in = 0s;  // time to connect; 0 for a reused connection
 };
 
-// What a transfer reports, on the loop's thread. None is called after Cancel().
-// Those that are empty are left out.
+// Callbacks of a transfer, called on the loop's thread and never after
+// Cancel(). Empty callbacks are skipped.
 struct TransferCallbacks {
-  // Just before the request is handed over; nothing may be started or cancelled
-  // from it.
+  // Called just before the request is handed over to its connection. Must not
+  // start or cancel transfers.
   std::function<void(const HandOver& what)> on_handed_over;
   std::function<void(int status, const Headers& headers)> on_head;
-  // Returns false to pause the transfer until Resume(); the piece is taken all
-  // the same.
+  // Returns false to pause the transfer until Resume(). The chunk counts as
+  // consumed in both cases.
   std::function<bool(std::string_view piece)> on_piece;
   std::function<void(TransferEnd end)> on_end;
 };
 
 using TransferId = uint64_t;
 
-// An HTTP/1.1 client on the loop (libcurl multi); keeps connections to reuse.
-// No callback comes from within Start() or Resume(). A request is sent at most
-// once: a kept connection that turns out to be closed ends the transfer.
+// An HTTP/1.1 client on the event loop (libcurl multi) that reuses connections.
+// Start() and Resume() never call back directly. A request is sent at most
+// once: if a reused connection turns out to be closed, the transfer ends.
 class Client {
  public:
   virtual ~Client() = default;
   virtual TransferId Start(ClientRequest request,
                            TransferCallbacks callbacks) = 0;
-  // Resets the transfer's connection: the other side sees the caller go, and
-  // what this host still holds of the request is not sent any more.
+  // Resets the transfer's connection, so that the server sees the client leave
+  // and the unsent bytes of the request are discarded.
   virtual void Cancel(TransferId transfer) = 0;
-  // Takes a transfer back while no byte of its request has been handed to a
-  // connection: then none ever will be, and nothing more is reported. False,
-  // and the transfer goes on, once any may have been, or when it has ended.
+  // Cancels a transfer if no byte of its request has been handed over to a
+  // connection; then nothing is sent and no callback follows. Returns false and
+  // lets the transfer continue if bytes may have been handed over, and false if
+  // it has ended.
   virtual bool Withdraw(TransferId transfer) = 0;
   virtual void Resume(TransferId transfer) = 0;
   virtual size_t OpenTransfers() const = 0;
-  // Bytes that were handed to a transfer's connection and that the other side
-  // has not acknowledged; none when it has no connection, or where the system
-  // does not say.
+  // Bytes written to the transfer's connection that the peer has not
+  // acknowledged. nullopt without a connection, or if the system does not
+  // report it.
   virtual std::optional<size_t> Unsent(TransferId transfer) const = 0;
-  // Of requests that have been handed to a connection, since the start.
+  // Bytes of all requests that were handed over to a connection since the
+  // client was created.
   virtual uint64_t BytesSent() const = 0;
 };
 
 struct ClientOptions {
-  // An idle connection older than this is not used again: engines commonly
-  // close theirs after five seconds, and a request sent into that close has an
-  // unknown outcome.
+  // Connections that were idle for longer are not reused: engines commonly
+  // close idle connections after five seconds, and a request sent while the
+  // server closes the connection has an unknown outcome.
   Duration max_idle = 3s;
 };
 
--- a/include/dotterelshift/http/event_bytes.h
+++ b/include/dotterelshift/http/event_bytes.h
@@ -6,8 +6,8 @@
 
 namespace dotterelshift::http {
 
-// End of the first server-sent event in the bytes, behind its empty line; npos
-// while the event is not whole.
+// Returns the offset just past the first server-sent event and its terminating
+// empty line, or npos while the event is incomplete.
 inline size_t EndOfEvent(std::string_view bytes) {
   size_t line = 0;
   while (true) {
--- a/include/dotterelshift/http/hop_headers.h
+++ b/include/dotterelshift/http/hop_headers.h
@@ -5,9 +5,9 @@
 
 namespace dotterelshift::http {
 
-// Headers without those that concern one connection only: the standard ones,
-// those that a Connection header names, and the framing of the body, which each
-// side writes for itself. Names are in lower case.
+// Returns the headers without the hop-by-hop ones: the standard set, those
+// named by a Connection header, and the body's framing, which each hop sets
+// itself. Header names must be in lower case.
 Headers WithoutHopHeaders(const Headers& headers);
 
 }  // namespace dotterelshift::http
--- a/include/dotterelshift/http/server.h
+++ b/include/dotterelshift/http/server.h
@@ -19,57 +19,58 @@
 
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-// Of the names and values.
+// Total size in bytes of all names and values.
 size_t BytesOf(const Headers& headers);
 
-// A request that has arrived whole.
+// A completely received request.
 struct Request {
   std::string method;
   std::string path;   // without the query
   std::string query;  // without the '?'
   Headers headers;    // names in lower case
   std::string body;
-  Instant begun{};    // when the head had come in
-  bool kept = false;  // its connection has carried a request before
+  Instant begun{};    // when the head was complete
+  bool kept = false;  // not the first request of its connection
 
-  // The value of a header by its lower-case name; empty when it is not there.
+  // Returns the value of a header by its lower-case name, empty if absent.
   std::string_view Header(std::string_view name) const;
 };
 
-// The server's side of one request and its answer. Every call is made on the
-// loop's thread; after the end or the caller's going the calls do nothing.
+// The server side of one request and its response. All calls are made on the
+// loop's thread. Calls after the end of the response, or after the caller has
+// disconnected, have no effect.
 class Exchange {
  public:
   virtual ~Exchange() = default;
   virtual const Request& GetRequest() const = 0;
 
-  // Answers with a whole body at once.
+  // Sends a complete response.
   virtual void Answer(int status, const Headers& headers, std::string body) = 0;
 
-  // Answers piece by piece: the head, any number of pieces, then Finish() for a
-  // proper end.
+  // Sends a response in chunks: the head, any number of chunks, then Finish()
+  // to end it properly.
   virtual void SendHead(int status, const Headers& headers) = 0;
   virtual void SendPiece(std::string_view piece) = 0;
   virtual void Finish() = 0;
 
-  // Ends the connection without the protocol's end mark, so that the caller
-  // sees that the answer is not whole.
+  // Closes the connection without the protocol's end mark, so that the caller
+  // can tell that the response is incomplete.
   virtual void Abort() = 0;
 
-  // Bytes handed over that the caller has not taken yet; the sender pauses
-  // above a bound of its own.
+  // Response bytes that have not been written to the connection yet. The sender
+  // should pause above a limit of its own.
   virtual size_t Backlog() const = 0;
 
-  // Called once when the caller has gone before the end; and each time the
-  // backlog has been taken.
+  // OnGone() sets a callback that is called once if the caller disconnects
+  // before the end of the response; OnDrained() sets one that is called each
+  // time the backlog becomes empty.
   virtual void OnGone(std::function<void()> callback) = 0;
   virtual void OnDrained(std::function<void()> callback) = 0;
 };
 
 using Handler = std::function<void(std::shared_ptr<Exchange>)>;
 
-// What a request that the server itself refuses is answered with (too large,
-// too slow, too many).
+// Why the server itself refuses a request, without calling the handler.
 enum class ServerRefusal {
   kHeadTooLarge,
   kBodyTooLarge,
@@ -77,53 +78,55 @@
   kSlowCaller,
 };
 
-// Told of connections that have not brought a request yet. Their first request
-// comes to the handler.
+// Called for connections that have not delivered a request yet. The first
+// request itself is reported by the handler.
 struct ConnectionCallbacks {
   std::function<void()> on_accepted;
   std::function<void()> on_turned_away;
-  std::function<void()> on_unused_end;  // ended without a request
+  std::function<void()> on_unused_end;  // closed without a request
 };
 
 struct ServerOptions {
-  std::string address = "127.0.0.1";  // an IP number
-  uint16_t port = 0;                  // 0: the system chooses
+  std::string address = "127.0.0.1";  // an IP address
+  uint16_t port = 0;                  // 0: chosen by the system
   size_t max_head_bytes = 4 << 10;
   size_t max_body_bytes = 8 << 20;
   size_t max_connections = 4096;
-  // Connections that the system holds until the server takes them.
+  // Maximum number of connections that the system queues for accept().
   int listen_backlog = 1024;
   Duration receive_timeout =
-      10s;  // for the whole head and body to arrive, and for idle connections
-  // Makes the body of the server's own refusals; empty: a bare status.
+      10s;  // to receive head and body, and for idle connections
+  // Returns status and body of the server's own refusals. If empty, they have a
+  // default status and no body.
   std::function<std::pair<int, std::string>(ServerRefusal)> refusal;
   ConnectionCallbacks connections;
 };
 
-// An HTTP/1.1 server on the loop (libmicrohttpd, no threads of its own).
+// An HTTP/1.1 server on the event loop (libmicrohttpd without threads).
 class Server {
  public:
   virtual ~Server() = default;
-  // The port it listens on.
+  // The listening port.
   virtual uint16_t Port() const = 0;
-  // Exchanges begun and not ended.
+  // Number of exchanges in progress.
   virtual size_t OpenExchanges() const = 0;
   virtual size_t OpenConnections() const = 0;
-  // Of requests' heads and bodies, as they come, since the start.
+  // Bytes of request heads and bodies received since the server was created,
+  // including those of incomplete requests.
   virtual uint64_t BytesReceived() const = 0;
-  // Takes no more connections; those open go on. Who connects is turned away by
-  // the system, before a request is sent.
+  // Stops listening; open connections continue. The system refuses new
+  // connections before their callers have sent a request.
   virtual void StopAccepting() = 0;
-  // Takes connections again, on the same port; false when it cannot now.
+  // Listens again on the same port. Returns false if that fails now.
   virtual bool ResumeAccepting() = 0;
-  // While on, closes connections as they come, unread, so that callers know
-  // that nothing has run and may ask elsewhere at once.
+  // While on, closes new connections without reading from them, so that callers
+  // know that nothing has run and can retry elsewhere at once.
   virtual void TurnAway(bool on) = 0;
-  // Ends connections that wait for their caller's next request.
+  // Closes keep-alive connections that are waiting for their next request.
   virtual void CloseIdle() = 0;
 };
 
-// Throws Error(kBadSettings) when the address cannot be bound.
+// Throws Error(kBadSettings) if the address cannot be bound.
 std::unique_ptr<Server> MakeServer(loop::Loop& loop,
                                    const ServerOptions& options,
                                    Handler handler);
--- a/include/dotterelshift/loop/loop.h
+++ b/include/dotterelshift/loop/loop.h
@@ -9,7 +9,7 @@
 
 namespace dotterelshift::loop {
 
-// The one event loop of a process. Everything runs on the thread that calls
+// The event loop of a process. All callbacks run on the thread that calls
 // Run().
 class Loop {
  public:
@@ -22,7 +22,7 @@
   void Run();
   void Stop();
 
-  // The monotonic clock, read now.
+  // Current time of the monotonic clock, not cached.
   Instant Now() const { return std::chrono::steady_clock::now(); }
 
   // Milliseconds since 1970.
@@ -36,12 +36,13 @@
   struct ev_loop* m_loop;
 };
 
-// Calls back while a descriptor is readable or writable. Does not own the
+// Calls back while a file descriptor is readable or writable. Does not own the
 // descriptor.
 class IoWatcher {
  public:
   using Callback = std::function<void(int events)>;
-  // `events` is EV_READ, EV_WRITE or both; 0 watches nothing until SetEvents().
+  // `events` is EV_READ, EV_WRITE or both; with 0, nothing is
+  // watched until SetEvents().
   IoWatcher(Loop& loop, int descriptor, int events, Callback callback);
   ~IoWatcher();
   IoWatcher(const IoWatcher&) = delete;
@@ -55,7 +56,7 @@
   Callback m_callback;
 };
 
-// Calls back once at an instant. The callback may arm it again or destroy it.
+// One-shot timer. The callback may rearm or destroy it.
 class Timer {
  public:
   using Callback = std::function<void()>;
@@ -74,13 +75,12 @@
   Callback m_callback;
 };
 
-// Calls back in each turn of the loop just before it waits, so that work of one
-// turn can be sent as a batch.
+// Calls back in each iteration of the loop, just before it waits for events, so
+// that the work of one iteration can be sent as a batch.
 class PrepareWatcher {
  public:
   using Callback = std::function<void()>;
-  // Of several, those of a higher priority (EV_MINPRI to EV_MAXPRI) are called
-  // first.
+  // Watchers with a higher priority (EV_MINPRI to EV_MAXPRI) are called first.
   PrepareWatcher(Loop& loop, Callback callback, int priority = 0);
   ~PrepareWatcher();
   PrepareWatcher(const PrepareWatcher&) = delete;
--- a/include/dotterelshift/loop/turn_watch.h
+++ b/include/dotterelshift/loop/turn_watch.h
@@ -10,8 +10,8 @@
 
 namespace dotterelshift::loop {
 
-// Calls back at the end of each turn of the loop that took at least `limit`:
-// for so long nothing was read and no timer was served.
+// Calls back at the end of each iteration of the loop that took at least
+// `limit`. During that time, no descriptor was read and no timer was served.
 class TurnWatch {
  public:
   using Callback = std::function<void(Duration took)>;
@@ -29,7 +29,7 @@
   Callback m_callback;
   Instant m_begin;
   ev_check m_begins;
-  PrepareWatcher m_ends;  // after all others
+  PrepareWatcher m_ends;  // lowest priority: called after all others
 };
 
 }  // namespace dotterelshift::loop
--- a/include/dotterelshift/storage/log_store.h
+++ b/include/dotterelshift/storage/log_store.h
@@ -15,25 +15,25 @@
   size_t segment_bytes = 64 << 20;
 };
 
-// What was found, besides the node's part.
+// The restored state of the data folder.
 struct OpenedStore {
   replication::RestoredLog log;
-  std::string snapshot;  // bytes of the state at log.snapshot.last_index
-  std::vector<std::string> spool;  // records of Spool that were not cleared
-  bool fresh = false;              // the folder was empty: a new replica
+  std::string snapshot;  // serialized state at log.snapshot.last_index
+  std::vector<std::string> spool;  // spool records that were not cleared
+  bool fresh = false;              // the folder was empty, the replica is new
 };
 
-// The data folder of a control replica: identity, hard state, checksummed
-// segments, snapshots, the spool of settlements. One process at a time. Errors
-// are Error(kStorageFull), (kStorageFailed) and (kStorageDamaged); after a
-// failed sync the store refuses everything, because what is on disk is no
-// longer known.
+// The data folder of a control replica: identity, hard state, checksummed log
+// segments, snapshots and the spool of settlements. Only one process can use it
+// at a time. Throws Error(kStorageFull), Error(kStorageFailed) and
+// Error(kStorageDamaged). After a failed sync, every operation fails, because
+// the contents of the disk are unknown.
 class LogStore {
  public:
   virtual ~LogStore() = default;
-  // Writes what a Ready asks for and syncs once. Returns when it is durable.
+  // Writes the contents of a Ready and syncs once. They are durable on return.
   virtual void Write(const replication::Ready& ready) = 0;
-  // Keeps a snapshot of the state, then drops the segments before it.
+  // Stores a snapshot of the state, then removes the segments that it covers.
   virtual void SaveSnapshot(const replication::SnapshotMeta& meta,
                             const std::string& bytes) = 0;
   virtual void AppendSpool(const std::string& record) = 0;  // durable on return
@@ -41,8 +41,8 @@
   virtual uint64_t LogBytes() const = 0;
 };
 
-// Opens or makes the folder. A torn tail is cut; a damaged middle throws
-// Error(kStorageDamaged) naming file and offset.
+// Opens or creates the folder. A torn write at the end of the log is truncated;
+// damage anywhere else throws Error(kStorageDamaged) with file and offset.
 std::pair<std::unique_ptr<LogStore>, OpenedStore> OpenLogStore(
     const LogStoreOptions& options);
 
--- a/src/dotterelshift/http/client.cc
+++ b/src/dotterelshift/http/client.cc
@@ -20,13 +20,13 @@
 namespace dotterelshift::http {
 namespace {
 
-// Connections kept for reuse.
+// Maximum number of idle connections kept for reuse.
 constexpr long kMaxIdleConnections = 4096;  // NOLINT(google-runtime-int)
 
-// Bytes read from a socket at a time; one such buffer for each open transfer.
+// Size of the receive buffer, one per open transfer.
 constexpr long kReadBuffer = 4 << 10;  // NOLINT(google-runtime-int)
 
-// Handles kept for the next transfers.
+// Maximum number of curl handles kept for reuse.
 constexpr size_t kMaxSpareHandles = 256;
 
 struct Transfer {
@@ -38,11 +38,11 @@
   int status = 0;
   Headers headers;
   bool head_received = false;
-  bool sent = false;  // the request may have left, in part or whole
-  uint64_t* bytes_sent = nullptr;  // of all transfers of the client
-  bool cancelled = false;  // no callback any more; removed when curl has
-                           // returned
-  curl_socket_t descriptor = CURL_SOCKET_BAD;  // that it uses, or used last
+  bool sent = false;  // the request may have been sent, in part or whole
+  uint64_t* bytes_sent = nullptr;  // total of the client
+  bool cancelled = false;          // no more callbacks; removed once curl has
+                                   // returned
+  curl_socket_t descriptor = CURL_SOCKET_BAD;  // used now or last
 };
 
 bool HasHeader(const Headers& headers, std::string_view name) {
@@ -65,7 +65,7 @@
     static const CURLcode initialized = curl_global_init(CURL_GLOBAL_DEFAULT);
     m_multi = curl_multi_init();
     if (initialized != CURLE_OK || m_multi == nullptr)
-      throw Error(ErrorKind::kInternal, "libcurl cannot be started");
+      throw Error(ErrorKind::kInternal, "libcurl initialization failed");
     curl_multi_setopt(m_multi, CURLMOPT_SOCKETFUNCTION, OnSocket);
     curl_multi_setopt(m_multi, CURLMOPT_SOCKETDATA, this);
     curl_multi_setopt(m_multi, CURLMOPT_TIMERFUNCTION, OnTimer);
@@ -88,8 +88,8 @@
     transfer->request = std::move(request);
     transfer->callbacks = std::move(callbacks);
     m_transfers.emplace(m_last_id, std::move(transfer));
-    // curl takes no new transfer from within its callbacks, and the caller
-    // expects no report before it has the number.
+    // Deferred: curl accepts no new transfer from within its callbacks, and the
+    // caller expects no callback before it has the id.
     m_to_start.push_back(m_last_id);
     m_later.ArmIn(0s);
     return m_last_id;
@@ -115,7 +115,7 @@
   }
 
   void Resume(TransferId id) override {
-    // Resuming hands over held pieces at once, so it waits for its own turn.
+    // Deferred: resuming delivers buffered chunks immediately.
     m_to_resume.push_back(id);
     m_later.ArmIn(0s);
   }
@@ -133,7 +133,7 @@
   uint64_t BytesSent() const override { return m_bytes_sent; }
 
  private:
-  // The callbacks of libcurl, with its types.
+  // Callbacks of libcurl.
   static int OnSocket(CURL* handle, curl_socket_t descriptor, int what,
                       void* self, void*) {
     auto& client = *static_cast<CurlClient*>(self);
@@ -177,8 +177,9 @@
     return size;
   }
 
-  // Called before the request is sent. curl would send it a second time when a
-  // kept connection turns out to be closed; the first may have run, so no.
+  // Called before the request is sent. curl would send the request a second
+  // time if a reused connection turns out to be closed. That is prevented here,
+  // because the server may have executed the first one.
   static int OnSending(void* self, char*, char*, int, int) {
     auto& transfer = *static_cast<Transfer*>(self);
     if (transfer.cancelled || std::exchange(transfer.sent, true))
@@ -231,8 +232,8 @@
     transfer.headers.emplace_back(std::move(name), std::string(line));
   }
 
-  // A paused transfer waits for nothing and still uses its descriptor: who
-  // used it last is known until it is closed.
+  // Records the last transfer that used a descriptor, until the descriptor is
+  // closed. A paused transfer polls for no events but still uses it.
   void NoteUser(CURL* handle, curl_socket_t descriptor, int what) {
     if (what == CURL_POLL_REMOVE) return;
     Transfer* transfer = nullptr;
@@ -249,15 +250,16 @@
     return transfer != m_transfers.end() && transfer->second->cancelled;
   }
 
-  // Whether the transfer still has the connection that it used last.
+  // Whether the transfer still owns the connection that it used last.
   bool Uses(const Transfer& transfer) const {
     const auto user = m_users.find(transfer.descriptor);
     return user != m_users.end() && user->second == transfer.id;
   }
 
-  // The connection of a cancelled transfer is reset, not closed in order: what
-  // this host still holds of the request, as on a full link, would go out first
-  // and be run for a caller who has left.
+  // Makes the close of a cancelled transfer's connection a reset. After an
+  // orderly close, the system would still send the buffered bytes of the
+  // request (many when the link is full), and the server would run it for a
+  // caller that has left.
   static void DropUnsent(curl_socket_t descriptor) {
     const linger at_once{.l_onoff = 1, .l_linger = 0};
     setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
@@ -268,8 +270,8 @@
                            ? 0
                            : ((what & CURL_POLL_IN) != 0 ? EV_READ : 0) |
                                  ((what & CURL_POLL_OUT) != 0 ? EV_WRITE : 0);
-    // Watchers stay with their descriptor's number: they are never destroyed
-    // while they call back.
+    // Watchers are kept per descriptor number and never removed, so that none
+    // is destroyed during its own callback.
     auto& watcher = m_watchers[descriptor];
     if (watcher) {
       watcher->SetEvents(events);
@@ -292,7 +294,7 @@
     TakeEnded();
   }
 
-  // What had to wait until curl was not running.
+  // Runs the work that was deferred because curl cannot be called recursively.
   void RunLater() {
     for (const TransferId id : std::exchange(m_to_start, {})) Begin(id);
     for (const TransferId id : std::exchange(m_to_resume, {})) {
@@ -363,9 +365,9 @@
       transfer.header_list =
           curl_slist_append(transfer.header_list, line.c_str());
     }
-    // No waiting for the server's leave to send the body.
+    // Send the body without waiting for "100 Continue".
     transfer.header_list = curl_slist_append(transfer.header_list, "Expect:");
-    // Headers that curl would add of itself are the request's to set.
+    // Suppress headers that curl would add by default.
     for (const char* own : {"accept", "content-type"}) {
       if (HasHeader(request.headers, own)) continue;
       line.assign(own).append(":");
@@ -423,8 +425,9 @@
   void Remove(TransferId id) {
     const auto found = m_transfers.find(id);
     if (found == m_transfers.end()) return;
-    // Known while its connection is closed, and kept until its callbacks, one
-    // of which may be running, have returned.
+    // OnClose() looks the transfer up while its connection is closed, so it is
+    // freed before it is removed from the map. The object itself outlives its
+    // callbacks, one of which may be running.
     Free(*found->second);
     const auto kept = m_transfers.extract(found);
   }
@@ -453,7 +456,7 @@
   std::unordered_map<TransferId, std::unique_ptr<Transfer>> m_transfers;
   std::unordered_map<curl_socket_t, std::unique_ptr<loop::IoWatcher>>
       m_watchers;
-  // Which transfer used a connection last, by its descriptor.
+  // The last transfer of each connection, by descriptor.
   std::unordered_map<curl_socket_t, TransferId> m_users;
   std::vector<TransferId> m_to_start;
   std::vector<TransferId> m_to_resume;
--- a/src/dotterelshift/http/exchange.cc
+++ b/src/dotterelshift/http/exchange.cc
@@ -7,11 +7,12 @@
 namespace dotterelshift::http {
 namespace {
 
-// A drained buffer larger than this is given back.
+// Memory of a drained buffer above this size is released.
 constexpr size_t kKeptBuffer = 32 << 10;
 
-// The library's buffer for answers to callers that know no chunks, one for each
-// answer; chunks are read into the connection's memory.
+// Size of the library's buffer for a streamed response to a caller without
+// chunked encoding, one per response. Chunks are read into the connection's own
+// memory instead.
 constexpr size_t kReadBlock = 1 << 10;
 
 }  // namespace
--- a/src/dotterelshift/http/exchange.h
+++ b/src/dotterelshift/http/exchange.h
@@ -13,12 +13,13 @@
 
 namespace dotterelshift::http {
 
-// One request over libmicrohttpd. The connection is suspended while there is
-// nothing to do for it, so that the server does not spin.
+// An exchange over libmicrohttpd. The connection is suspended while it has
+// nothing to send, so that the server does not busy-loop.
 class MhdExchange : public Exchange,
                     public std::enable_shared_from_this<MhdExchange> {
  public:
-  // `want_run` has the library run soon, as a resumed connection needs.
+  // `want_run` schedules a run of the library, which a resumed connection
+  // needs.
   MhdExchange(MHD_Connection* connection, std::function<void()> want_run)
       : m_connection(connection), m_want_run(std::move(want_run)) {}
 
@@ -34,14 +35,14 @@
 
   Request& MutableRequest() { return m_request; }
 
-  // Called from the server's access callback once the request has arrived:
-  // queues the answer when there is one, else suspends the connection.
+  // Called from the server's access callback once the request is complete.
+  // Queues the response if there is one, otherwise suspends the connection.
   MHD_Result Continue();
 
-  // The caller has closed its side before the answer's end.
+  // The caller has disconnected before the end of the response.
   void CallerGone();
 
-  // The library has ended the request; the connection is not touched again.
+  // The library has ended the request; the connection must not be used again.
   void Detach(bool whole);
 
  private:
--- a/src/dotterelshift/http/hop_headers.cc
+++ b/src/dotterelshift/http/hop_headers.cc
@@ -21,7 +21,7 @@
                                                           "proxy-connection",
                                                           "content-length"};
 
-// The names in the values of Connection headers.
+// Header names listed in the values of Connection headers.
 std::set<std::string> NamedByConnection(const Headers& headers) {
   std::set<std::string> named;
   for (const auto& [name, value] : headers) {
--- a/src/dotterelshift/http/listener.cc
+++ b/src/dotterelshift/http/listener.cc
@@ -13,10 +13,11 @@
 namespace dotterelshift::http {
 namespace {
 
-// Without descriptors to spare, connections are looked at again after this.
+// Delay before accept() is retried after an error such as running out of file
+// descriptors.
 constexpr Duration kAcceptAgain = 100ms;
 
-// Reads an IP number; throws when it is none.
+// Parses an IP address. Throws Error(kBadSettings) if it is not valid.
 SocketAddress ParseAddress(const std::string& text) {
   SocketAddress address{};
   if (inet_pton(AF_INET, text.c_str(), &address.v4.sin_addr) == 1) {
@@ -24,7 +25,7 @@
   } else if (inet_pton(AF_INET6, text.c_str(), &address.v6.sin6_addr) == 1) {
     address.v6.sin6_family = AF_INET6;
   } else {
-    throw Error(ErrorKind::kBadSettings, "not an IP number: " + text);
+    throw Error(ErrorKind::kBadSettings, "not an IP address: " + text);
   }
   return address;
 }
@@ -44,7 +45,8 @@
   return ntohs(IsV6(bound) ? bound.v6.sin6_port : bound.v4.sin_port);
 }
 
-// One connection was lost; the next may be sound.
+// Whether an accept() error concerns only one connection, so that the next call
+// may succeed.
 bool IsOfOneConnection(int error) {
   return error == EINTR || error == ECONNABORTED || error == EPROTO;
 }
@@ -71,7 +73,7 @@
   m_descriptor = ::socket(m_address.any.sa_family,
                           SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (m_descriptor < 0) return false;
-  // Connections that are open do not hold the address.
+  // Allow binding while connections of an earlier socket are still open.
   const int on = 1;
   ::setsockopt(m_descriptor, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (::bind(m_descriptor, &m_address.any, SizeOf(m_address)) != 0 ||
--- a/src/dotterelshift/http/listener.h
+++ b/src/dotterelshift/http/listener.h
@@ -12,36 +12,36 @@
 
 namespace dotterelshift::http {
 
-// An address of either family.
+// An IPv4 or IPv6 address.
 union SocketAddress {
   sockaddr any;
   sockaddr_in v4;
   sockaddr_in6 v6;
 };
 
-// Takes connections on one address, and can stop listening for a while. While
-// it does not listen, the system turns callers away before they have sent a
-// byte of a request, and they may ask elsewhere at once.
+// Accepts connections on one address; listening can be paused. While it is
+// paused, the system refuses connections before their callers have sent any
+// byte of a request, so that they can retry elsewhere at once.
 class Listener {
  public:
-  // Takes over a connection that has come, from `peer`.
+  // Receives an accepted connection from `peer` and takes over its descriptor.
   using OnConnection =
       std::function<void(int descriptor, const SocketAddress& peer)>;
 
-  // Listens from the start; port 0: the system chooses. Throws
-  // Error(kBadSettings) when the address cannot be bound.
+  // Starts listening at once; with port 0, the system chooses the port. Throws
+  // Error(kBadSettings) if the address cannot be bound.
   Listener(loop::Loop& loop, const std::string& address, uint16_t port,
            int backlog, OnConnection on_connection);
   ~Listener() { Close(); }
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  // Stays the same while it does not listen.
+  // The port, which stays the same while listening is paused.
   uint16_t Port() const { return m_port; }
 
-  // Takes what has connected already, then listens no more.
+  // Accepts the connections that are already queued, then stops listening.
   void Pause();
-  // Listens again; false when the address cannot be bound now.
+  // Listens again. Returns false if the address cannot be bound now.
   bool Resume();
 
  private:
--- a/src/dotterelshift/http/server.cc
+++ b/src/dotterelshift/http/server.cc
@@ -22,37 +22,39 @@
 namespace dotterelshift::http {
 namespace {
 
-// Memory of one connection in the library, as a multiple of the largest head:
-// bounds the head, and the block of an answer that is written at once. Heads
-// above the largest are refused in words; above this memory the library itself
-// refuses them.
+// Memory of a connection in the library, as a multiple of max_head_bytes. It
+// limits the head and the block of a response that is written at once. Heads
+// above max_head_bytes get the server's refusal response; heads that exceed
+// this memory are refused by the library itself.
 constexpr size_t kMemoryPerHead = 2;
 
-// Connections above the bound that are accepted to be refused in words.
+// Connections above max_connections that are accepted only to send them a
+// refusal response.
 constexpr size_t kSpareConnections = 64;
 
-// A body past its bound is read and dropped up to this many times the bound, so
-// that its caller can read the refusal.
+// A body above max_body_bytes is read and discarded up to this multiple of the
+// limit, so that its caller can read the refusal.
 constexpr size_t kDroppedBodies = 4;
 
-// The library's own state of one connection.
+// State of a connection, stored as its socket context in the library.
 struct Connection {
   MHD_Connection* handle = nullptr;
   int descriptor = -1;
-  bool over_limit = false;  // accepted only to be refused
+  bool over_limit = false;  // accepted only to send a refusal
   bool caller_closed = false;
   bool head_begun = false;
-  std::string uri;  // of the request being received, as it was sent
+  std::string uri;  // of the current request, not decoded
   std::shared_ptr<MhdExchange> exchange;
   size_t body_bytes = 0;
-  bool used = false;  // has carried a request to its end
+  bool used = false;  // has completed a request
   bool refused = false;
   bool handed_over = false;      // to the handler
-  bool any_handed_over = false;  // this request or one before it
+  bool any_handed_over = false;  // this request or an earlier one
 
   Instant receive_deadline;
   bool receiving = false;
-  std::list<Connection*>::iterator position;  // while receiving
+  std::list<Connection*>::iterator
+      position;  // in m_receiving; valid while receiving
 };
 
 MHD_Result AddHeader(void* headers, MHD_ValueKind, const char* name,
@@ -65,7 +67,7 @@
   return MHD_YES;
 }
 
-// The path stays as it was sent: what is escaped is the endpoint's to read.
+// Leaves percent-encoding in the path, because the endpoint decodes it.
 size_t KeepEscapes(void*, MHD_Connection*, char* text) {
   return std::strlen(text);
 }
@@ -99,7 +101,8 @@
     m_daemon_watcher.reset();
     m_ends_watcher.reset();
     for (Connection* connection : m_connections) {
-      // Aborting resumes what is suspended, as stopping needs.
+      // Aborting resumes suspended connections, which MHD_stop_daemon()
+      // requires.
       if (connection->exchange) {
         connection->exchange->OnGone(nullptr);
         connection->exchange->Abort();
@@ -130,7 +133,7 @@
 
  private:
   void StartDaemon() {
-    // The library gets its connections from the listener.
+    // Connections come from the listener, so the library opens no socket.
     constexpr unsigned kFlags =
         MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME | MHD_USE_NO_LISTEN_SOCKET;
     const auto idle_seconds = static_cast<unsigned>(
@@ -149,10 +152,10 @@
         KeepEscapes, nullptr, MHD_OPTION_SIGPIPE_HANDLED_BY_APP, 1,
         MHD_OPTION_END);
     if (m_daemon == nullptr)
-      throw Error(ErrorKind::kInternal, "libmicrohttpd cannot be started");
+      throw Error(ErrorKind::kInternal, "libmicrohttpd failed to start");
   }
 
-  // The library closes a connection that it does not take.
+  // The library closes the descriptor if it does not accept the connection.
   void AddConnection(int descriptor, const SocketAddress& peer) {
     if (m_turns_away) {
       ::close(descriptor);
@@ -166,12 +169,13 @@
     WantRun();
   }
 
-  // Has the library run before the loop waits, in this turn or the next one.
+  // Schedules a run of the library before the loop waits, in this iteration or
+  // the next one.
   void WantRun() {
     if (!std::exchange(m_run_wanted, true)) m_timer.ArmIn(0s);
   }
 
-  // Runs the library while it asks for it, just before the loop waits.
+  // Runs the library if a run is scheduled, just before the loop waits.
   void RunDaemon() {
     if (!std::exchange(m_run_wanted, false)) return;
     MHD_run(m_daemon);
@@ -212,8 +216,8 @@
     const auto& on_accepted = m_options.connections.on_accepted;
     if (on_accepted) on_accepted();
     StartReceiving(*connection);
-    // Only the caller's end is watched, once and by its edge; data is the
-    // library's.
+    // Watch only for the caller closing its side, edge-triggered. The library
+    // watches for data.
     epoll_event event{};
     event.events = EPOLLRDHUP | EPOLLET;
     event.data.ptr = connection;
@@ -230,8 +234,8 @@
     delete connection;
   }
 
-  // Callers that have closed their side: an exchange in flight ends at once,
-  // also when the library does not read its connection.
+  // Handles callers that have closed their side: an exchange in flight ends at
+  // once, even if the library is not reading its connection.
   void TakeEnds() {
     std::array<epoll_event, 64> events;
     const int count =
@@ -239,7 +243,7 @@
     for (int i = 0; i < count; ++i) {
       auto* connection = static_cast<Connection*>(events.at(i).data.ptr);
       connection->caller_closed = true;
-      // Kept while its callbacks run.
+      // Keeps the exchange alive during its callbacks.
       const std::shared_ptr<MhdExchange> exchange = connection->exchange;
       if (exchange && !connection->receiving) exchange->CallerGone();
     }
@@ -267,7 +271,7 @@
       return server.OnBody(connection, std::string_view(data, taken));
     }
     if (connection.receiving) return server.OnWhole(connection);
-    // What still comes of a request that was too slow is not handed over.
+    // A request that exceeded the receive timeout is not handed over.
     if (!connection.handed_over) return MHD_NO;
     return connection.exchange->Continue();
   }
@@ -364,7 +368,7 @@
     return {MHD_HTTP_SERVICE_UNAVAILABLE, ""};
   }
 
-  // Answers in the server's own name and closes the connection.
+  // Sends one of the server's own refusals and closes the connection.
   MHD_Result Refuse(Connection& connection, ServerRefusal refusal) {
     connection.refused = true;
     auto [status, body] = RefusalOf(refusal);
@@ -381,8 +385,8 @@
     return queued;
   }
 
-  // A connection receives from its begin, or from the end of a request, until
-  // the next request is whole.
+  // A connection is receiving from its start, or from the end of a request,
+  // until the next request is complete.
   void StartReceiving(Connection& connection) {
     connection.receive_deadline = m_loop.Now() + m_options.receive_timeout;
     connection.receiving = true;
@@ -396,7 +400,7 @@
     m_receiving.erase(connection.position);
   }
 
-  // All wait for the same time, so the oldest stands first.
+  // All connections have the same timeout, so the list is ordered by deadline.
   void EndSlowOnes() {
     const Instant now = m_loop.Now();
     while (!m_receiving.empty() &&
@@ -409,8 +413,8 @@
       m_receive_timer.ArmAt(m_receiving.front()->receive_deadline);
   }
 
-  // The library does not answer a request that has not arrived whole: the
-  // refusal is written past it, on a connection that ends with it.
+  // The library cannot respond to an incomplete request, so the refusal is
+  // written directly to the socket, which is then shut down.
   void EndSlow(Connection& slow) {
     if (slow.head_begun && !slow.refused) {
       const auto [status, body] = RefusalOf(ServerRefusal::kSlowCaller);
--- a/src/dotterelshift/loop/loop.cc
+++ b/src/dotterelshift/loop/loop.cc
@@ -9,7 +9,7 @@
 
 Loop::Loop() : m_loop(ev_loop_new(EVFLAG_AUTO)) {
   if (m_loop == nullptr)
-    throw Error(ErrorKind::kInternal, "no event loop can be made");
+    throw Error(ErrorKind::kInternal, "cannot create the event loop");
 }
 
 Loop::~Loop() { ev_loop_destroy(m_loop); }
@@ -54,8 +54,9 @@
 
 void Timer::ArmIn(Duration delay) {
   Cancel();
-  // libev counts a timer from the start of the loop's turn, so the time spent
-  // in this turn is added.
+  // libev starts timers from its cached time, the start of the iteration.
+  // Update it, so that time already spent in this iteration does not shorten
+  // the delay.
   const double seconds =
       std::max(0., std::chrono::duration<double>(delay).count());
   ev_timer_set(&m_watcher, seconds, 0.);
