--- a/include/dotterelshift/loop/loop.h
+++ b/include/dotterelshift/loop/loop.h
@@ -41,8 +41,8 @@
 class IoWatcher {
  public:
   using Callback = std::function<void(int events)>;
-  // `events` is EV_READ, EV_WRITE or both; with 0, nothing is
-  // watched until SetEvents().
+  // `events` is EV_READ, EV_WRITE or both; with 0, nothing is watched until
+  // SetEvents().
   IoWatcher(Loop& loop, int descriptor, int events, Callback callback);
   ~IoWatcher();
   IoWatcher(const IoWatcher&) = delete;
--- a/src/dotterelshift/http/hang_up_test.cc
+++ b/src/dotterelshift/http/hang_up_test.cc
@@ -1,5 +1,5 @@
-// A caller hangs up in each phase of its request: the server is told by the
-// connection itself, at once, not by a bound on time or by a failed write.
+// Callers disconnect in each phase of their request. The server must detect it
+// from the connection at once, not by a timeout or a failed write.
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include <array>       // for array
@@ -15,12 +15,12 @@
 namespace dotterelshift::http {
 namespace {
 
-// Far above what an event on loopback takes, far below the server's own times.
+// Far above the time of an event on loopback, far below the server's timeout.
 constexpr Duration kGuard = 10s;
 constexpr Duration kServersTime = std::chrono::hours(1);
 
-// What the kernel takes for a caller that reads nothing, and a stream that is
-// well above that and what it takes on the server's side.
+// Receive buffer of a caller that does not read, and a stream far larger than
+// the kernel's buffers on both sides.
 constexpr int kSmallBuffer = 4 << 10;
 constexpr size_t kLongStream = 16 << 20;
 
@@ -84,8 +84,8 @@
     });
   }
 
-  // The server finds the request and its caller's going together: it is either
-  // not handed over, or reported as gone.
+  // The server sees the complete request and the disconnect together. The
+  // request is either not handed over, or its caller is reported as gone.
   void TogetherWithTheLastByte() {
     ForEachWay([this](Way way) {
       TestConnection caller(m_server->Port());
@@ -141,7 +141,8 @@
     });
   }
 
-  // Nothing can be written, so that no write tells of the caller's going.
+  // The kernel's buffers are full, so no failed write can reveal the
+  // disconnect.
   void WithABacklogThatIsNotTaken() {
     ForEachWay([this](Way way) {
       TestConnection caller(m_server->Port(), kSmallBuffer);
@@ -152,7 +153,8 @@
       RunUntilNothingIsTaken();
       HangUp(caller, way);
       RunUntil([this] { return m_gone == 1; });
-      // A caller that has closed one side only holds the connection open.
+      // A caller that has closed only its sending side keeps the connection
+      // open.
       caller.Close();
       ExpectAllEnded(1, 1);
     });
@@ -168,8 +170,9 @@
     });
   }
 
-  // The first answer is there when its caller goes; the second request, already
-  // read, is handed over and reported, or not handed over.
+  // The first response is ready when the caller disconnects. The second
+  // request, already read, is either not handed over, or its caller is reported
+  // as gone.
   void BetweenTheAnswerAndTheRequestBehindIt() {
     ForEachWay([this](Way way) {
       TestConnection caller(m_server->Port());
@@ -184,7 +187,7 @@
     });
   }
 
-  // More than the system reports in one call.
+  // More disconnects than one epoll_wait() call returns.
   void ManyAtOnce() {
     constexpr int kCallers = 300;
     ForEachWay([this](Way way) {
@@ -227,8 +230,8 @@
     }
   }
 
-  // All connections end; so many requests were handed over, and of so many the
-  // caller's going is reported, each once.
+  // Expects that all connections end, that `handled` requests were handed over,
+  // and that `gone` callers were reported as gone, each once.
   void ExpectAllEnded(int handled, int gone) {
     RunUntil([&] { return m_gone >= gone; });
     RunUntil([this] { return m_server->OpenConnections() == 0; });
@@ -246,7 +249,7 @@
     CPPUNIT_ASSERT(backlog > 0);
   }
 
-  // The loop turns without waiting: the callers are not on it.
+  // Runs the loop without blocking, because the callers' sockets are not on it.
   void RunUntil(const std::function<bool()>& condition) {
     const Instant begin = m_loop.Now();
     while (!condition()) {
@@ -255,7 +258,7 @@
     }
   }
 
-  // Lets what is due be done, without waiting for more.
+  // Processes pending events without blocking.
   void Turn() {
     constexpr int kTurns = 20;
     for (int i = 0; i < kTurns; ++i) ev_run(m_loop.Raw(), EVRUN_NOWAIT);
--- a/src/dotterelshift/http/http_test.cc
+++ b/src/dotterelshift/http/http_test.cc
@@ -11,7 +11,7 @@
 namespace dotterelshift::http {
 namespace {
 
-// What a client saw of one transfer.
+// The callbacks' results of one transfer.
 struct Seen {
   int status = 0;
   Headers headers;
@@ -144,8 +144,9 @@
     CPPUNIT_ASSERT_EQUAL(1, m_gone);
   }
 
-  // A peer that reads nothing stands for a full link: most of the request lies
-  // in this host. Closed in order, it would still go out, and be run.
+  // A peer that does not read stands in for a full link: most of the request is
+  // still buffered on this host. After an orderly close, it would still be sent
+  // and run.
   void CancelDropsWhatThisHostStillHolds() {
     const TestListener listener(1);
     m_port = listener.Port();
@@ -269,7 +270,7 @@
     m_port = m_server->Port();
   }
 
-  // Keeps the exchange for the test to answer.
+  // Keeps the exchange, so that the test can respond later.
   void ServeKeeping() {
     Serve([this](const std::shared_ptr<Exchange>& exchange) {
       m_kept = exchange;
@@ -304,13 +305,13 @@
     m_transfer = m_client->Start(std::move(request), std::move(callbacks));
   }
 
-  // Turns the loop until the condition holds.
+  // Runs the loop until the condition holds.
   template <typename Condition>
   void RunUntil(const Condition& condition) {
     while (!condition()) ev_run(m_loop.Raw(), EVRUN_ONCE);
   }
 
-  // Lets what is due be done, without waiting for more.
+  // Processes pending events without blocking.
   void Turn() {
     constexpr int kTurns = 20;
     for (int i = 0; i < kTurns; ++i) ev_run(m_loop.Raw(), EVRUN_NOWAIT);
--- a/src/dotterelshift/http/server_bounds_test.cc
+++ b/src/dotterelshift/http/server_bounds_test.cc
@@ -13,8 +13,8 @@
 
 constexpr size_t kMaxBody = 1000;
 
-// What a caller sends, and what has to stand in the answer; the connection is
-// closed by the server in each case.
+// What a caller sends, and the texts that the response must contain. The server
+// closes the connection in each case.
 struct Row {
   std::string name;
   std::string sent;
@@ -29,16 +29,16 @@
   const std::string not_run = "Dotterelshift-Ran: no";
   return {
       {"nothing sent", "", {}},
-      {"half a head",
+      {"incomplete head",
        "POST /v1/x HTTP/1.1\r\nHost: h\r\n",
        {"HTTP/1.1 408", not_run, "Retry-After: 1", "\"slow_caller\""}},
-      {"half a body",
+      {"incomplete body",
        Head("Content-Length: 10\r\n") + "half",
        {"HTTP/1.1 408", not_run, "Retry-After: 1", "\"slow_caller\""}},
-      {"body past the bound",
+      {"body over the limit",
        Head("Content-Length: 1001\r\n"),
        {"HTTP/1.1 413", not_run, "\"body_too_large\""}},
-      {"chunked body past the bound",
+      {"chunked body over the limit",
        Head("Transfer-Encoding: chunked\r\nConnection: close\r\n") + "5dc\r\n" +
            std::string(1500, 'x') + "\r\n0\r\n\r\n",
        {"HTTP/1.1 413", not_run, "\"body_too_large\""}},
@@ -46,13 +46,13 @@
        Head("Transfer-Encoding: chunked\r\n") + "ffff\r\n" +
            std::string(0xffff, 'x'),
        {}},
-      {"head past the bound",
+      {"head over the limit",
        Head("X-Long: " + std::string(5000, 'x') + "\r\nConnection: close\r\n"),
        {"HTTP/1.1 400", not_run, "\"bad_header\""}},
-      {"head past the library's memory",
+      {"head over the library's memory",
        Head("X-Long: " + std::string(40000, 'x') + "\r\n"),
        {"HTTP/1.1 4"}},
-      {"no HTTP at all", "what is this\r\n\r\n", {}},
+      {"not HTTP", "what is this\r\n\r\n", {}},
   };
 }
 
@@ -127,7 +127,7 @@
     Serve(16, 10s);
     m_keep = true;
     TestConnection caller(m_server->Port());
-    // What follows the request must not hide the end.
+    // Bytes after the request must not hide the disconnect.
     caller.Send(Head("Content-Length: 0\r\n") + "POST /next HTTP/1.1\r\n");
     RunUntil([this] { return m_handled == 1; });
     CPPUNIT_ASSERT_EQUAL(0, m_gone);
@@ -164,7 +164,7 @@
     CPPUNIT_ASSERT(caller.Has("still here"));
   }
 
-  // Guards against callers who wait for an entry that does not take them.
+  // Callers must not be left waiting for an entry that does not accept them.
   void TurnsCallersAwayUnreadAndComesBackOnItsPort() {
     Serve(16, 10s);
     const uint16_t port = m_server->Port();
@@ -210,7 +210,7 @@
     CPPUNIT_ASSERT_EQUAL(1, m_unused_ends);
   }
 
-  // A request that is under way, in either direction, is not cut.
+  // A connection with a request or response in progress is not closed.
   void CloseIdleEndsOnlyWhatWaitsForANextRequest() {
     Serve(16, 10s);
     TestConnection idle(m_server->Port());
@@ -260,7 +260,7 @@
             [this] { ++m_unused_ends; }};
   }
 
-  // The loop turns without waiting: the callers are not on it.
+  // Runs the loop without blocking, because the callers' sockets are not on it.
   template <typename Condition>
   void RunUntil(const Condition& condition) {
     while (!condition()) ev_run(m_loop.Raw(), EVRUN_NOWAIT);
--- a/src/dotterelshift/http/test_connection.h
+++ b/src/dotterelshift/http/test_connection.h
@@ -14,12 +14,12 @@
 
 namespace dotterelshift::http {
 
-// A caller of the tests that speaks bytes, and can do what no library would:
-// send half a head, or stop reading.
+// A caller on a raw socket, for tests. It can do what an HTTP library would
+// not, such as sending an incomplete head or not reading.
 class TestConnection {
  public:
-  // `receive_buffer` bounds what the kernel takes for a caller that does not
-  // read; 0 leaves it.
+  // `receive_buffer` limits the bytes that the kernel buffers while the caller
+  // does not read; 0 keeps the system's default.
   explicit TestConnection(uint16_t port, int receive_buffer = 0)
       : m_socket(::socket(AF_INET, SOCK_STREAM, 0)) {
     if (receive_buffer > 0) {
@@ -45,7 +45,7 @@
       m_closed = true;
   }
 
-  // Takes what has arrived without waiting.
+  // Reads the received bytes without blocking.
   void Receive() {
     std::array<char, 64 << 10> buffer;
     while (!m_closed) {
@@ -65,10 +65,10 @@
     m_socket = -1;
   }
 
-  // Ends its sending side alone.
+  // Closes only the sending side.
   void HalfClose() { ::shutdown(m_socket, SHUT_WR); }
 
-  // Ends with a reset instead of an orderly close.
+  // Closes with a reset instead of an orderly close.
   void Reset() {
     const linger at_once{.l_onoff = 1, .l_linger = 0};
     ::setsockopt(m_socket, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
@@ -76,7 +76,7 @@
   }
 
   const std::string& Received() const { return m_received; }
-  // The other side has ended the connection.
+  // Whether the peer has closed the connection, or sending has failed.
   bool Closed() const { return m_closed; }
   bool Has(std::string_view text) const {
     return m_received.find(text) != std::string::npos;
--- a/src/dotterelshift/http/test_listener.h
+++ b/src/dotterelshift/http/test_listener.h
@@ -16,8 +16,8 @@
 
 namespace dotterelshift::http {
 
-// One connection at a peer that is no HTTP server: it reads when the test says
-// so.
+// A connection accepted by TestListener. It reads only when the test asks for
+// it.
 class TestPeer {
  public:
   explicit TestPeer(int descriptor) : m_socket(descriptor) {}
@@ -27,7 +27,7 @@
   TestPeer(const TestPeer&) = delete;
   TestPeer& operator=(const TestPeer&) = delete;
 
-  // Bytes that have come and are not read.
+  // Number of received bytes that have not been read.
   size_t Waiting() const {
     int bytes = 0;
     ::ioctl(m_socket, FIONREAD, &bytes);
@@ -40,7 +40,8 @@
         ::send(m_socket, bytes.data(), bytes.size(), MSG_NOSIGNAL));
   }
 
-  // What came until the other side had ended the connection, and how it did.
+  // Bytes received until the peer closed the connection, and whether it reset
+  // it.
   struct End {
     size_t bytes = 0;
     bool reset = false;
@@ -57,7 +58,7 @@
     return end;
   }
 
-  // Ends with a reset.
+  // Closes with a reset.
   void Reset() {
     const linger at_once{.l_onoff = 1, .l_linger = 0};
     ::setsockopt(m_socket, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
@@ -73,11 +74,12 @@
   int m_socket;
 };
 
-// A peer that is no HTTP server: it takes connections, or has no room for them.
+// A raw TCP server that accepts connections on request, or whose accept queue
+// is full.
 class TestListener {
  public:
-  // `receive_buffer` bounds what the kernel takes for connections that are not
-  // read; 0 leaves it.
+  // `receive_buffer` limits the bytes that the kernel buffers for connections
+  // that are not read; 0 keeps the system's default.
   explicit TestListener(int backlog, int receive_buffer = 0) {
     if (receive_buffer > 0) {
       ::setsockopt(m_listener, SOL_SOCKET, SO_RCVBUF, &receive_buffer,
@@ -98,12 +100,12 @@
   TestListener& operator=(const TestListener&) = delete;
 
   uint16_t Port() const { return ntohs(m_address.sin_port); }
-  // Takes the only place: the next opening packets are dropped, so that a
-  // connection stays in the making.
+  // Occupies the only slot of the accept queue. The system then drops further
+  // SYN packets, so that later connections stay in progress.
   void Fill() {
     CPPUNIT_ASSERT_EQUAL(0, ::connect(m_waiting, Address(), sizeof m_address));
   }
-  // A connection is there to be accepted.
+  // Whether a connection can be accepted.
   bool HasConnection() const {
     pollfd look{.fd = m_listener, .events = POLLIN, .revents = 0};
     return ::poll(&look, 1, 0) == 1;
--- a/src/dotterelshift/loop/turn_watch_test.cc
+++ b/src/dotterelshift/loop/turn_watch_test.cc
@@ -13,7 +13,8 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // The wait for an event is no part of a turn, the work after it is.
+  // An iteration's duration excludes the wait for events and includes the work
+  // after it.
   void ALongTurnIsTold() {
     constexpr Duration kWork = 20ms;
     Loop loop;
--- a/src/dotterelshift/storage/file_system.cc
+++ b/src/dotterelshift/storage/file_system.cc
@@ -79,7 +79,7 @@
                           std::vector<std::string>* names) {
   DIR* folder = opendir(path.c_str());
   if (folder == nullptr) return errno;
-  // One thread: the shared buffer of readdir is no danger.
+  // Only one thread calls this, so readdir's shared buffer is safe.
   while (const dirent* entry =
              readdir(folder))  // NOLINT(concurrency-mt-unsafe)
     names->emplace_back(entry->d_name);
--- a/src/dotterelshift/storage/file_system.h
+++ b/src/dotterelshift/storage/file_system.h
@@ -9,9 +9,9 @@
 
 namespace dotterelshift::storage {
 
-// The file operations that the store needs. Each gives 0 or an errno; a write
-// may be short only when it gives an errno. Tests inject failures by a type of
-// their own.
+// The file operations that the store needs. Each returns 0 or an errno value. A
+// write is incomplete only if it returns an error. Tests inject failures with
+// their own type.
 template <typename F>
 concept FileSystem = requires(F& files, const std::string& path, int descriptor,
                               std::string_view bytes, uint64_t size,
@@ -31,16 +31,16 @@
   { files.SyncFolder(path) } -> std::same_as<int>;
 };
 
-// The operating system's files.
+// File operations of the operating system.
 class PosixFileSystem {
  public:
-  // An existing folder is no failure.
+  // Succeeds if the folder already exists.
   int MakeFolder(const std::string& path);
   int OpenForAppend(const std::string& path, int* opened);
   int Append(int descriptor, std::string_view bytes);
   int Sync(int descriptor);
   int Truncate(int descriptor, uint64_t size);
-  // EWOULDBLOCK when another process holds the lock.
+  // Returns EWOULDBLOCK if another process holds the lock.
   int Lock(int descriptor);
   void Close(int descriptor);
   int Read(const std::string& path, std::string* content);
--- a/src/dotterelshift/storage/format.cc
+++ b/src/dotterelshift/storage/format.cc
@@ -13,9 +13,10 @@
 
 constexpr uint32_t kFileMagic = 0x46535444;   // DTSF
 constexpr uint32_t kBlockMagic = 0x42535444;  // DTSB
-constexpr size_t kCheckedHeaderBytes = 16;    // of both headers
+constexpr size_t kCheckedHeaderBytes =
+    16;  // checksummed bytes of either header
 
-// Numbers are kept in the byte order of the machines (little endian).
+// Numbers are stored in the host's byte order, little endian.
 template <typename Number>
 void Put(std::string& bytes, Number number) {
   bytes.append(reinterpret_cast<const char*>(&number), sizeof(number));
@@ -33,7 +34,7 @@
   return XXH3_64bits_withSeed(payload.data(), payload.size(), seed);
 }
 
-// The block at an offset, if a good one is there.
+// Returns the block at an offset, or nullopt if there is no valid one.
 std::optional<Block> BlockAt(std::string_view content, uint64_t offset) {
   if (content.size() < offset + kBlockHeaderBytes) return std::nullopt;
   const std::string_view header = content.substr(offset, kBlockHeaderBytes);
@@ -49,7 +50,7 @@
   return Block{Get<uint64_t>(header, 8), offset, payload};
 }
 
-// Whether a good block lies anywhere from an offset on.
+// Whether a valid block starts at or after an offset.
 bool HasBlockAfter(std::string_view content, uint64_t offset) {
   std::string magic;
   Put(magic, kBlockMagic);
@@ -121,7 +122,8 @@
     if (!block.has_value()) break;
     const bool follows = result.blocks.empty() ||
                          block->sequence == result.blocks.back().sequence + 1;
-    if (!follows) ThrowDamaged(file, offset, "a block is missing before this");
+    if (!follows)
+      ThrowDamaged(file, offset, "a block is missing before this offset");
     result.blocks.push_back(*block);
     const size_t length = block->payload.size();
     offset += kBlockHeaderBytes + length + BlockPadding(length);
--- a/src/dotterelshift/storage/format.h
+++ b/src/dotterelshift/storage/format.h
@@ -8,7 +8,8 @@
 
 namespace dotterelshift::storage {
 
-// The version that is written; every one from the oldest on is read.
+// Files are written in kFormatVersion. All versions from kOldestFormatVersion
+// on can be read.
 inline constexpr uint32_t kFormatVersion = 1;
 inline constexpr uint32_t kOldestFormatVersion = 1;
 
@@ -19,27 +20,29 @@
   kSpool = 4
 };
 
-// The header that every file begins with, and its size.
+// Encodes the header at the start of every file.
 std::string EncodeFileHeader(FileKind kind, uint32_t version = kFormatVersion);
 inline constexpr size_t kFileHeaderBytes = 24;
 
-// Throws Error(kStorageDamaged) naming the file when the header is not one of
-// this kind, or of a version that cannot be read. Returns the version.
+// Checks a file's header and returns its format version. Throws
+// Error(kStorageDamaged) with the file name if the header is invalid, of
+// another kind, or of an unsupported version.
 uint32_t CheckFileHeader(const std::string& file, std::string_view content,
                          FileKind kind);
 
-// A block is the unit of a synced write: its header holds a number that rises
-// by one from block to block, and a checksum over all of it.
+// Encodes the header of a block, the unit of a synced write. It contains a
+// sequence number, which increases by one from block to block, and a checksum
+// of the header and the payload.
 std::string EncodeBlockHeader(uint64_t sequence, std::string_view payload);
 inline constexpr size_t kBlockHeaderBytes = 24;
 
-// Zeros after a payload, so that each block begins where its numbers can be
-// read in place.
+// Number of zero bytes after a payload. They align the next block to 8 bytes,
+// so that its numbers can be read in place.
 constexpr size_t BlockPadding(size_t payload_bytes) {
   return (8 - payload_bytes % 8) % 8;
 }
 
-// A whole block: header, payload, padding.
+// Encodes a complete block: header, payload and padding.
 std::string EncodeBlock(uint64_t sequence, std::string_view payload);
 
 struct Block {
@@ -50,19 +53,19 @@
 
 struct Blocks {
   std::vector<Block> blocks;
-  uint64_t good_bytes = 0;  // what follows is torn
+  uint64_t good_bytes = 0;  // size of the valid prefix; the rest is torn
 };
 
-// Whether a file may end in a write that a crash interrupted.
+// Whether a file may end with a write that was interrupted by a crash.
 enum class Tail { kMayBeTorn, kWhole };
 
-// Cuts the content after a file's header into its blocks. A torn tail is a bad
-// block with no good one behind it: each block is written only after the one
-// before it was synced, so that a good block behind a bad one proves damage.
-// Throws Error(kStorageDamaged) naming file and offset.
+// Splits the content after a file's header into blocks. A torn tail is an
+// invalid block without a valid one after it: each block is written only after
+// the previous one was synced, so a valid block after an invalid one proves
+// damage. Throws Error(kStorageDamaged) with file and offset.
 Blocks ReadBlocks(const std::string& file, std::string_view content, Tail tail);
 
-// The exception for a damaged file.
+// Throws Error(kStorageDamaged) with file and offset.
 [[noreturn]] void ThrowDamaged(const std::string& file, uint64_t offset,
                                const std::string& what);
 
--- a/src/dotterelshift/storage/restore.cc
+++ b/src/dotterelshift/storage/restore.cc
@@ -11,7 +11,7 @@
           builder.GetSize()};
 }
 
-// The checked record of a block.
+// Returns a block's record after verifying its encoding.
 template <typename Record>
 const Record& RecordOf(const std::string& file, const Block& block) {
   const auto* bytes = reinterpret_cast<const uint8_t*>(block.payload.data());
@@ -20,7 +20,7 @@
   flatbuffers::Verifier verifier(bytes, block.payload.size(), kMaxDepth,
                                  kMaxTables);
   if (block.payload.empty() || !verifier.VerifyBuffer<Record>(nullptr))
-    ThrowDamaged(file, block.offset, "a record cannot be read");
+    ThrowDamaged(file, block.offset, "the record is not a valid FlatBuffer");
   return *flatbuffers::GetRoot<Record>(bytes);
 }
 
@@ -31,7 +31,8 @@
     const bool follows =
         m_next_sequence == 0 || block.sequence == m_next_sequence;
     if (!follows)
-      ThrowDamaged(file, block.offset, "a segment is missing before this");
+      ThrowDamaged(file, block.offset,
+                   "a segment is missing before this block");
     m_next_sequence = block.sequence + 1;
     Apply(file, block);
   }
@@ -56,7 +57,8 @@
     if (!m_has_base) m_base_index = stored->index() - 1;
     m_has_base = true;
     if (stored->index() != m_base_index + m_entries.size() + 1)
-      ThrowDamaged(file, block.offset, "an entry is missing before this");
+      ThrowDamaged(file, block.offset,
+                   "a log entry is missing in or before this block");
     wire::LogEntryT& entry = m_entries.emplace_back();
     entry.index = stored->index();
     entry.term = stored->term();
@@ -77,11 +79,11 @@
   *lost_to_snapshot = false;
   if (m_has_base && m_base_index > last) {
     ThrowDamaged(folder, 0,
-                 "the entries before " + std::to_string(m_base_index + 1) +
-                     " are in no file");
+                 "the log entries before index " +
+                     std::to_string(m_base_index + 1) + " are missing");
   }
   if (m_has_base && m_base_index < last) {
-    const uint64_t position = last - m_base_index;  // counted from 1
+    const uint64_t position = last - m_base_index;  // 1-based
     const bool continues = position <= m_entries.size() &&
                            m_entries[position - 1].term == snapshot.last_term;
     *lost_to_snapshot = !continues;
--- a/src/dotterelshift/storage/restore.h
+++ b/src/dotterelshift/storage/restore.h
@@ -12,20 +12,20 @@
 
 namespace dotterelshift::storage {
 
-// Builds the log from the blocks of the segments, in order.
+// Restores the log from the blocks of its segments, which are added in order.
 class LogRestorer {
  public:
-  // Takes one segment's blocks; throws Error(kStorageDamaged) when they do not
-  // continue what came before.
+  // Adds the blocks of one segment. Throws Error(kStorageDamaged) if they do
+  // not continue the previous segment.
   void Add(const std::string& file, const Blocks& blocks);
 
-  // The largest index of an entry seen up to now, also of dropped ones.
+  // Largest entry index so far, including entries that were discarded later.
   uint64_t LargestIndex() const { return m_largest_index; }
   uint64_t NextSequence() const { return m_next_sequence; }
 
-  // The log on top of a snapshot. `lost_to_snapshot` becomes true when the
-  // entries do not reach the snapshot and are dropped: its installation was cut
-  // short, and the next write must say that the log begins anew.
+  // Returns the log after a snapshot. Sets `lost_to_snapshot` if the entries do
+  // not connect to the snapshot and are discarded: a crash interrupted its
+  // installation, and the next write must record that the log restarts there.
   replication::RestoredLog Finish(const std::string& folder,
                                   replication::SnapshotMeta snapshot,
                                   bool* lost_to_snapshot);
@@ -34,7 +34,8 @@
   void Apply(const std::string& file, const Block& block);
 
   replication::HardState m_hard_state;
-  bool m_has_base = false;  // false: the first entry says where the log begins
+  bool m_has_base =
+      false;  // false: the first entry determines the start of the log
   uint64_t m_base_index = 0;
   uint64_t m_base_term = 0;
   std::vector<wire::LogEntryT> m_entries;
@@ -42,12 +43,14 @@
   uint64_t m_next_sequence = 0;
 };
 
-// The payload of one write of the log.
+// Encodes the block payload of one write to the log. `reset`, if not null, is
+// the snapshot after which the log restarts.
 std::string EncodeWrite(const replication::HardState& hard_state,
                         const replication::Ready& ready,
                         const replication::SnapshotMeta* reset);
 
-// A snapshot's record, and the identity's.
+// Records of the snapshot and identity files. Decoding throws
+// Error(kStorageDamaged) if the record is invalid.
 std::string EncodeSnapshotMeta(const replication::SnapshotMeta& meta);
 replication::SnapshotMeta DecodeSnapshotMeta(const std::string& file,
                                              const Block& block);
--- a/src/dotterelshift/storage/store.h
+++ b/src/dotterelshift/storage/store.h
@@ -15,12 +15,14 @@
 
 namespace dotterelshift::storage {
 
-// The store behind OpenLogStore(), over any file system. Definitions of opening
-// are in store_open.h, those of writing in store_write.h.
+// The log store behind OpenLogStore(), for any file system. store_open.h
+// defines the functions that open the store, store_write.h those that write to
+// it.
 //
-// The folder holds: `lock` (locked while a process has the folder), `identity`,
-// `log-N` (segments, N the number of their first block), `snapshot-N` (N its
-// last index), `spool`, and `new-*` (not yet renamed: removed when found).
+// Files of the folder: `lock` (locked while a process uses the folder),
+// `identity`, `log-N` (segments; N is the number of the first block),
+// `snapshot-N` (N is the last index), `spool`, and `new-*` (incomplete files
+// that were not renamed yet; removed when the store is opened).
 template <FileSystem Files>
 class Store final : public LogStore {
  public:
@@ -47,7 +49,7 @@
     uint64_t bytes = 0;
     uint64_t largest_index = 0;  // of its entries
   };
-  // A file that only grows; `bytes` of it are known to be good.
+  // An append-only file. The first `bytes` bytes are known to be valid.
   struct OpenFile {
     std::string path;
     int descriptor = kNotOpen;
@@ -75,15 +77,16 @@
   std::string Path(const std::string& name) const;
   void OpenFileAt(const std::string& path, OpenFile* file);
   void CloseFile(OpenFile* file);
-  // Appends to a file that is open and syncs; a write that fails is taken
-  // back, a sync that fails is the end of the store.
+  // Appends to an open file and syncs it. A failed write is undone by
+  // truncating the file; a failed sync disables the store.
   void AppendAndSync(OpenFile* file, std::string_view bytes);
   void WriteWholeFile(const std::string& name, std::string_view content);
   void StartSegment();
   void WriteSnapshotFile(const replication::SnapshotMeta& meta,
                          const std::string& bytes);
   void RemoveBefore(uint64_t snapshot_index);
-  // Throws when `error` is not 0.
+  // Throws if `error` is not 0: Error(kStorageFull) without free space,
+  // otherwise Error(kStorageFailed).
   void Check(int error, const std::string& path);
   [[noreturn]] void Fail(int error, const std::string& path);
   void CheckUsable() const;
@@ -93,16 +96,16 @@
   OpenFile m_lock;
   OpenFile m_segment;  // the last one
   OpenFile m_spool;
-  std::deque<Segment> m_segments;  // all, the last one included
+  std::deque<Segment> m_segments;  // all, including the last one
   ReplicaId m_self = 0;
   replication::HardState m_hard_state;
   uint64_t m_next_block = 1;
   uint64_t m_next_spool_block = 1;
   uint64_t m_snapshot_index = 0;
   bool m_has_snapshot = false;
-  // Set when the next write begins the log anew after a snapshot.
+  // Set if the next write must restart the log after this snapshot.
   std::unique_ptr<replication::SnapshotMeta> m_reset;
-  std::string m_failed;  // why the store refuses everything; empty: it does not
+  std::string m_failed;  // why the store is disabled; empty if it is usable
 };
 
 }  // namespace dotterelshift::storage
--- a/src/dotterelshift/storage/store_faults_test.cc
+++ b/src/dotterelshift/storage/store_faults_test.cc
@@ -16,15 +16,16 @@
 
 enum class Operation { kMakeFolder, kOpen, kAppend, kSync, kTruncate, kRename };
 
-// When a file operation is to fail, and how.
+// Which file operation fails, when and with which error.
 struct Fault {
   Operation operation = Operation::kAppend;
   int error = 0;
-  int after = 0;         // this many of the operation succeed first
-  bool for_good = true;  // every later one fails too
+  int after = 0;         // number of calls that succeed first
+  bool for_good = true;  // all later calls fail too
 };
 
-// The real files with one fault. A failing append leaves half of its bytes.
+// Real file operations with one injected fault. A failing append writes half of
+// its bytes.
 class FaultyFiles : public PosixFileSystem {
  public:
   explicit FaultyFiles(Fault* fault) : m_fault(fault) {}
@@ -94,8 +95,7 @@
   }
 }
 
-// The file of the folder whose name begins so; the last one of several, or the
-// first.
+// Returns the first or last file in the folder whose name starts with a prefix.
 std::string FileOf(const std::string& folder, const std::string& prefix,
                    bool last) {
   std::vector<std::string> paths;
@@ -114,14 +114,14 @@
   std::ofstream(path, std::ios::binary | std::ios::trunc) << content;
 }
 
-// A change of a folder, and what opening it must give.
+// Damage to a file of the folder, and the expected result of opening it.
 struct DamageCase {
   const char* name;
-  const char* file;  // prefix of its name
-  bool last;         // of several
+  const char* file;  // prefix of the file name
+  bool last;         // false: the first of several files
   void (*change)(std::string&);
-  uint64_t entries;       // found; when no error
-  const char* complaint;  // part of the error; null: none
+  uint64_t entries;       // expected without an error
+  const char* complaint;  // substring of the expected error; null: no error
 };
 
 constexpr uint64_t kEntries = 10;
@@ -208,7 +208,7 @@
   void MissingFiles() {
     struct Case {
       const char* name;
-      std::vector<std::string> removed;  // prefixes
+      std::vector<std::string> removed;  // file name prefixes
       bool only_first;
     };
     const Case cases[] = {
@@ -251,8 +251,8 @@
     struct Case {
       const char* name;
       Fault fault;
-      ErrorKind opening;  // of a fresh folder, with the fault from the start
-      ErrorKind writing;  // with the fault after opening
+      ErrorKind opening;  // expected when opening a new folder with the fault
+      ErrorKind writing;  // expected when the fault starts after opening
       ErrorKind snapshot;
     };
     using enum ErrorKind;
@@ -370,8 +370,8 @@
     CPPUNIT_ASSERT(opened.log.self != before);
   }
 
-  // Everything fails from the n-th operation of a kind on, for each n until
-  // nothing fails any more; the folder must then open with all that was synced.
+  // All operations of one kind fail from the n-th call on, for each n until no
+  // call fails. The folder must then open with all synced entries.
   void CrashAtAnyOperationLosesNothingSynced() {
     int crashes = 0;
     for (const Operation operation :
--- a/src/dotterelshift/storage/store_open.h
+++ b/src/dotterelshift/storage/store_open.h
@@ -20,8 +20,8 @@
   replication::SnapshotMeta meta;
   opened.fresh = !listing.has_identity;
   if (opened.fresh) {
-    // The identity is written last, so that a folder with an identity but
-    // without its log is known to have lost it.
+    // The identity is written last. A folder with an identity but without a log
+    // has therefore lost its log.
     RemoveUnfinished(listing);
     StartSegment();
     MakeIdentity();
@@ -68,8 +68,8 @@
   return listing;
 }
 
-// Without an identity there may be one segment at most, and nothing in it but
-// what its creation wrote.
+// Removes the segment of an interrupted initialization. Without an identity
+// there can be at most one segment, which contains only its initial block.
 template <FileSystem Files>
 void Store<Files>::RemoveUnfinished(const Listing& listing) {
   const bool more = !listing.snapshots.empty() || listing.segments.size() > 1;
@@ -83,7 +83,9 @@
     return Check(m_files.Remove(path), path);
   }
   if (more || !listing.segments.empty())
-    ThrowDamaged(m_options.folder, 0, "there is a log but no identity");
+    ThrowDamaged(
+        m_options.folder, 0,
+        "log or snapshot files exist, but the identity file is missing");
 }
 
 template <FileSystem Files>
@@ -96,7 +98,7 @@
 template <FileSystem Files>
 void Store<Files>::MakeIdentity() {
   std::random_device random;
-  // 53 bits: an operator's tools may read it as a JSON number.
+  // 53 bits, because operators' tools may read it as a JSON number.
   constexpr int kUnusedBits = 64 - 53;
   while (m_self == 0)
     m_self = (static_cast<uint64_t>(random()) << 32 | random()) >> kUnusedBits;
@@ -111,11 +113,11 @@
   CheckFileHeader(path, content, FileKind::kIdentity);
   const Blocks blocks = ReadBlocks(path, content, Tail::kWhole);
   if (blocks.blocks.size() != 1)
-    ThrowDamaged(path, kFileHeaderBytes, "the identity is missing");
+    ThrowDamaged(path, kFileHeaderBytes, "the identity record is missing");
   m_self = DecodeIdentity(path, blocks.blocks.front());
 }
 
-// Reads the newest snapshot. A crash may have left an older one beside it.
+// Reads the newest snapshot and removes older ones that a crash left behind.
 template <FileSystem Files>
 void Store<Files>::ReadSnapshot(const Listing& listing,
                                 replication::SnapshotMeta* meta,
@@ -126,7 +128,7 @@
   CheckFileHeader(path, content, FileKind::kSnapshot);
   const Blocks blocks = ReadBlocks(path, content, Tail::kWhole);
   if (blocks.blocks.size() != 2)
-    ThrowDamaged(path, kFileHeaderBytes, "the snapshot is not whole");
+    ThrowDamaged(path, kFileHeaderBytes, "the snapshot is incomplete");
   *meta = DecodeSnapshotMeta(path, blocks.blocks[0]);
   *bytes = std::string(blocks.blocks[1].payload);
   m_has_snapshot = true;
@@ -139,12 +141,13 @@
 template <FileSystem Files>
 void Store<Files>::ReadSegments(const Listing& listing, LogRestorer* restorer) {
   if (listing.segments.empty())
-    ThrowDamaged(m_options.folder, 0, "there is an identity but no log");
+    ThrowDamaged(m_options.folder, 0,
+                 "the identity file exists, but all log files are missing");
   for (const std::string& name : listing.segments) {
     const std::string path = Path(name);
     const bool last = name == listing.segments.back();
     const std::string content = ReadFile(path);
-    // The last segment may be one whose first write was cut short.
+    // A crash may have interrupted the first write to the last segment.
     const bool unborn =
         last && m_segments.size() > 0 && content.size() < kFileHeaderBytes;
     if (unborn) {
--- a/src/dotterelshift/storage/store_write.h
+++ b/src/dotterelshift/storage/store_write.h
@@ -47,7 +47,7 @@
                                 const std::string& bytes) {
   CheckUsable();
   WriteSnapshotFile(meta, bytes);
-  // A segment of its own lets the ones before it go at the next snapshot.
+  // Start a new segment, so that the next snapshot can remove the earlier ones.
   StartSegment();
   RemoveBefore(meta.last_index);
 }
@@ -96,14 +96,14 @@
 void Store<Files>::AppendAndSync(OpenFile* file, std::string_view bytes) {
   const int error = m_files.Append(file->descriptor, bytes);
   if (error != 0) {
-    // The part that was written must not stand before the next block.
+    // Remove the partial write, so that it does not precede the next block.
     if (m_files.Truncate(file->descriptor, file->bytes) != 0)
       Fail(error, file->path);
     Check(error, file->path);
   }
   const int sync_error = m_files.Sync(file->descriptor);
-  // What is on the disk is not known any more, and a later sync that succeeds
-  // would not tell.
+  // After a failed sync, the contents of the disk are unknown, and a later
+  // successful sync would not prove that the data was written.
   if (sync_error != 0) Fail(sync_error, file->path);
   file->bytes += bytes.size();
 }
@@ -119,7 +119,7 @@
     AppendAndSync(&file, content);
   } catch (const Error&) {
     CloseFile(&file);
-    m_files.Remove(path);  // its space is needed
+    m_files.Remove(path);  // free its space
     throw;
   }
   CloseFile(&file);
@@ -144,7 +144,7 @@
     Check(m_files.SyncFolder(m_options.folder), m_options.folder);
   } catch (const Error&) {
     CloseFile(&next);
-    // The segment before it goes on and must be the last one.
+    // The previous segment stays in use and must be the last one in the folder.
     if (m_files.Remove(next.path) != 0) Fail(EIO, next.path);
     throw;
   }
@@ -167,7 +167,8 @@
   WriteWholeFile(name, content);
 }
 
-// Removes the older snapshots and the segments whose entries a snapshot covers.
+// Removes the older snapshots, and the segments whose entries the snapshot
+// covers.
 template <FileSystem Files>
 void Store<Files>::RemoveBefore(uint64_t snapshot_index) {
   const bool replaced = m_has_snapshot && m_snapshot_index < snapshot_index;
@@ -206,8 +207,9 @@
 template <FileSystem Files>
 void Store<Files>::CheckUsable() const {
   if (!m_failed.empty())
-    throw Error(ErrorKind::kStorageFailed,
-                "refused since an earlier failure: " + m_failed);
+    throw Error(
+        ErrorKind::kStorageFailed,
+        "the log store is disabled after an earlier failure: " + m_failed);
 }
 
 }  // namespace dotterelshift::storage
