--- a/include/dotterelshift/http/client.h
+++ b/include/dotterelshift/http/client.h
@@ -69,9 +69,9 @@
   // and the unsent bytes of the request are discarded.
   virtual void Cancel(TransferId transfer) = 0;
   // Cancels a transfer if no byte of its request has been handed over to a
-  // connection; then nothing is sent and no callback follows. Returns false and
-  // lets the transfer continue if bytes may have been handed over, and false if
-  // it has ended.
+  // connection; then nothing is sent and no callback follows. Returns false if
+  // bytes may have been handed over, and the transfer continues, or if it has
+  // already ended.
   virtual bool Withdraw(TransferId transfer) = 0;
   virtual void Resume(TransferId transfer) = 0;
   virtual size_t OpenTransfers() const = 0;
--- a/src/dotterelshift/http/client.cc
+++ b/src/dotterelshift/http/client.cc
@@ -425,9 +425,9 @@
   void Remove(TransferId id) {
     const auto found = m_transfers.find(id);
     if (found == m_transfers.end()) return;
-    // OnClose() looks the transfer up while its connection is closed, so it is
-    // freed before it is removed from the map. The object itself outlives its
-    // callbacks, one of which may be running.
+    // Free() may close the connection, and OnClose() then looks the transfer
+    // up, so it stays in the map until Free() returns. It is destroyed only
+    // after its callbacks, one of which may be running, have returned.
     Free(*found->second);
     const auto kept = m_transfers.extract(found);
   }
--- a/src/dotterelshift/storage/store.h
+++ b/src/dotterelshift/storage/store.h
@@ -85,8 +85,8 @@
   void WriteSnapshotFile(const replication::SnapshotMeta& meta,
                          const std::string& bytes);
   void RemoveBefore(uint64_t snapshot_index);
-  // Throws if `error` is not 0: Error(kStorageFull) without free space,
-  // otherwise Error(kStorageFailed).
+  // Throws if `error` is not 0: Error(kStorageFull) if the disk or quota is
+  // full, otherwise Error(kStorageFailed).
   void Check(int error, const std::string& path);
   [[noreturn]] void Fail(int error, const std::string& path);
   void CheckUsable() const;
