--- a/src/dotterelshift/http/server.cc
+++ b/src/dotterelshift/http/server.cc
@@ -53,8 +53,7 @@
 
   Instant receive_deadline;
   bool receiving = false;
-  std::list<Connection*>::iterator
-      position;  // in m_receiving; valid while receiving
+  std::list<Connection*>::iterator position;  // valid while receiving
 };
 
 MHD_Result AddHeader(void* headers, MHD_ValueKind, const char* name,
--- a/src/dotterelshift/storage/format.cc
+++ b/src/dotterelshift/storage/format.cc
@@ -13,8 +13,7 @@
 
 constexpr uint32_t kFileMagic = 0x46535444;   // DTSF
 constexpr uint32_t kBlockMagic = 0x42535444;  // DTSB
-constexpr size_t kCheckedHeaderBytes =
-    16;  // checksummed bytes of either header
+constexpr size_t kCheckedHeaderBytes = 16;    // in either header
 
 // Numbers are stored in the host's byte order, little endian.
 template <typename Number>
--- a/src/dotterelshift/storage/restore.h
+++ b/src/dotterelshift/storage/restore.h
@@ -34,8 +34,7 @@
   void Apply(const std::string& file, const Block& block);
 
   replication::HardState m_hard_state;
-  bool m_has_base =
-      false;  // false: the first entry determines the start of the log
+  bool m_has_base = false;  // false: the first entry sets the base
   uint64_t m_base_index = 0;
   uint64_t m_base_term = 0;
   std::vector<wire::LogEntryT> m_entries;
