--- a/include/dotterelshift/base/address.h
+++ b/include/dotterelshift/base/address.h
@@ -9,12 +9,12 @@
 
 namespace dotterelshift {
 
-// "IP:port" as a socket address; empty when it is not an IPv4 number and a port
+// Parses "IP:port". Returns nullopt unless it is an IPv4 address and a port
 // from 1 to 65535.
 std::optional<sockaddr_in> ParseAddress(const std::string& address);
 
-// An IPv4 number with a port; empty when it is not one. Port 0 lets the system
-// choose.
+// Builds a socket address from an IPv4 address and a port; nullopt when `ip` is
+// not an IPv4 address. Port 0 lets the system choose a port.
 std::optional<sockaddr_in> MakeAddress(const std::string& ip, uint16_t port);
 
 }  // namespace dotterelshift
--- a/include/dotterelshift/base/error.h
+++ b/include/dotterelshift/base/error.h
@@ -9,12 +9,12 @@
 
 namespace dotterelshift {
 
-// Every way in which the system says no. The list is closed: a new kind gets a
-// row in the table of error.cc, a line in docs/OPERATING.md and a test. The
-// numbers travel between daemons and are never used again.
+// All errors that the system reports. A new kind needs a row in the table in
+// error.cc, a line in docs/OPERATING.md and a test. The numbers are sent
+// between daemons, so the number of a removed kind must not be reused.
 enum class ErrorKind : uint16_t {
   kNone = 0,
-  // The caller's request is at fault.
+  // Invalid requests.
   kBadJson = 1,
   kBadUtf8 = 2,
   kBadField = 3,
@@ -32,11 +32,11 @@
   kKeyRequired = 15,
   kKeyReused = 16,
   kKeyExpired = 17,
-  // The budget says no.
+  // Refused because of the budget.
   kBudgetExhausted = 30,
   kBudgetUnavailable = 31,
   kNoBudget = 32,
-  // Load, or the state of the fleet.
+  // Refused because of load or the state of the fleet.
   kQueueFull = 40,
   kOverloaded = 41,
   kDeadlineBeforeRun = 42,
@@ -58,7 +58,7 @@
   kCallerGone = 68,
   kQuarantined = 69,
   kDrainedWhileRunning = 70,
-  // Operators and the daemons between themselves.
+  // Operator commands and messages between daemons.
   kBadIntent = 80,
   kPlanUnknown = 81,
   kPlanConflict = 82,
@@ -69,7 +69,7 @@
   kResendTooOld = 87,
   kBadFrame = 88,
   kVersionMoved = 89,
-  // This host's own trouble.
+  // Faults of this host.
   kStorageFull = 100,
   kStorageFailed = 101,
   kStorageDamaged = 102,
@@ -77,35 +77,35 @@
   kInternal = 104,
 };
 
-// Whether the request that an answer speaks of was run by an endpoint.
+// Whether an endpoint ran the request that a response is about.
 enum class Ran : uint8_t { kNo, kYes, kUnknown };
 
 // What the caller should do next.
 enum class RetryAdvice : uint8_t { kNever, kLater, kNow };
 
-// One row of the table from kind to answer.
+// The response to the caller for one kind of error.
 struct ErrorRow {
   ErrorKind kind;
   std::string_view name;  // stable; shown to callers, in metrics and in reports
-  int status;             // HTTP status of the answer
+  int status;             // HTTP status of the response
   Ran ran;
   RetryAdvice retry;
   int retry_after_seconds;    // 0: no Retry-After header
-  std::string_view sentence;  // what the caller reads
+  std::string_view sentence;  // message for the caller
 };
 
-// The whole table, in the order of the kinds.
+// All rows, ordered by kind.
 std::span<const ErrorRow> ErrorTable();
 
-// The row of a kind; the row of kInternal for a number that is not in the
-// table.
+// Returns the row of a kind, or the row of kInternal for a number that is not
+// in the table.
 const ErrorRow& RowOf(ErrorKind kind);
 
 // The name of a value of Ran: "no", "yes" or "unknown".
 std::string_view NameOf(Ran ran);
 
-// The exception of the project: a kind, and a detail for people. Thrown outside
-// the request path only.
+// The exception type of the project: an error kind and a human-readable detail.
+// Not thrown on the request path.
 class Error : public std::runtime_error {
  public:
   Error(ErrorKind kind, const std::string& detail)
--- a/include/dotterelshift/base/ids.h
+++ b/include/dotterelshift/base/ids.h
@@ -7,7 +7,7 @@
 
 namespace dotterelshift {
 
-// Names that operators choose, and names that endpoints announce.
+// Names chosen by operators or announced by endpoints.
 using HostId = std::string;
 using DataCentreId = std::string;
 using TeamId = std::string;
@@ -15,25 +15,25 @@
 using EndpointId = std::string;
 using ModelName = std::string;
 
-// Counts the starts of one host's process: drawn from the wall clock at start,
-// so a later start has a larger one.
+// Identifies one start of a host's process. Taken from the wall clock at start,
+// so a later start has a larger value.
 using Incarnation = uint64_t;
 
-// One run of one host's process. A newer incarnation of a host proves the older
-// ones dead.
+// One incarnation of a host's process. A newer incarnation of the same host
+// proves that the older ones are dead.
 struct HostRun {
   HostId host;
   Incarnation incarnation = 0;
   auto operator<=>(const HostRun&) const = default;
 };
 
-// Numbers an entry gives to the requests and attempts it serves; unique within
-// one HostRun.
+// Numbers that an entry assigns to requests and attempts; unique within one
+// HostRun.
 using RequestId = uint64_t;
 using AttemptId = uint64_t;
 
-// Identifies one replica of the control log; bound to its data folder, never
-// used again after a wipe.
+// Identifies one replica of the control log. It is bound to the replica's data
+// folder and is never reused after the folder is wiped.
 using ReplicaId = uint64_t;
 
 }  // namespace dotterelshift
--- a/include/dotterelshift/base/time.h
+++ b/include/dotterelshift/base/time.h
@@ -6,19 +6,19 @@
 
 namespace dotterelshift {
 
-// A point on the monotonic clock. Cores are handed it; only adapters read the
-// clock.
+// A point on the monotonic clock. Cores receive it as an argument; only
+// adapters read the clock.
 using Instant = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::nanoseconds;
 using std::chrono_literals::operator""ms;
 using std::chrono_literals::operator""s;
 using std::chrono_literals::operator""us;
 
-// Milliseconds since 1970 on the wall clock; only for records that people read
-// and for ageing them out.
+// Wall-clock milliseconds since the Unix epoch. Used only in records that
+// people read, and to decide when those records expire.
 using WallMs = int64_t;
 
-// Whole milliseconds of a duration, rounded down.
+// Converts to milliseconds, truncating.
 constexpr int64_t ToMs(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration)
       .count();
--- a/include/dotterelshift/base/tokens.h
+++ b/include/dotterelshift/base/tokens.h
@@ -5,12 +5,12 @@
 
 namespace dotterelshift {
 
-// An amount of tokens. Never negative in a stored amount; plain services are
+// A number of tokens. Stored amounts are never negative. Plain services are
 // charged in the same unit.
 using Tokens = int64_t;
 
-// The largest amount that settings and operators may name, far from overflow
-// when summed over all budgets.
+// The largest amount accepted from settings and operators; small enough that
+// the sum over all budgets does not overflow.
 inline constexpr Tokens kMaxTokens = 1'000'000'000'000'000;
 
 }  // namespace dotterelshift
--- a/include/dotterelshift/base/yaml_reader.h
+++ b/include/dotterelshift/base/yaml_reader.h
@@ -15,15 +15,15 @@
 
 namespace dotterelshift {
 
-// Where a YAML text comes from, and with which kind its faults are refused.
-// Every fault is thrown as Error whose text is "FILE:LINE: what is wrong
-// (expected form)".
+// Parses and validates values of one YAML file. Every fault is thrown as an
+// Error of the given kind with the text "FILE:LINE: what is wrong (expected
+// form)".
 class YamlSource {
  public:
   YamlSource(std::string file, ErrorKind kind)
       : m_file(std::move(file)), m_kind(kind) {}
 
-  // The one document of a text; an empty text gives a null node.
+  // Parses a text with one document; an empty text gives a null node.
   YAML::Node Parse(std::string_view text) const;
 
   [[noreturn]] void Refuse(const YAML::Node& at, const std::string& what,
@@ -31,27 +31,28 @@
   [[noreturn]] void RefuseLine(int line, const std::string& what,
                                const std::string& expected) const;
 
-  // Scalars, checked. `what` names the value in the refusal.
+  // Validated scalars. `what` names the value in the error text.
   std::string Text(const YAML::Node& node, const std::string& what) const;
-  // Letters, digits and ._:/@+- ; at most 128, a letter or digit first.
+  // At most 128 letters, digits and ._:/@+- ; starts with a letter or digit.
   std::string Name(const YAML::Node& node, const std::string& what) const;
   bool Bool(const YAML::Node& node, const std::string& what) const;
-  // A whole number; with `units` also one that ends in k, M or G (thousands).
+  // An integer; with `units` also one with the suffix k, M or G (10^3, 10^6,
+  // 10^9).
   int64_t Number(const YAML::Node& node, const std::string& what, int64_t least,
                  int64_t most, bool units) const;
-  // A whole number with ms, s, m or h.
+  // A number with the unit ms, s, m or h.
   Duration Time(const YAML::Node& node, const std::string& what, Duration least,
                 Duration most) const;
-  // A number that need not be whole.
+  // A floating-point number.
   double Fraction(const YAML::Node& node, const std::string& what, double least,
                   double most) const;
-  // The place of a word in `words`.
+  // The index of the word in `words`.
   size_t Word(const YAML::Node& node, const std::string& what,
               std::span<const std::string_view> words) const;
-  // A list of names without doubles.
+  // A list of names without duplicates.
   std::vector<std::string> Names(const YAML::Node& node,
                                  const std::string& what) const;
-  // The items of a list; a fault when the node is something else.
+  // The items of a list; throws when the node is not a list.
   std::vector<YAML::Node> Items(const YAML::Node& node,
                                 const std::string& what) const;
 
@@ -60,17 +61,17 @@
   ErrorKind m_kind;
 };
 
-// A YAML map whose keys are known: made, it has neither unknown nor double
-// keys.
+// A YAML map with a fixed set of keys. The constructor throws on unknown and
+// duplicate keys.
 class YamlMap {
  public:
   YamlMap(const YamlSource& source, const YAML::Node& node, std::string what,
           std::span<const std::string_view> allowed);
 
   bool Has(std::string_view field) const;
-  // The value of a field; a fault when it is missing.
+  // The value of a field; throws when it is missing.
   YAML::Node At(std::string_view field) const;
-  // "WHAT's FIELD", for refusals.
+  // "WHAT's FIELD", for error texts.
   std::string Label(std::string_view field) const;
 
  private:
@@ -79,7 +80,7 @@
   std::string m_what;
 };
 
-// "90s", "1500ms", "2h": the shortest exact form that YamlSource::Time reads.
+// "90s", "1500ms", "2h": the shortest exact form that YamlSource::Time accepts.
 std::string FormatTime(Duration duration);
 
 }  // namespace dotterelshift
--- a/include/dotterelshift/directory/directory.h
+++ b/include/dotterelshift/directory/directory.h
@@ -16,28 +16,28 @@
 namespace dotterelshift::directory {
 
 struct DirectoryOptions {
-  Duration silent_after = 3s;   // without news or own evidence: no new work
-  Duration forget_after = 60s;  // a record that stayed silent is dropped, but
-                                // its (incarnation, draining) is kept longer
+  Duration silent_after = 3s;   // without updates or local evidence: unusable
+  Duration forget_after = 60s;  // a silent record is dropped after this; a
+                                // tombstone keeps its incarnation and flags
   Duration tombstone = 600s;
-  Duration dead_hold = 1s;  // own evidence of death outweighs news of others
+  Duration dead_hold = 1s;  // not used for this long after a refused connection
 };
 
-// An endpoint as this daemon knows it.
+// What this daemon knows of an endpoint.
 struct Endpoint {
   wire::EndpointRecordT record;
-  Instant last_news;        // newest announcement, minus its age on the way
-  Instant last_evidence;    // own successful answer or probe
-  Instant dead_until;       // a connection was refused: not used before this
-  bool heard_here = false;  // it announces itself to this daemon alone
-  bool usable = false;      // neither draining nor gone nor silent nor dead
+  Instant last_news;        // when the newest announcement was made
+  Instant last_evidence;    // last response or probe that succeeded here
+  Instant dead_until;       // not used before this: a connection was refused
+  bool heard_here = false;  // it announces itself only to this daemon
+  bool usable = false;      // not draining, gone, silent or dead
 };
 
-// What a piece of news changed.
+// What an update of a record changed.
 enum class News {
-  kOld,    // nothing: late, crossed or doubled
-  kLoad,   // its load, and that it lives
-  kOffer,  // what it offers, or whether it may be used
+  kOld,    // nothing: late, reordered or duplicate
+  kLoad,   // its load and the time it was last seen
+  kOffer,  // what it offers, or its availability
 };
 
 // The load of an endpoint without the rest of its record.
@@ -49,51 +49,55 @@
   uint32_t age_ms = 0;
 };
 
-// The endpoints that announced themselves, to this daemon or to another. Soft
-// state: records are versioned by (incarnation, sequence); draining and gone
-// are sticky for an incarnation, so late or crossed news never revives one.
+// The endpoints that announced themselves to this daemon or to another. Soft
+// state: records are versioned by (incarnation, sequence). Draining and gone
+// are sticky within an incarnation, so that late or reordered updates never
+// revive an endpoint.
 class Directory {
  public:
   explicit Directory(const DirectoryOptions& options = {})
       : m_options(options) {}
 
-  // News from an endpoint itself or from another daemon. True when it is newer
-  // than what was known; it is then part of the next delta.
+  // Applies an update from an endpoint or from another daemon. Returns true
+  // when it changed the record, which is then part of the next delta.
   bool OnRecord(const wire::EndpointRecordT& record, Instant now);
-  // The same, telling what it changed.
+  // The same, but returns what changed.
   News Take(const wire::EndpointRecordT& record, Instant now);
-  // A load report of a run that is known; kOld when it is not.
+  // Applies a load report. Returns kOld when the incarnation is not the known
+  // one or the report is not newer.
   News TakeLoad(const EndpointId& endpoint, uint64_t incarnation,
                 const LoadReport& load, Instant now);
-  // Whether the endpoint announces itself to this daemon alone, so that its
-  // silence here is its silence.
+  // Sets whether the endpoint announces itself only to this daemon. If so, its
+  // idle timeout is DirectoryOptions::silent_after, since no other daemon can
+  // have newer updates of it.
   void SetHeardHere(const EndpointId& endpoint, bool heard_here);
-  // How long the silence of an endpoint that others hear is borne: not less
-  // than the options say.
+  // Sets the idle timeout of endpoints that announce themselves to other
+  // daemons. DirectoryOptions::silent_after is the lower bound.
   void SetSilenceOfOthers(Duration silence);
-  // This daemon's own evidence: an answer came, or a connection was refused.
+  // Local evidence: the endpoint responded, or refused a connection.
   void OnAlive(const EndpointId& endpoint, Instant now);
   void OnDead(const EndpointId& endpoint, uint64_t incarnation, Instant now);
-  // Lets silent records lapse. True when the set of usable endpoints changed.
+  // Expires silent records. Returns true when the set of usable endpoints
+  // changed.
   bool OnTimer(Instant now);
 
-  // What changed since the last call, to be spread; and everything, for a
-  // daemon that has just come.
+  // The records that changed since the last call, to be disseminated, and all
+  // records, for a daemon that has just joined.
   wire::DirectoryDeltaT TakeDelta(Instant now);
   wire::DirectoryDeltaT Everything(Instant now) const;
 
-  // The record with its age, as it is spread.
+  // The record with its current age, as it is sent to other daemons.
   wire::EndpointRecordT AgedRecord(const Endpoint& endpoint, Instant now) const;
 
   const Endpoint* Find(const EndpointId& endpoint) const;
   const std::unordered_map<EndpointId, Endpoint>& All() const {
     return m_endpoints;
   }
-  // Changes whenever the set of usable endpoints, or what they serve, does.
+  // Changes whenever the set of usable endpoints or what they serve changes.
   uint64_t Generation() const { return m_generation; }
 
  private:
-  // What is kept of a forgotten record, so that late news cannot revive it.
+  // What is kept of a dropped record, so that late updates cannot revive it.
   struct Tombstone {
     uint64_t incarnation = 0;
     uint64_t sequence = 0;
@@ -101,8 +105,8 @@
     bool gone = false;
     Instant until;
   };
-  // False when the record is older than what a tombstone remembers; else takes
-  // over its sticky marks.
+  // Returns false when the record is not newer than its tombstone; otherwise
+  // copies the sticky flags of the tombstone and removes it.
   bool PassTombstone(wire::EndpointRecordT* record);
   bool IsUsable(const Endpoint& endpoint, Instant now) const;
   void Judge(Endpoint* endpoint, Instant now);
--- a/include/dotterelshift/directory/neighbours.h
+++ b/include/dotterelshift/directory/neighbours.h
@@ -8,13 +8,13 @@
 
 namespace dotterelshift::directory {
 
-// The hosts to which `self` sends on what it learns: `fan_out` of the roster
-// (all daemons that are up, self included), or all of them when they are no
-// more. Made so that news goes from any host to any other in about
-// log(hosts) / log(fan_out) steps, and that no single lost host cuts others
-// off: the generalized de Bruijn graph of Imase and Itoh over the sorted
-// roster. Daemons need not agree on the roster for news to get through; while
-// they differ it may take more steps.
+// The hosts to which `self` forwards updates: `fan_out` hosts of the roster
+// (all daemons that are up, including self), or all others if there are no more
+// than that. The hosts form the generalized de Bruijn graph of Imase and Itoh
+// over the sorted roster, in which an update reaches every host in about
+// log(hosts) / log(fan_out) hops and the loss of one host does not disconnect
+// others. Updates still get through while daemons have different rosters, but
+// may need more hops.
 std::vector<HostId> NeighboursOf(const std::set<HostId>& roster,
                                  const HostId& self, size_t fan_out);
 
--- a/include/dotterelshift/directory/spread.h
+++ b/include/dotterelshift/directory/spread.h
@@ -18,12 +18,12 @@
 struct SpreadOptions {
   HostId self;
   size_t fan_out = 3;
-  Duration round = 100ms;      // what has gathered is sent on this often
-  Duration least_pulse = 1s;   // between two load reports of one endpoint
-  Duration digest_every = 3s;  // records are compared with the neighbours
-  Duration pull_again = 10s;   // at most one full transfer from one neighbour
-  // What all load reports may cost this daemon, sent and received together;
-  // with more endpoints each is reported less often.
+  Duration round = 100ms;      // how often pending updates are sent
+  Duration least_pulse = 1s;   // between two load reports of an endpoint
+  Duration digest_every = 3s;  // how often neighbours compare digests
+  Duration pull_again = 10s;   // between full transfers from one neighbour
+  // Bound on the traffic of all load reports, sent and received together. With
+  // more endpoints each is reported less often.
   double pulse_bytes_per_second = 12'000;
 };
 
@@ -33,19 +33,20 @@
   wire::DirectoryDeltaT delta;
 };
 
-// Names one run of an endpoint in load reports: FNV-1a of id and incarnation.
+// Identifies one incarnation of an endpoint in load reports: FNV-1a of id and
+// incarnation.
 uint64_t PulseKey(const EndpointId& endpoint, uint64_t incarnation);
 
-// What of the directory is sent to which daemons, and when.
+// Disseminates the directory between daemons by gossip.
 //
-// News of what an endpoint offers, that it drains, is gone or silent goes out
-// in the next round as a whole record, and whoever learns it sends it on to its
-// neighbours. The load, which changes all the time, goes the same ways as a
-// small pulse, at a rate that keeps within a given number of bytes a second;
-// so does the sign of life. Silence is noticed where an endpoint was last
-// heard, and told as news. Neighbours compare digests of their records, and one
-// that lacks something asks for everything: that heals lost frames, partitions
-// and changes of the roster.
+// A change of what an endpoint offers, or that it is draining, gone or silent,
+// is sent as a full record in the next round, and each daemon that receives it
+// forwards it to its neighbours. The load changes all the time; it is sent the
+// same way as a small pulse, which also serves as keep-alive, at a rate bounded
+// in bytes per second. The daemon that last received announcements from an
+// endpoint detects its silence and sends that as an update. Neighbours compare
+// digests of their records, and one that differs requests a full transfer. This
+// repairs the effects of lost frames, partitions and changes of the roster.
 class Spread {
  public:
   Spread(const SpreadOptions& options, Directory* directory);
@@ -55,21 +56,21 @@
 
   // An endpoint announced itself to this daemon.
   News OnAnnounced(const wire::EndpointRecordT& record, Instant now);
-  // A delta of another daemon. Its cache events are not looked at. True when
-  // something in it was new.
+  // Applies a delta of another daemon, except its cache events. Returns true
+  // when something in it was new.
   bool OnDelta(const HostId& from, const wire::DirectoryDeltaT& delta,
                Instant now);
 
-  // What is to be sent now; also lets silent records lapse.
+  // Returns what is to be sent now; also expires silent records.
   std::vector<Outgoing> OnTimer(Instant now);
   Instant NextTimer() const { return m_next_round; }
 
-  // How often one endpoint's load is spread at present.
+  // The current interval between load reports of one endpoint.
   Duration PulseInterval() const;
   const std::vector<HostId>& Neighbours() const { return m_neighbours; }
 
  private:
-  // What is to be sent on of one endpoint, and to whom not.
+  // An update of one endpoint to be forwarded to all neighbours but `from`.
   struct Pending {
     bool whole = false;
     HostId from;
@@ -77,13 +78,15 @@
   struct Known {
     uint64_t key = 0;
     Instant last_pulse{};
-    uint32_t heard_in_a_row = 0;  // announcements here, none newer elsewhere
+    // Consecutive announcements to this daemon without a newer update of
+    // others.
+    uint32_t heard_in_a_row = 0;
   };
   struct Neighbour {
     Instant pulled{};
-    bool wants_all = false;  // it asked for everything
-    bool ask_all = false;    // it is to be asked for everything
-    bool differed = false;   // at its last digest
+    bool wants_all = false;  // it requested a full transfer
+    bool ask_all = false;    // a full transfer is to be requested from it
+    bool differed = false;   // its last digest was different
   };
 
   void ChooseNeighbours();
--- a/include/dotterelshift/peers/hub.h
+++ b/include/dotterelshift/peers/hub.h
@@ -18,7 +18,7 @@
 
 namespace dotterelshift::peers {
 
-// What a peer said of itself and proved in its hello.
+// The identity of a peer, authenticated in the handshake.
 struct PeerInfo {
   HostRun run;
   wire::HostRole role = wire::HostRole::Entry;
@@ -32,16 +32,16 @@
   std::string secret;  // shared by all daemons of the fleet
   PeerInfo self;       // its address is filled in by the hub
   std::string listen_address = "127.0.0.1";
-  uint16_t listen_port = 0;           // 0: the system chooses
-  std::vector<std::string> dial;      // addresses to keep connected to, IP:port
+  uint16_t listen_port = 0;       // 0: the system chooses
+  std::vector<std::string> dial;  // addresses to keep a connection to, IP:port
   size_t max_frame_bytes = 16 << 20;  // a larger frame closes the connection
-  size_t max_backlog_bytes =
-      64 << 20;  // a peer that takes no more than this is cut off
+  // A peer with more unsent bytes is disconnected.
+  size_t max_backlog_bytes = 64 << 20;
   Duration hello_timeout = 5s;
   Duration reconnect_least = 50ms;  // doubled with jitter after each failure
   Duration reconnect_most = 2s;
-  Duration silence_timeout =
-      6s;             // a peer that has sent nothing for this long is cut off
+  // A peer that sends nothing for this long is disconnected.
+  Duration silence_timeout = 6s;
   uint64_t seed = 0;  // of the jitter
 };
 
@@ -51,7 +51,7 @@
   std::function<void(const PeerInfo& peer, wire::FrameT frame)> on_frame;
 };
 
-// What went wrong on connections, for the metrics.
+// Traffic and failures of connections, for the metrics.
 struct HubCounters {
   uint64_t connections = 0;
   uint64_t refused_hellos = 0;
@@ -61,31 +61,32 @@
   uint64_t bytes_out = 0;
   uint64_t frames_in = 0;
   uint64_t frames_out = 0;
-  // Of frames that were handed over to be sent, by what they carry.
+  // Bytes of the frames queued for sending, by type of body.
   std::map<wire::FrameBody, uint64_t> bytes_out_by_body;
 };
 
-// What connections have not taken yet.
+// Bytes queued on connections and not sent yet.
 struct HubBacklog {
   size_t bytes = 0;  // of all connections
   size_t most = 0;   // of one
 };
 
-// All connections of one daemon to the others: length-framed FlatBuffers over
-// TCP, one connection for each pair of hosts, each side proved by a keyed hash
-// before anything else is read. Frames to one peer keep their order; a lost
-// connection loses what was under way, and the layers above resend.
+// The connections of one daemon to the others: length-prefixed FlatBuffers over
+// TCP, one connection per pair of hosts. Each side authenticates with a keyed
+// hash before anything else is read. Frames to one peer keep their order. When
+// a connection is lost, so are the frames in flight; the layers above resend.
 class Hub {
  public:
   virtual ~Hub() = default;
-  // False when there is no connection to the host; the frame is then dropped.
+  // Returns false and drops the frame when there is no connection to the host.
   virtual bool Send(const HostId& host, const wire::FrameT& frame) = 0;
-  // Bytes to the host that its connection has not taken yet; 0 without one.
+  // Bytes queued for the host and not sent yet; 0 without a connection.
   virtual size_t Backlog(const HostId& host) const = 0;
-  // Of all connections that are up.
+  // The backlog of all connections that are up.
   virtual HubBacklog Backlogs() const { return {}; }
   virtual std::vector<PeerInfo> Peers() const = 0;
-  // Keeps a connection to one more address from now on.
+  // Adds an address to keep a connection to. Throws Error(kBadSettings) when it
+  // is not IP:port.
   virtual void Dial(const std::string& address) = 0;
   virtual uint16_t Port() const = 0;
   virtual const HubCounters& Counters() const = 0;
@@ -95,7 +96,7 @@
 std::unique_ptr<Hub> MakeHub(loop::Loop& loop, const HubOptions& options,
                              HubCallbacks callbacks);
 
-// A frame around one body.
+// Wraps a body in a frame.
 template <typename Body>
 wire::FrameT MakeFrame(Body body) {
   wire::FrameT frame;
--- a/include/dotterelshift/settings/settings.h
+++ b/include/dotterelshift/settings/settings.h
@@ -13,36 +13,36 @@
 
 namespace dotterelshift::settings {
 
-// Settings of one daemon, read once at its start. YAML names are the fields'
-// names; docs/SETTINGS.md lists each with unit, default and bounds, made from
-// the same table that checks them.
+// Settings of one daemon, read once at start. The YAML keys are the names of
+// the fields. docs/SETTINGS.md lists each with unit, default and bounds; it is
+// generated from the table that validates them.
 struct Settings {
   std::string host;
   std::string fleet;
   std::string data_centre;
   wire::HostRole role = wire::HostRole::Entry;
   std::string secret_file;            // the fleet's secret, one line
-  std::string address = "127.0.0.1";  // IP number of the hub
+  std::string address = "127.0.0.1";  // IP address of the hub
   uint16_t peer_port = 0;
   std::string http_address = "127.0.0.1";
   uint16_t http_port = 0;
   std::vector<std::string> peers;  // hubs of the other daemons, IP:port
-  // "IP:port", instead of http_address and http_port; empty: those.
+  // "IP:port"; replaces http_address and http_port unless empty.
   std::string listen;
-  // A second listener for health checks and metrics alone; empty: none.
+  // A second listener, only for health checks and metrics; empty: none.
   std::string health_listen;
-  uint16_t metrics_port = 0;       // a listener for metrics alone; 0: none
-  std::vector<std::string> seeds;  // some control daemons; only the IP counts
-  Duration peer_silence = 6s;      // a daemon not heard for so long is cut off
+  uint16_t metrics_port = 0;       // a listener only for metrics; 0: none
+  std::vector<std::string> seeds;  // some control daemons; only the IP is used
+  Duration peer_silence = 6s;      // a daemon silent for longer is disconnected
   bool gateway = false;            // serves published routes
-  std::string port_file;  // where the daemon writes its ports as JSON once it
-                          // listens; empty: nowhere
+  std::string port_file;  // the daemon writes its ports here as JSON once it
+                          // listens; empty: not written
   std::string log_level = "info";
 
   // control
   std::string data_folder;
   std::vector<std::string> first_members;  // hosts
-  std::string operator_key_file;           // one key a line: NAME KEY
+  std::string operator_key_file;           // one key per line: NAME KEY
   bool found_group = false;                // the seeds are the first members
   bool self_healing = false;  // the leader adds and replaces replicas itself
   Duration leader_heartbeat = 50ms;
@@ -50,16 +50,16 @@
 
   // entry
   bool serve_when_cut_off = true;
-  Duration shutdown_notice =
-      2s;  // after SIGTERM new requests still run for this long
-  Duration cut_off_after = 3s;    // without a confirmed leader's beat
+  // After SIGTERM new requests are still accepted for this long.
+  Duration shutdown_notice = 2s;
+  Duration cut_off_after = 3s;    // without a heartbeat of a confirmed leader
   Duration shutdown_limit = 60s;  // after SIGTERM, streams included
   uint32_t max_head_bytes = 4 << 10;
   uint32_t max_body_bytes = 8 << 20;
   double retry_ratio = 0.2;  // of the requests, fleet-wide
   Duration retry_window = 10s;
-  uint32_t retry_slack = 50;  // repeats in a window besides, fleet-wide
-  double link_mbit = 0;       // of the host, a second; 0: not known
+  uint32_t retry_slack = 50;  // further retries per window, fleet-wide
+  double link_mbit = 0;       // of the host, per second; 0: not known
   uint32_t max_connections = 4096;
   Duration receive_timeout = 10s;
   Tokens default_output_limit = 1024;
@@ -70,12 +70,12 @@
   uint32_t max_waiting_per_team = 256;
 };
 
-// Reads and checks YAML. Throws Error(kBadSettings) with "FILE:LINE: what is
-// wrong (expected form)".
+// Parses and validates YAML. Throws Error(kBadSettings) with the text
+// "FILE:LINE: what is wrong (expected form)".
 Settings ParseSettings(std::string_view yaml, const std::string& file);
 Settings ReadSettings(const std::string& path);
 
-// The fleet's secret, and the operators' keys by name; throws
+// Read the secret of the fleet and the keys of the operators. Both throw
 // Error(kBadSettings).
 std::string ReadSecret(const std::string& path);
 struct OperatorKey {
@@ -84,7 +84,7 @@
 };
 std::vector<OperatorKey> ReadOperatorKeys(const std::string& path);
 
-// One setting as its page lists it.
+// One row of docs/SETTINGS.md.
 struct SettingRow {
   std::string_view name;
   std::string_view unit;
--- a/include/dotterelshift/telemetry/log.h
+++ b/include/dotterelshift/telemetry/log.h
@@ -17,22 +17,22 @@
   std::string value;
 };
 
-// Sets Boost.Log up with one synchronous sink on standard output: one JSON
-// object a line, with time, level, host. Lines that the reader of the output
-// does not take in time are held up to a bound, then dropped and counted: a
-// log never blocks the loop.
+// Sets up Boost.Log with one synchronous sink on standard output: one JSON
+// object per line, with time, level and host. Lines that cannot be written yet
+// are buffered up to a bound, then dropped and counted, so that logging never
+// blocks the event loop.
 void StartLog(const std::string& host, LogLevel least);
-// The same with another stream, which outlives the log. Until one of the two is
-// called, nothing is written.
+// The same with another stream, which must outlive the log. Nothing is written
+// until one of the two is called.
 void StartLog(const std::string& host, LogLevel least, std::ostream& stream);
 
-// Writes one line for a change of state. What happens often is a counter, not a
-// line.
+// Writes one line for a change of state. Frequent events are counted in metrics
+// instead.
 void Log(LogLevel level, std::string_view event,
          std::initializer_list<LogField> fields = {});
 
-// Writes one line for a decision on a request. Above a rate that a process can
-// afford lines are dropped, and the next one that is written says how many.
+// Writes one line for a decision on a request. Lines above a fixed rate are
+// dropped; the next line that is written gives their number.
 void LogDecision(
     std::string_view event, const std::string& request,
     const std::vector<std::pair<std::string_view, std::string>>& inputs);
--- a/include/dotterelshift/telemetry/metrics.h
+++ b/include/dotterelshift/telemetry/metrics.h
@@ -12,19 +12,19 @@
 namespace dotterelshift::telemetry {
 
 struct MetricsOptions {
-  size_t max_team_labels =
-      200;  // the busiest teams by name, the others together as "other"
+  // The busiest teams are labelled by name; the rest share the label "other".
+  size_t max_team_labels = 200;
   size_t max_class_labels = 32;
 };
 
-// The counters and histograms of one daemon (prometheus-cpp's registry and text
-// form, no server of its own).
+// The counters and histograms of one daemon, kept in a prometheus-cpp registry
+// and rendered in its text format. Does not run a server.
 class Metrics {
  public:
   virtual ~Metrics() = default;
   virtual void OnFinished(const serving::RequestSummary& summary) = 0;
   virtual void OnTokenGap(std::string_view request_class, Duration gap) = 0;
-  // A plain counter or gauge by name; the name is made at its first use.
+  // Set an unlabelled counter or gauge, which is created at its first use.
   virtual void SetCounter(std::string_view name, std::string_view help,
                           double value) = 0;
   virtual void SetGauge(std::string_view name, std::string_view help,
--- a/src/dotterelshift/base/error.cc
+++ b/src/dotterelshift/base/error.cc
@@ -9,9 +9,9 @@
 using enum ErrorKind;
 using enum RetryAdvice;
 
-// Order of the columns: kind, name, status, ran, retry, seconds to wait,
-// sentence. Ran::kNo is allowed only where no byte of the request was handed to
-// an endpoint, or the endpoint itself refused before it ran anything.
+// Columns: kind, name, status, ran, retry, Retry-After in seconds, sentence.
+// Ran::kNo is allowed only where no byte of the request was sent to an
+// endpoint, or the endpoint refused the request before running any of it.
 constexpr std::array kTable = {
     ErrorRow{kBadJson, "bad_json", 400, Ran::kNo, kNever, 0,
              "The body is not valid JSON."},
--- a/src/dotterelshift/base/temporary_folder.h
+++ b/src/dotterelshift/base/temporary_folder.h
@@ -9,11 +9,11 @@
 
 namespace dotterelshift {
 
-// A folder of one test, benchmark or soak run, removed with all it holds at the
-// end of its scope.
+// A temporary folder for a test, benchmark or soak run. The destructor removes
+// it with its contents.
 class TemporaryFolder {
  public:
-  // Throws system_error when the folder cannot be made.
+  // Throws system_error when the folder cannot be created.
   TemporaryFolder()
       : m_path((std::filesystem::temp_directory_path() / "dotterelshift-XXXXXX")
                    .string()) {
--- a/src/dotterelshift/base/yaml_reader.cc
+++ b/src/dotterelshift/base/yaml_reader.cc
@@ -24,7 +24,7 @@
   });
 }
 
-// One suffix of a number and what it multiplies by.
+// A suffix of a number and its factor.
 struct Unit {
   std::string_view suffix;
   int64_t factor;
@@ -37,16 +37,17 @@
     Unit{"h", 3'600'000'000'000}, Unit{"m", 60'000'000'000},
     Unit{"s", 1'000'000'000}, Unit{"ms", 1'000'000}};
 
-// What became of reading a number with a unit.
+// The result of parsing a number with a unit.
 enum class Reading { kOk, kNotANumber, kBadUnit, kOverflow };
 
-// What stands behind a decimal point: 8.5 has digits 5 and scale 10.
+// The digits after the decimal point: 8.5 has digits 5 and scale 10.
 struct Decimals {
   int64_t digits = 0;
   int64_t scale = 1;
 };
 
-// Reads them, if there are any; null when they are malformed or too fine.
+// Parses the decimals, if any. Returns the end of what it parsed, or null when
+// they are malformed or have more than six digits.
 const char* ReadDecimals(const char* at, const char* end, Decimals* decimals) {
   constexpr int64_t kFinest = 1'000'000;
   if (at == end || *at != '.') return at;
@@ -59,7 +60,7 @@
   return digit == at + 1 ? nullptr : digit;
 }
 
-// Whether a number may have a fraction: times may, amounts are whole.
+// Whether a number may have decimals: times may, amounts are integers.
 enum class Fractions { kRefused, kTaken };
 
 Reading ReadNumber(std::string_view text, std::span<const Unit> units,
@@ -97,7 +98,7 @@
   return joined;
 }
 
-// A value as a refusal shows it: short, and without control bytes.
+// Quotes a value for an error text: shortened and without control characters.
 std::string Quoted(const std::string& text) {
   constexpr size_t kShown = 60;
   std::string shown = text.substr(0, kShown);
--- a/src/dotterelshift/directory/directory.cc
+++ b/src/dotterelshift/directory/directory.cc
@@ -11,7 +11,7 @@
          a.adapters == b.adapters;
 }
 
-// Whether two records offer the same work at the same place.
+// Whether two records have the same address, capacity, models and services.
 bool SameOffer(const wire::EndpointRecordT& a, const wire::EndpointRecordT& b) {
   const bool same_place = a.incarnation == b.incarnation &&
                           a.address == b.address &&
@@ -24,18 +24,18 @@
   return true;
 }
 
-// Whether two records say the same of whether the endpoint may be used.
+// Whether two records agree on the availability of the endpoint.
 bool SameMarks(const wire::EndpointRecordT& a, const wire::EndpointRecordT& b) {
   return a.incarnation == b.incarnation && a.draining == b.draining &&
          a.gone == b.gone && a.silent == b.silent;
 }
 
-// When the news was first heard, by any daemon.
+// When any daemon first received the update.
 Instant HeardAt(uint32_t age_ms, Instant now) {
   return now - std::chrono::milliseconds(age_ms);
 }
 
-// Draining and gone hold for the whole incarnation.
+// Draining and gone stay set for the rest of the incarnation.
 void KeepSticky(wire::EndpointRecordT* record, bool draining, bool gone) {
   record->draining = record->draining || draining;
   record->gone = record->gone || gone;
@@ -97,7 +97,7 @@
   return News::kOffer;
 }
 
-// Late news changes nothing but the marks that it still brings.
+// An update that is not newer can only add flags.
 News Directory::Amend(Endpoint* endpoint, const wire::EndpointRecordT& late,
                       Instant now) {
   wire::EndpointRecordT& known = endpoint->record;
@@ -155,7 +155,7 @@
                        Instant now) {
   const auto it = m_endpoints.find(id);
   if (it == m_endpoints.end()) return;
-  // An older run's death says nothing of the one that runs now.
+  // A failure of an older incarnation says nothing about the current one.
   if (it->second.record.incarnation != incarnation) return;
   it->second.dead_until = now + m_options.dead_hold;
   it->second.last_evidence = {};
--- a/src/dotterelshift/directory/directory_test.cc
+++ b/src/dotterelshift/directory/directory_test.cc
@@ -10,17 +10,17 @@
 
 constexpr Instant kStart = Instant{} + 1000s;
 
-// One piece of news of endpoint "e", as it arrives.
+// An update of endpoint "e".
 struct News {
   uint64_t incarnation = 1;
   uint64_t sequence = 1;
   bool draining = false;
   bool gone = false;
   uint32_t age_ms = 0;
-  Duration wait = 0s;  // before it arrives
+  Duration wait = 0s;  // time before it arrives
 };
 
-// What the directory should hold after all the news.
+// The expected state of the directory after all updates.
 struct Case {
   std::string name;
   std::vector<News> news;
--- a/src/dotterelshift/directory/neighbours.cc
+++ b/src/dotterelshift/directory/neighbours.cc
@@ -22,12 +22,12 @@
 
   std::vector<size_t> places;
   for (size_t r = 1; r <= fan_out; ++r) {
-    // -(fan_out * own + r), taken modulo the count.
+    // -(fan_out * own + r) modulo count.
     const size_t place = count - 1 - (fan_out * own + r - 1) % count;
     if (place != own && !Holds(places, place)) places.push_back(place);
   }
-  // Where the graph names the host itself, or one twice, the next ones in order
-  // fill up.
+  // The graph may yield the host itself or duplicates; the next hosts in order
+  // take their place.
   for (size_t step = 1; step < count && places.size() < fan_out; ++step) {
     const size_t place = (own + step) % count;
     if (!Holds(places, place)) places.push_back(place);
--- a/src/dotterelshift/directory/spread.cc
+++ b/src/dotterelshift/directory/spread.cc
@@ -12,12 +12,12 @@
 
 constexpr double kPulseBytes = sizeof(wire::EndpointPulse);
 
-// An endpoint that announced itself here so often in a row, and nowhere else
-// in between, is heard by this daemon alone.
+// After this many consecutive announcements here, with none elsewhere in
+// between, an endpoint is taken to announce itself only to this daemon.
 constexpr uint32_t kHeardHere = 3;
 
-// The silence of an endpoint that others hear is believed after this many
-// missed pulses.
+// An endpoint that announces itself to another daemon counts as silent after
+// this many missed pulses.
 constexpr int kMissedPulses = 3;
 
 constexpr uint64_t kFnvStart = 14695981039346656037ULL;
@@ -36,7 +36,7 @@
   Mix(hash, 0);
 }
 
-// A record without its load and its age.
+// Hashes a record without its load and its age.
 uint64_t DigestOf(const wire::EndpointRecordT& record) {
   uint64_t hash = kFnvStart;
   MixText(&hash, record.id);
@@ -67,7 +67,8 @@
           Narrow(record.age_ms)};
 }
 
-// The whole number that a pulse gives the low half of, next to a known one.
+// Restores the 64-bit sequence number closest to a known one from the low 32
+// bits that a pulse carries.
 uint64_t WholeSequence(uint64_t known, uint32_t low) {
   constexpr uint64_t kHalf = uint64_t{1} << 31;
   constexpr uint64_t kWhole = uint64_t{1} << 32;
@@ -95,7 +96,8 @@
 void Spread::OnPeerUp(const HostId& host, Instant /*now*/) {
   m_roster.insert(host);
   m_peers[host] = {};
-  // It may have nothing yet: each side offers its digest in the next round.
+  // The peer may have no records yet: both sides send their digests in the next
+  // round.
   m_next_digest = {};
   ChooseNeighbours();
 }
@@ -111,7 +113,7 @@
 }
 
 Duration Spread::PulseInterval() const {
-  // Each pulse comes in, and goes out, about fan_out times.
+  // Each pulse is received and sent about fan_out times.
   const double copies =
       2 * static_cast<double>(std::min(m_options.fan_out, m_neighbours.size()));
   const double bytes =
@@ -128,7 +130,8 @@
   Known& known = m_known[record.id];
   ++known.heard_in_a_row;
   m_directory->SetHeardHere(record.id, known.heard_in_a_row >= kHeardHere);
-  // A little early counts as due: announcements come about as often as pulses.
+  // A report up to one round early counts as due, because announcements arrive
+  // about as often as pulses are sent.
   const Duration interval = PulseInterval() - m_options.round;
   const bool due = now - known.last_pulse >= interval;
   if (news == News::kOffer || due) Note(record.id, news, m_options.self, now);
@@ -157,7 +160,7 @@
                         Instant now, bool* any_news) {
   for (const wire::EndpointPulse& pulse : delta.pulses) {
     const auto id = m_by_key.find(pulse.key());
-    if (id == m_by_key.end()) continue;  // the digests will tell
+    if (id == m_by_key.end()) continue;  // repaired by the digests
     const Endpoint* endpoint = m_directory->Find(id->second);
     if (endpoint == nullptr) continue;
     LoadReport load;
@@ -197,8 +200,9 @@
 void Spread::CompareDigest(const HostId& from, uint64_t digest, Instant now) {
   Neighbour& neighbour = m_peers[from];
   const bool differs = digest != Digest();
-  // Twice in a row: news that is just on its way makes a difference, too. Who
-  // knows nothing asks at once.
+  // Updates in flight also make digests differ, so a full transfer is requested
+  // only after two differing digests in a row. A daemon without records
+  // requests it at once.
   const bool lasting = neighbour.differed || m_directory->All().empty();
   neighbour.differed = differs;
   if (!differs || !lasting) return;
--- a/src/dotterelshift/directory/spread_test.cc
+++ b/src/dotterelshift/directory/spread_test.cc
@@ -18,8 +18,8 @@
   return roster;
 }
 
-// Steps that news needs from one host to all others that are left; 0 when it
-// does not reach them all.
+// The number of hops that an update needs from one host to all others except
+// `lost`; 0 when it does not reach them all.
 size_t StepsToAll(const std::set<HostId>& roster, const HostId& start,
                   const HostId& lost) {
   std::set<HostId> reached = {start};
@@ -38,7 +38,8 @@
   }
 }
 
-// A few daemons whose links deliver in the next round, or lose everything.
+// A few daemons whose links deliver in the next round. Those of the hosts in
+// `cut` lose everything.
 class Fleet {
  public:
   explicit Fleet(size_t count) {
@@ -79,7 +80,7 @@
     daemons[at]->spread->OnAnnounced(record, now);
   }
 
-  // How many daemons find the endpoint usable.
+  // The number of daemons that consider the endpoint usable.
   size_t Usable() const {
     size_t count = 0;
     for (const auto& daemon : daemons) {
@@ -95,7 +96,7 @@
     std::unique_ptr<Spread> spread;
   };
   std::vector<std::unique_ptr<Daemon>> daemons;
-  std::set<HostId> cut;  // hosts that nothing comes to or from
+  std::set<HostId> cut;  // hosts that neither send nor receive
   Instant now = Instant{} + 1000s;
 
  private:
--- a/src/dotterelshift/peers/frame_buffer.cc
+++ b/src/dotterelshift/peers/frame_buffer.cc
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr size_t kLengthBytes = 4;
-// A frame of our own is flat; a hostile one may nest or repeat its tables to
-// make the check itself costly.
+// Valid frames are flat. The limits bound the cost of verifying a hostile frame
+// that nests or repeats tables.
 constexpr flatbuffers::uoffset_t kMaxDepth = 16;
 constexpr flatbuffers::uoffset_t kMaxTables = 4'000'000;
 
@@ -35,7 +35,7 @@
     if (m_pending.size() - position - kLengthBytes < length) break;
     position += kLengthBytes;
     if (length > 0) {
-      // The buffer is copied, because FlatBuffers want their bytes aligned.
+      // Copied because FlatBuffers need an aligned buffer.
       const std::string aligned = m_pending.substr(position, length);
       const auto* data = reinterpret_cast<const uint8_t*>(aligned.data());
       flatbuffers::Verifier verifier(data, length, kMaxDepth, kMaxTables);
--- a/src/dotterelshift/peers/frame_buffer.h
+++ b/src/dotterelshift/peers/frame_buffer.h
@@ -10,20 +10,19 @@
 
 namespace dotterelshift::peers {
 
-// What reading a run of received bytes led to.
+// The result of parsing received bytes.
 enum class ReadResult { kOk, kOversized, kBad };
 
-// Cuts received bytes into frames: a length of four bytes, least first, then
-// that many bytes of a FlatBuffer. A length of nought is a sign of life and
-// carries nothing.
+// Splits received bytes into frames: a length of four bytes, little-endian,
+// then that many bytes of a FlatBuffer. A frame of length 0 is a keep-alive
+// without content.
 class FrameReader {
  public:
   explicit FrameReader(size_t max_frame_bytes)
       : m_max_frame_bytes(max_frame_bytes) {}
 
-  // Takes bytes in and hands each whole frame to `on_frame`, which returns
-  // false to stop reading. Anything but kOk means that the connection is to be
-  // closed.
+  // Appends received bytes and passes each complete frame to `on_frame`, which
+  // returns false to stop. On any result but kOk the connection must be closed.
   ReadResult Read(std::string_view bytes,
                   const std::function<bool(wire::FrameT)>& on_frame);
 
@@ -32,7 +31,7 @@
   std::string m_pending;
 };
 
-// Writes frames behind each other into a buffer to be sent.
+// Appends frames to a send buffer.
 class FrameWriter {
  public:
   void Append(const wire::FrameT& frame, std::string* out);
--- a/src/dotterelshift/peers/handshake.cc
+++ b/src/dotterelshift/peers/handshake.cc
@@ -31,7 +31,7 @@
                  hello.challenge.size()});
 }
 
-// The hash by which `prover` shows `verifier` that it knows the secret.
+// The hash that proves to `verifier` that `prover` knows the secret.
 std::vector<uint8_t> ProofOf(const std::string& secret,
                              const wire::HelloT& prover,
                              const wire::HelloT& verifier) {
--- a/src/dotterelshift/peers/handshake.h
+++ b/src/dotterelshift/peers/handshake.h
@@ -10,26 +10,27 @@
 
 namespace dotterelshift::peers {
 
-// The version of the frames. A daemon refuses a hello with another one.
+// The protocol version. A hello with another version is refused.
 inline constexpr uint16_t kProtocolVersion = 1;
 
-// One side of the handshake of one connection: each side says hello with a
-// challenge of its own, and answers the other's challenge with a keyed hash
-// over both hellos, which only a holder of the fleet's secret can make.
+// One side of the handshake of a connection. Each side sends a hello with its
+// own challenge, and responds to the other's challenge with a keyed hash over
+// both hellos, which requires the secret of the fleet.
 class Handshake {
  public:
   Handshake(std::string fleet, std::string secret, const PeerInfo& self);
 
   const wire::HelloT& Hello() const { return m_hello; }
 
-  // Takes the other side's hello. False: another protocol, another fleet, or
-  // ourselves.
+  // Processes the hello of the other side. Returns false when one was processed
+  // before, and for another protocol or fleet, a missing host name, our own
+  // host name, or a challenge of the wrong size.
   bool TakeHello(const wire::HelloT& hello);
 
-  // What answers the other side's challenge; only after TakeHello().
+  // The response to the other side's challenge. Requires TakeHello().
   wire::HelloProofT Proof() const;
 
-  // Whether the other side's proof is right; only after TakeHello().
+  // Verifies the proof of the other side. Requires TakeHello().
   bool Proves(const wire::HelloProofT& proof) const;
 
   bool HasPeer() const { return m_has_peer; }
--- a/src/dotterelshift/peers/hub.cc
+++ b/src/dotterelshift/peers/hub.cc
@@ -25,7 +25,7 @@
 constexpr size_t kReadBytes = 256 << 10;
 constexpr int kListenBacklog = 512;
 
-// Owns a socket.
+// Owns a socket descriptor.
 class Socket {
  public:
   explicit Socket(int descriptor) : m_descriptor(descriptor) {}
@@ -51,7 +51,7 @@
   setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-// One connection, from its first byte to its end.
+// One connection, including its handshake.
 struct Connection {
   Connection(int descriptor, bool dialled, const HubOptions& options)
       : socket(descriptor),
@@ -63,7 +63,7 @@
   bool dialled;              // by this side
   std::string dial_address;  // when dialled
   bool connecting = false;
-  bool up = false;  // both sides proved
+  bool up = false;  // the peer is authenticated
   bool closed = false;
   FrameReader reader;
   Handshake handshake;
@@ -80,10 +80,10 @@
 };
 using ConnectionPtr = std::shared_ptr<Connection>;
 
-// An address that a connection is kept to.
+// An address to keep a connection to.
 struct DialTarget {
   std::string address;
-  HostId host;  // whom was met there; empty: nobody yet
+  HostId host;  // the host at this address; empty until known
   ConnectionPtr connection;
   Duration delay{};
   Instant next{};
@@ -177,8 +177,8 @@
   uint16_t m_port = 0;
   std::unique_ptr<loop::IoWatcher> m_accept_watcher;
   loop::Timer m_timer;
-  // Last of all, so that what the other watchers of the turn have sent leaves
-  // in this turn.
+  // Has the lowest priority, so that frames queued by the other watchers are
+  // flushed in the same iteration of the loop.
   loop::PrepareWatcher m_prepare;
   FrameWriter m_writer;
   std::vector<ConnectionPtr> m_connections;
@@ -248,7 +248,7 @@
     Delay(target, now);
   }
   if (target.connection != nullptr || now < target.next) return;
-  // The other side may have dialled us already.
+  // The other side may already have connected to us.
   if (!target.host.empty() && m_by_host.contains(target.host)) return;
   for (const auto& [host, connection] : m_by_host) {
     if (connection->peer.address == target.address) return;
@@ -372,14 +372,15 @@
   return OnProved(connection);
 }
 
-// Of two connections between the same two hosts both sides keep the same one.
+// Decides which of two connections between the same hosts is kept, so that both
+// sides keep the same one.
 bool TcpHub::Supersedes(const Connection& fresh,
                         const Connection& standing) const {
   if (fresh.peer.run.incarnation != standing.peer.run.incarnation) {
     return fresh.peer.run.incarnation > standing.peer.run.incarnation;
   }
-  // The same side has dialled again: it has seen the end of the standing one
-  // before us.
+  // The same side has connected again, so it saw the existing connection end
+  // before we did.
   if (fresh.dialled == standing.dialled) return true;
   const bool ours_goes_first = m_options.self.run.host < fresh.peer.run.host;
   return fresh.dialled == ours_goes_first;
@@ -416,8 +417,9 @@
       connection.out.size() - before;
 }
 
-// Sends what is there. A failure only marks the connection; FlushAll() closes
-// it, outside of any caller's loop.
+// Sends queued bytes. On failure only marks the connection as closed; it is
+// torn down later, by FlushAll() or OnEvents(), not inside a loop of the
+// caller.
 void TcpHub::Flush(Connection& connection) {
   while (connection.Unsent() > 0) {
     const char* data = connection.out.data() + connection.out_sent;
--- a/src/dotterelshift/peers/hub_test.cc
+++ b/src/dotterelshift/peers/hub_test.cc
@@ -23,7 +23,7 @@
   return self;
 }
 
-// A hub with what it reported.
+// A hub that records its callbacks.
 struct TestHub {
   TestHub(loop::Loop& loop, const HubOptions& options) {
     HubCallbacks callbacks;
@@ -79,7 +79,7 @@
         static_cast<ssize_t>(bytes.size()),
         send(m_socket, bytes.data(), bytes.size(), MSG_NOSIGNAL));
   }
-  // True once the hub has closed the connection.
+  // Returns true once the hub has closed the connection.
   bool Closed() {
     char buffer[4096];
     const ssize_t count = recv(m_socket, buffer, sizeof buffer, MSG_DONTWAIT);
@@ -126,8 +126,8 @@
     TestHub b(loop, options);
     a.hub->Dial(b.Address());
     RunUntil(loop, "both up", [&] { return !a.ups.empty() && !b.ups.empty(); });
-    // Whatever crossed, in the end a frame each way passes and both know one
-    // peer.
+    // Whichever connection is kept, frames pass in both directions and each
+    // side has one peer.
     CPPUNIT_ASSERT(a.hub->Send("b", RecallFrame(1)));
     RunUntil(loop, "frames each way", [&] {
       if (a.recalls.empty()) b.hub->Send("a", RecallFrame(2));
@@ -150,7 +150,7 @@
     RunUntil(loop, "the new run", [&] { return a.ups.size() == 2; });
     CPPUNIT_ASSERT_EQUAL(Incarnation{2}, a.ups[1].incarnation);
     CPPUNIT_ASSERT_EQUAL(Incarnation{1}, a.downs.at(0).incarnation);
-    // The old run dials again and is turned away.
+    // The old incarnation connects again and is rejected.
     const uint64_t before = a.hub->Counters().connections;
     RunUntil(loop, "a late dial",
              [&] { return a.hub->Counters().connections > before + 1; });
--- a/src/dotterelshift/settings/settings.cc
+++ b/src/dotterelshift/settings/settings.cc
@@ -20,7 +20,7 @@
 constexpr size_t kLeastSecret = 16;
 constexpr size_t kLeastOperatorKey = 16;
 
-// The form of a setting that is a text.
+// The required form of a text setting.
 enum class Form { kName, kPath, kIpNumber, kLevel, kAddress };
 
 struct TextRule {
@@ -63,7 +63,7 @@
   Duration most;
 };
 
-// What checks one setting, and what its page says.
+// How a setting is validated and documented.
 struct Rule {
   std::string_view name;
   std::string_view unit;
@@ -212,7 +212,7 @@
   return text.str();
 }
 
-// Carries the values of one map over into settings.
+// Stores the values of a YAML map in Settings.
 class Reader {
  public:
   Reader(const YamlSource& source, const YamlMap& map, Settings* settings)
@@ -295,7 +295,7 @@
   std::string m_what;
 };
 
-// Rules that concern more than one setting.
+// Validates rules that involve more than one setting.
 void CheckTogether(const Settings& settings, const YamlSource& source,
                    const YAML::Node& root) {
   if (settings.role == wire::HostRole::Control && settings.data_folder.empty())
@@ -316,7 +316,7 @@
                   "at most " + std::to_string(settings.max_output_limit));
 }
 
-// The texts of a rule's page row.
+// The generated texts of a row of docs/SETTINGS.md.
 struct RowTexts {
   std::string default_value;
   std::string bounds;
@@ -449,7 +449,7 @@
 }
 
 std::span<const SettingRow> SettingTable() {
-  // A deque, so that the views of the rows stay good while it grows.
+  // A deque, so that string views into its elements stay valid as it grows.
   static const auto* const all_texts = [] {
     auto* texts = new std::deque<RowTexts>;
     for (const Rule& rule : kRules) texts->push_back(TextsOf(rule));
--- a/src/dotterelshift/settings/settings_test.cc
+++ b/src/dotterelshift/settings/settings_test.cc
@@ -17,7 +17,7 @@
     "role: entry\n"
     "secret_file: /etc/secret\n";
 
-// A line added to good settings, and what the refusal must hold.
+// A line added to valid settings, and a text that the error must contain.
 struct BadCase {
   std::string added;
   std::string refusal;
@@ -66,7 +66,7 @@
                          text.find(part) != std::string::npos);
 }
 
-// A file that goes when the test ends.
+// A file that is removed when the test ends.
 class ScratchFile {
  public:
   explicit ScratchFile(const std::string& content)
--- a/src/dotterelshift/telemetry/bounded_output.cc
+++ b/src/dotterelshift/telemetry/bounded_output.cc
@@ -8,7 +8,7 @@
 namespace dotterelshift::telemetry {
 namespace {
 
-// A pipe that is writable takes this many bytes without blocking (PIPE_BUF).
+// A writable pipe accepts this many bytes without blocking (PIPE_BUF).
 constexpr size_t kSafeWrite = 4096;
 
 }  // namespace
--- a/src/dotterelshift/telemetry/bounded_output.h
+++ b/src/dotterelshift/telemetry/bounded_output.h
@@ -7,14 +7,15 @@
 
 namespace dotterelshift::telemetry {
 
-// Writes whole lines to a descriptor without ever waiting for its reader: what
-// it does not take is held up to a bound, and lines past that are dropped.
+// Writes complete lines to a descriptor without waiting for its reader. Lines
+// that cannot be written yet are buffered up to a bound; further lines are
+// dropped.
 class BoundedOutput : public std::streambuf {
  public:
   explicit BoundedOutput(int descriptor, size_t max_held_bytes = 64 << 10)
       : m_descriptor(descriptor), m_max_held(max_held_bytes) {}
 
-  // Lines that were dropped so far.
+  // Number of lines dropped so far.
   uint64_t Dropped() const { return m_dropped; }
 
  protected:
@@ -28,8 +29,8 @@
 
   const int m_descriptor;
   const size_t m_max_held;
-  std::string m_line;  // being put together
-  std::string m_held;  // whole lines that were not taken yet
+  std::string m_line;  // the line being composed
+  std::string m_held;  // bytes of complete lines not written yet
   uint64_t m_dropped = 0;
 };
 
--- a/src/dotterelshift/telemetry/log.cc
+++ b/src/dotterelshift/telemetry/log.cc
@@ -22,7 +22,7 @@
 using Backend = boost::log::sinks::text_ostream_backend;
 using Sink = boost::log::sinks::synchronous_sink<Backend>;
 
-// What StartLog() set; without a sink nothing is written.
+// Set by StartLog(). Without a sink nothing is written.
 struct LogSetup {
   std::string host;
   LogLevel least = LogLevel::kInfo;
@@ -67,7 +67,7 @@
 }
 
 std::string TextOf(const nlohmann::ordered_json& line) {
-  // Bytes that are not UTF-8 are replaced: a log line never throws.
+  // Replaces invalid UTF-8, so that logging never throws.
   return line.dump(-1, ' ', false,
                    nlohmann::ordered_json::error_handler_t::replace);
 }
@@ -78,10 +78,10 @@
   BOOST_LOG_SEV(*logger, level) << line;
 }
 
-// Lets so many lines through in a second, and counts the others.
+// A token bucket that limits lines per second and counts the dropped ones.
 class LineRate {
  public:
-  // False: the line is dropped.
+  // Returns false when the line is to be dropped.
   bool Take(std::chrono::steady_clock::time_point now) {
     const std::chrono::duration<double> passed = now - m_since;
     m_since = now;
@@ -96,7 +96,7 @@
   uint64_t TakeDropped() { return std::exchange(m_dropped, 0); }
 
  private:
-  // A line costs about 10 microseconds: 0.2 in 100 of a core at the most.
+  // A line takes about 10 microseconds, so this is at most 0.2 % of a core.
   static constexpr double kLinesPerSecond = 200;
   static constexpr double kMostAtOnce = 400;
   std::chrono::steady_clock::time_point m_since{};
--- a/src/dotterelshift/telemetry/log_testing.h
+++ b/src/dotterelshift/telemetry/log_testing.h
@@ -8,7 +8,7 @@
 
 namespace dotterelshift::telemetry {
 
-// What a test's code logs while one of these lives.
+// Captures the log of a test for the lifetime of the object.
 class CapturedLog {
  public:
   explicit CapturedLog(LogLevel least) {
@@ -21,7 +21,7 @@
 
   std::string Text() const { return Stream().str(); }
 
-  // How many lines are of this event.
+  // The number of lines with this event.
   size_t Count(const std::string& event) const {
     const std::string member = "\"event\":\"" + event + "\"";
     const std::string text = Text();
@@ -33,7 +33,7 @@
   }
 
  private:
-  // Lives as long as the log, which keeps writing to it.
+  // Never destroyed, because the log keeps writing to it.
   static std::ostringstream& Stream() {
     static auto* const stream = new std::ostringstream;
     return *stream;
--- a/src/dotterelshift/telemetry/metrics.cc
+++ b/src/dotterelshift/telemetry/metrics.cc
@@ -88,7 +88,7 @@
     return values[std::string(name)];
   }
 
-  // The series of a class; those past the bound are counted together.
+  // The series of a class. Classes beyond the limit share the label kOther.
   ClassSeries& ClassOf(std::string_view name) {
     const auto found = m_classes.find(name);
     if (found != m_classes.end()) return found->second;
--- a/src/dotterelshift/telemetry/metrics_test.cc
+++ b/src/dotterelshift/telemetry/metrics_test.cc
@@ -23,7 +23,7 @@
   return summary;
 }
 
-// The lines of a text that begin with a name.
+// The lines of a text that start with a name.
 std::vector<std::string> LinesOf(const std::string& text,
                                  const std::string& name) {
   std::vector<std::string> lines;
@@ -84,7 +84,7 @@
     CPPUNIT_ASSERT_EQUAL(2.0, SumOf(text, "dotterelshift_requests_total"));
     CPPUNIT_ASSERT(Has(text, "outcome=\"answered\""));
     CPPUNIT_ASSERT(Has(text, "outcome=\"budget_exhausted\""));
-    // Only whole answers have a time to their end.
+    // Only complete responses have a total time.
     CPPUNIT_ASSERT_EQUAL(
         2.0, SumOf(text, "dotterelshift_whole_answer_seconds_count"));
   }
@@ -100,11 +100,11 @@
         LinesOf(text, "dotterelshift_tokens_spent_total").size();
     CPPUNIT_ASSERT_EQUAL(size_t{201}, by_team);
     CPPUNIT_ASSERT(LinesOf(text, "dotterelshift_requests_total").size() <= 201);
-    // One series a class beside those of the teams.
+    // One series per class, besides those of the teams.
     CPPUNIT_ASSERT_EQUAL(
         size_t{202},
         LinesOf(text, "dotterelshift_queue_wait_seconds_count").size());
-    // Folding loses nothing.
+    // Merging series loses no counts.
     CPPUNIT_ASSERT_EQUAL(2.0 * kTeams,
                          SumOf(text, "dotterelshift_requests_total"));
     CPPUNIT_ASSERT_EQUAL(20.0 * kTeams,
--- a/src/dotterelshift/telemetry/team_series.cc
+++ b/src/dotterelshift/telemetry/team_series.cc
@@ -5,14 +5,14 @@
 namespace dotterelshift::telemetry {
 namespace {
 
-// Requests after which the busiest teams are judged anew.
+// Number of requests after which the busiest teams are determined again.
 constexpr uint64_t kRound = 4096;
 
-// An unnamed team takes a named one's place when it is this much busier, so
-// that two alike do not change places each round.
+// A team without a label replaces one with a label when it is busier by this
+// factor. Otherwise two similar teams would swap in each round.
 constexpr uint64_t kMuchBusier = 2;
 
-// Unnamed teams that are counted, for each named one.
+// Number of teams without a label that are tracked per team with one.
 constexpr size_t kCountedPerNamed = 4;
 
 constexpr auto kByRecent = [](const auto& a, const auto& b) {
@@ -54,7 +54,7 @@
 TeamSeries::Series& TeamSeries::SeriesOf(const TeamId& team) {
   const auto found = m_named.find(team);
   if (found != m_named.end()) return found->second;
-  // A team may bear the label's name, or none when its key is not known.
+  // A team may itself be named "other"; it is empty when the key is not known.
   if (m_named.size() >= m_max_teams || team.empty() || team == kOther)
     return m_others;
   return m_named.emplace(team, MakeSeries(team)).first->second;
@@ -80,8 +80,9 @@
   return *counter;
 }
 
-// Counts the busiest of the unnamed in bounded memory (space saving): a new one
-// takes the place, and the count, of the least.
+// Counts the busiest teams without a label in bounded memory (Space-Saving
+// algorithm): a new team replaces the one with the lowest count and inherits
+// that count.
 void TeamSeries::CountUnnamed(const TeamId& team) {
   if (team.empty() || team == kOther) return;
   const auto found = m_unnamed.find(team);
--- a/src/dotterelshift/telemetry/team_series.h
+++ b/src/dotterelshift/telemetry/team_series.h
@@ -12,8 +12,9 @@
 namespace dotterelshift::telemetry {
 
 // The series labelled by team: the busiest teams by name, all others together.
-// Who is busiest is judged anew after each round of requests; a team that loses
-// its name leaves what it counted to the others, so sums over all teams hold.
+// The busiest teams are determined again after each round of requests. When a
+// team loses its label, its counts are added to those of the others, so that
+// sums over all teams stay correct.
 class TeamSeries {
  public:
   TeamSeries(prometheus::Registry& registry, TimeFamilies& times,
--- a/src/dotterelshift/telemetry/time_series.h
+++ b/src/dotterelshift/telemetry/time_series.h
@@ -17,25 +17,25 @@
 
 namespace dotterelshift::telemetry {
 
-// The label value that stands for all past a bound.
+// The label value shared by all teams or classes beyond the limit.
 inline constexpr std::string_view kOther = "other";
 
 struct StringHash : std::hash<std::string_view> {
   using is_transparent = void;
 };
 
-// A map that is looked up without making a string.
+// A map with lookup by string_view, without creating a string.
 template <typename Value>
 using ByName =
     std::unordered_map<std::string, Value, StringHash, std::equal_to<>>;
 
 double AsSeconds(Duration duration);
 
-// Upper bounds in seconds: from a wait that nobody feels to an answer of
-// minutes.
+// Upper bounds of the buckets in seconds: from imperceptible waits to responses
+// that take minutes.
 const prometheus::Histogram::BucketBoundaries& TimeBuckets();
 
-// The time histograms of one label value.
+// The latency histograms of one label value.
 struct Times {
   prometheus::Histogram* queue_wait = nullptr;
   prometheus::Histogram* first_token = nullptr;
@@ -44,12 +44,12 @@
 
 void Observe(const Times& times, const serving::RequestSummary& summary);
 
-// The families of the time histograms, labelled by class and by team.
+// The families of the latency histograms, labelled by class and by team.
 class TimeFamilies {
  public:
   explicit TimeFamilies(prometheus::Registry& registry);
   Times Add(const prometheus::Labels& labels);
-  // Ends the series of a label value; what they counted is added to `heir`.
+  // Adds the counts of the series `times` to `heir` and removes the series.
   void Fold(const Times& times, const Times& heir);
 
  private:
