--- a/src/dotterelshift/peers/hub.cc
+++ b/src/dotterelshift/peers/hub.cc
@@ -42,7 +42,7 @@
   const int descriptor =
       socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (descriptor < 0)
-    throw Error(ErrorKind::kInternal, "no socket can be made");
+    throw Error(ErrorKind::kInternal, "cannot create a TCP socket");
   return descriptor;
 }
 
@@ -136,7 +136,8 @@
   void Dial(const std::string& address) override {
     if (address == m_options.self.address) return;
     if (!ParseAddress(address))
-      throw Error(ErrorKind::kBadSettings, "not an IP:port: " + address);
+      throw Error(ErrorKind::kBadSettings,
+                  "not an IPv4 address and port: " + address);
     const bool known = std::ranges::any_of(
         m_targets, [&](const DialTarget& t) { return t.address == address; });
     if (!known)
@@ -192,7 +193,7 @@
       MakeAddress(m_options.listen_address, m_options.listen_port);
   if (!address)
     throw Error(ErrorKind::kBadSettings,
-                "not an IP number: " + m_options.listen_address);
+                "not an IPv4 address: " + m_options.listen_address);
   const int on = 1;
   setsockopt(m_listener.Get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   sockaddr_in bound{};
--- a/src/dotterelshift/settings/settings.cc
+++ b/src/dotterelshift/settings/settings.cc
@@ -432,14 +432,13 @@
     std::string more;
     if (!(words >> key.name) || key.name[0] == '#') continue;
     if (!(words >> key.key) || words >> more)
-      RefuseLine(path, number, "not a key line (expected NAME KEY)");
+      RefuseLine(path, number, "malformed key line (expected NAME KEY)");
     if (key.key.size() < kLeastOperatorKey)
       RefuseLine(path, number,
                  "the key is too short (expected at least 16 characters)");
     for (const OperatorKey& other : keys) {
       if (other.name == key.name || other.key == key.key)
-        RefuseLine(path, number,
-                   "the name or the key stands twice (expected each once)");
+        RefuseLine(path, number, "duplicate name or key (expected each once)");
     }
     keys.push_back(std::move(key));
   }
