--- a/src/dotterelshift/directory/directory_test.cc
+++ b/src/dotterelshift/directory/directory_test.cc
@@ -10,17 +10,17 @@
 
 constexpr Instant kStart = Instant{} + 1000s;
 
-// One piece of news of endpoint "e", as it arrives.
+// An update of endpoint "e".
 struct News {
   uint64_t incarnation = 1;
   uint64_t sequence = 1;
   bool draining = false;
   bool gone = false;
   uint32_t age_ms = 0;
-  Duration wait = 0s;  // before it arrives
+  Duration wait = 0s;  // time before it arrives
 };
 
-// What the directory should hold after all the news.
+// The expected state of the directory after all updates.
 struct Case {
   std::string name;
   std::vector<News> news;
@@ -31,53 +31,68 @@
 };
 
 const std::vector<Case> kCases = {
-    {"first news", {{1, 5}}, true, 1, 5, true},
-    {"doubled news", {{1, 5}, {1, 5}}, false, 1, 5, true},
-    {"crossed news", {{1, 6}, {1, 5}}, false, 1, 6, true},
-    {"older run after newer", {{2, 1}, {1, 99}}, false, 2, 1, true},
-    {"newer run with a lower sequence", {{1, 99}, {2, 1}}, true, 2, 1, true},
+    {"first update", {{1, 5}}, true, 1, 5, true},
+    {"duplicate update", {{1, 5}, {1, 5}}, false, 1, 5, true},
+    {"reordered update", {{1, 6}, {1, 5}}, false, 1, 6, true},
+    {"older incarnation after newer", {{2, 1}, {1, 99}}, false, 2, 1, true},
+    {"newer incarnation with a lower sequence",
+     {{1, 99}, {2, 1}},
+     true,
+     2,
+     1,
+     true},
     {"draining", {{1, 1}, {1, 2, true}}, true, 1, 2, false},
-    {"late news does not end draining",
+    {"late update does not end draining",
      {{1, 2, true}, {1, 1}},
      false,
      1,
      2,
      false},
-    {"newer news does not end draining",
+    {"newer update does not end draining",
      {{1, 2, true}, {1, 3}},
      true,
      1,
      3,
      false},
-    {"late draining still counts", {{1, 3}, {1, 2, true}}, true, 1, 3, false},
-    {"a new run ends draining", {{1, 2, true}, {2, 1}}, true, 2, 1, true},
-    {"older run's draining says nothing",
+    {"late draining flag is applied",
+     {{1, 3}, {1, 2, true}},
+     true,
+     1,
+     3,
+     false},
+    {"a new incarnation ends draining",
+     {{1, 2, true}, {2, 1}},
+     true,
+     2,
+     1,
+     true},
+    {"draining of an older incarnation is ignored",
      {{2, 1}, {1, 9, true}},
      false,
      2,
      1,
      true},
     {"gone is sticky", {{1, 1, false, true}, {1, 2}}, true, 1, 2, false},
-    {"too old on the way", {{1, 1, false, false, 3000}}, true, 1, 1, false},
-    {"silent, then heard",
+    {"too old on arrival", {{1, 1, false, false, 3000}}, true, 1, 1, false},
+    {"silent, then announced again",
      {{1, 1}, {1, 2, false, false, 0, 10s}},
      true,
      1,
      2,
      true},
-    {"draining outlives being forgotten",
+    {"draining survives the drop of the record",
      {{1, 2, true}, {1, 3, false, false, 0, 61s}},
      true,
      1,
      3,
      false},
-    {"a forgotten record is not revived by its own echo",
+    {"a dropped record is not revived by a duplicate",
      {{1, 2}, {1, 2, false, false, 0, 61s}},
      false,
      0,
      0,
      false},
-    {"a forgotten endpoint comes back by itself",
+    {"a dropped endpoint returns with a newer announcement",
      {{1, 2}, {1, 3, false, false, 0, 61s}},
      true,
      1,
