--- a/include/dotterelshift/app/daemon.h
+++ b/include/dotterelshift/app/daemon.h
@@ -11,20 +11,20 @@
 
 namespace dotterelshift::app {
 
-// One role, wired together on a loop.
+// A daemon in one role, running on an event loop.
 class Daemon {
  public:
   virtual ~Daemon() = default;
   virtual uint16_t PeerPort() const = 0;
   virtual uint16_t HttpPort() const = 0;
-  // Begins the graceful shutdown; the loop is stopped when it is done. A second
-  // call changes nothing.
+  // Begins the graceful shutdown, which stops the loop when it is complete.
+  // Further calls have no effect.
   virtual void Shutdown() = 0;
-  // Takes over what may change while running out of settings read again.
+  // Applies those of the re-read settings that may change while running.
   virtual void Reload(const settings::Settings&) {}
 };
 
-// Throw Error(kBadSettings) and the storage kinds.
+// Both throw Error with kBadSettings or one of the storage error kinds.
 std::unique_ptr<Daemon> MakeEntry(loop::Loop& loop,
                                   const settings::Settings& settings,
                                   Incarnation incarnation);
@@ -33,7 +33,8 @@
                                     Incarnation incarnation,
                                     std::unique_ptr<ControlAdapter> adapter);
 
-// An entry that serves published routes, read by an adapter's dialect.
+// Creates an entry that serves published routes, which the adapter's dialect
+// parses.
 std::unique_ptr<Daemon> MakeGatewayEntry(
     loop::Loop& loop, const settings::Settings& settings,
     Incarnation incarnation, std::unique_ptr<gateway::Dialect> dialect);
--- a/include/dotterelshift/app/routes_control.h
+++ b/include/dotterelshift/app/routes_control.h
@@ -16,39 +16,40 @@
 
 namespace dotterelshift::app {
 
-// What a control daemon does for an adapter that speaks with a site's operator
-// and its endpoints.
+// Services of a control daemon for an adapter that communicates with a site's
+// operator and its endpoints.
 class RoutesControl {
  public:
   virtual ~RoutesControl() = default;
 
   // Whether this replica leads; only a leader can publish.
   virtual bool Leads() const = 0;
-  // Has routes committed, unless a higher version is in force; calls back with
-  // kNone once a majority holds them, and with kNotLeader or kNoQuorum when
-  // this replica cannot tell.
+  // Commits routes unless a higher version is in force. Calls back with kNone
+  // once a majority has stored them, and with kNotLeader or kNoQuorum when this
+  // replica cannot determine the outcome.
   virtual void Publish(uint64_t version, std::string document,
                        std::map<TeamId, Tokens> totals,
                        std::function<void(ErrorKind)> callback) = 0;
-  // The routes in force, read after a majority has confirmed that this replica
-  // leads.
+  // Reads the routes in force, after a majority has confirmed that this replica
+  // is the leader.
   virtual void Read(
       std::function<void(ErrorKind, std::string_view document)> callback) = 0;
-  // Of the leader's HTTP interface, IP:port; empty while none is known.
+  // Address of the leader's HTTP interface as "IP:port"; empty while no leader
+  // is known.
   virtual std::string LeaderAddress() const = 0;
 
-  // An endpoint told of itself.
+  // Takes an endpoint's announcement of itself.
   virtual void OnAnnounced(const wire::EndpointRecordT& record) = 0;
-  // What is known of an endpoint; null when nothing is.
+  // Returns the record of an endpoint, or null if the endpoint is unknown.
   virtual const wire::EndpointRecordT* FindEndpoint(
       const EndpointId& endpoint) const = 0;
 };
 
-// The side of an adapter that takes the HTTP requests of a control daemon.
+// The part of an adapter that handles HTTP requests to a control daemon.
 class ControlAdapter {
  public:
   virtual ~ControlAdapter() = default;
-  // False when the path is none of the adapter's.
+  // Returns false if the adapter does not handle the path of the request.
   virtual bool Accept(const std::shared_ptr<http::Exchange>& exchange,
                       RoutesControl& control) = 0;
 };
--- a/include/dotterelshift/app/slow_turns.h
+++ b/include/dotterelshift/app/slow_turns.h
@@ -7,18 +7,18 @@
 
 namespace dotterelshift::app {
 
-// A turn of the loop from which on peers may notice the silence.
+// Event loop iterations at least this long may be noticed by peers as silence.
 inline constexpr Duration kSlowTurn = 100ms;
 
-// Writes a line for slow turns of the loop, at most one a second, with the
-// longest of those since the last line.
+// Logs slow event loop iterations, at most one line per second, with their
+// number and the longest duration since the previous line.
 class SlowTurns {
  public:
   void OnSlowTurn(Duration took, Instant now);
 
  private:
   Instant m_next_line{};
-  uint64_t m_turns = 0;  // since the last line
+  uint64_t m_turns = 0;  // since the previous log line
   Duration m_longest{};
 };
 
--- a/src/dotterelshift/app/directory_exchange.cc
+++ b/src/dotterelshift/app/directory_exchange.cc
@@ -42,7 +42,7 @@
   }
   const auto& announcement = std::get<endpoints::Announcement>(parsed);
   m_spread.OnAnnounced(announcement.record, m_loop.Now());
-  // Hints for this daemon only: see docs/decisions/routing.md.
+  // Cache events are hints for this daemon only: see docs/decisions/routing.md.
   if (!announcement.cache_events.empty())
     m_callbacks.on_cache_events(announcement.cache_events);
   exchange.Answer(200, {{"content-type", "application/json"}}, "{}");
--- a/src/dotterelshift/app/directory_exchange.h
+++ b/src/dotterelshift/app/directory_exchange.h
@@ -12,12 +12,13 @@
 
 namespace dotterelshift::app {
 
-// Keeps this daemon's directory of endpoints in step with the other daemons,
-// and takes announcements in.
+// Synchronizes this daemon's endpoint directory with those of the other daemons
+// and accepts announcements from endpoints.
 class DirectoryExchange {
  public:
   struct Callbacks {
-    // What endpoints offer, or which may be used, has changed.
+    // Called when the offers of endpoints or the set of usable endpoints
+    // change.
     std::function<void()> on_offer;
     std::function<void(const std::vector<wire::CacheEventT>&)> on_cache_events;
   };
@@ -26,16 +27,17 @@
                     const directory::DirectoryOptions& directory,
                     Callbacks callbacks);
 
-  // The hub is made after this object, because its callbacks lead here.
+  // Set after construction: the hub's callbacks refer to this object, so that
+  // the hub is created later.
   void SetHub(peers::Hub* hub) { m_hub = hub; }
 
-  // POST /endpoint/v1/announce.
+  // Handles POST /endpoint/v1/announce.
   void OnAnnounce(http::Exchange& exchange);
-  // An endpoint's announcement that an adapter has read.
+  // Takes an endpoint's announcement that an adapter has parsed.
   void OnAnnounced(const wire::EndpointRecordT& record);
   void OnPeerUp(const peers::PeerInfo& peer);
   void OnPeerDown(const peers::PeerInfo& peer);
-  // True when the frame was one of the directory's.
+  // Returns true if the frame belongs to the directory protocol.
   bool OnFrame(const peers::PeerInfo& from, const wire::FrameT& frame);
 
   directory::Directory& GetDirectory() { return m_directory; }
@@ -49,7 +51,7 @@
   peers::Hub* m_hub = nullptr;
   directory::Directory m_directory;
   directory::Spread m_spread;
-  uint64_t m_generation = 0;  // as last told by on_offer
+  uint64_t m_generation = 0;  // as of the last call of on_offer
   loop::Timer m_timer;
 };
 
--- a/src/dotterelshift/app/entry.cc
+++ b/src/dotterelshift/app/entry.cc
@@ -16,19 +16,20 @@
 
 using serving::ControlReach;
 
-// How often the reach of control, the holdings and the gauges are looked at.
+// Interval at which control's reachability, the holdings and the gauges are
+// checked.
 constexpr Duration kTick = 50ms;
-// How long a drained entry waits for control to take its grants back.
+// How long a drained entry waits until control has taken back its grants.
 constexpr Duration kReturnPatience = 10s;
-// How often the router takes over what endpoints report of their load, which
-// they themselves report with a lag.
+// Interval at which the router adopts the load that endpoints report. The
+// reports themselves lag.
 constexpr Duration kLoadRefreshEvery = 500ms;
 
 // The request core numbers its own commands from 1.
 constexpr uint64_t kRegistrationSequence = 0;
 
-// The entry role: callers on one side, endpoints and control on the other, the
-// request core between them.
+// The entry role: connects callers with endpoints and control through the
+// request core.
 class Entry : public Daemon {
  public:
   Entry(loop::Loop& loop, const settings::Settings& settings,
@@ -258,7 +259,7 @@
     m_core->OnControlReach(m_reach, now);
   }
   for (const wire::CommandAnswerT& answer : m_link.TakeAnswers()) {
-    // What a superseded run commits is refused, so it serves no more.
+    // Commands of a superseded incarnation are refused, so it stops serving.
     if (m_registration->OnAnswer(answer) == RunStanding::kSuperseded)
       Shutdown();
     m_core->OnAnswer(answer, now);
@@ -354,8 +355,9 @@
   if (!m_draining || !m_core->Drained() || m_traffic->OpenAnswers() > 0) return;
   const Instant now = m_loop.Now();
   if (!m_drained_since.has_value()) m_drained_since = now;
-  // Settlements are committed or spooled by now. Grants go back as soon as
-  // control can be reached; after a while they are left to the next run.
+  // Settlements are committed or spooled by now. Grants are returned as soon as
+  // control can be reached; after kReturnPatience they are left to the next
+  // incarnation.
   const bool returned = m_reach == ControlReach::kConnected && m_link.Idle();
   if (!returned && now - *m_drained_since < kReturnPatience) return;
   telemetry::Log(telemetry::LogLevel::kInfo, "shutdown_done",
--- a/src/dotterelshift/app/gateway_entry.cc
+++ b/src/dotterelshift/app/gateway_entry.cc
@@ -23,10 +23,10 @@
 
 using serving::ControlReach;
 
-// How often the link to control and the reports of spend are looked at.
+// Interval at which the link to control and the spend reports are checked.
 constexpr Duration kTick = 50ms;
-// The entry role under published routes: callers on one side, endpoints and
-// control on the other, the gateway's core between them.
+// The entry role under published routes: connects callers with endpoints and
+// control through the gateway's core.
 class GatewayEntry : public Daemon {
  public:
   GatewayEntry(loop::Loop& loop, const settings::Settings& settings,
@@ -81,7 +81,7 @@
   gateway::RetryShare m_retries;
   LinkGuard m_link_guard;
   gateway::SendPacer m_pacer;
-  uint64_t m_paced_bytes = 0;  // of those that are not held back
+  uint64_t m_paced_bytes = 0;  // sent without pacing, as last told m_pacer
   quarantine::Blocklist m_blocklist;
   std::unique_ptr<gateway::Core> m_core;
   std::unique_ptr<telemetry::Metrics> m_metrics;
@@ -93,7 +93,7 @@
   std::unique_ptr<OtherEntries> m_others;
   ControlReach m_reach = ControlReach::kNever;
   uint64_t m_version = 0;       // of the routes in force here
-  uint64_t m_seen_version = 0;  // of the newest that came, readable or not
+  uint64_t m_seen_version = 0;  // of the newest received, valid or not
   std::shared_ptr<const gateway::RouteTable> m_routes;
   size_t m_entries = 1;
   std::optional<gateway::DrainSchedule> m_drain;
@@ -215,7 +215,7 @@
   } else if (const auto* borrow = frame.body.AsTokenBorrow()) {
     wire::TokenLoanT loan;
     loan.budget = borrow->budget;
-    // What this entry holds from here on goes back to control.
+    // Once holdings are being returned to control, nothing is lent any more.
     if (!m_returning_since)
       loan.tokens = m_budgets.OnBorrow(*borrow, peer.run, now);
     telemetry::LogDecision("tokens_lent", "",
@@ -254,8 +254,8 @@
   std::string why;
   auto routes = m_dialect->ReadRoutes(m_link.RoutesDocument(), &why);
   if (!routes) {
-    // Control checks before it commits; only another version of the program
-    // can have let this pass.
+    // Control validates routes before it commits them, so that this happens
+    // only if control runs another version of the program.
     telemetry::Log(telemetry::LogLevel::kError, "routes_unreadable",
                    {{"version", std::to_string(m_seen_version)}, {"why", why}});
     return;
@@ -270,7 +270,7 @@
                   {"read_ms", std::to_string(ToMs(m_loop.Now() - start))}});
 }
 
-// The routes stay as they were read.
+// Reuses the parsed routes; only the number of entries has changed.
 void GatewayEntry::TakeEntryCount() {
   m_entries = m_link.EntryCount();
   m_load.SetEntries(m_entries);
@@ -325,7 +325,8 @@
   m_tick.ArmIn(kTick);
 }
 
-// Of an entry that stops, callers on open connections go elsewhere, too.
+// An entry that shuts down keeps no connections, so that callers on open ones
+// move to other entries too.
 bool GatewayEntry::MayKeep(size_t silent) const {
   return !m_drain && m_link_guard.MayKeep(*m_server, silent, m_loop.Now());
 }
@@ -337,8 +338,8 @@
           m_core->WaitingForLink().bytes};
 }
 
-// At the end of each turn of the loop: commands to control, load notes to the
-// other entries.
+// Called at the end of each event loop iteration: sends commands to control and
+// load updates to the other entries.
 void GatewayEntry::SendToPeers() {
   const Instant now = m_loop.Now();
   m_link_guard.Adjust(*m_server, LinkTraffic(), now);
@@ -417,7 +418,8 @@
   SetLinkQueueMetrics(*m_metrics, m_core->WaitingForLink());
 }
 
-// Only what may change while running: through whom the group is found.
+// Applies only what may change while running: the addresses through which the
+// group is found.
 void GatewayEntry::Reload(const settings::Settings& settings) {
   for (const std::string& seed : settings.seeds)
     m_hub->Dial(PeerAddressOf(seed, settings.peer_port));
@@ -441,8 +443,9 @@
     if (drained || now >= m_drain->response_deadline) EndAnswers(drained);
     return;
   }
-  // What control does not take back now is lost with this run, and a caller
-  // that has not taken its refusal does not know that it may ask again.
+  // Holdings that control has not taken back by the exit are lost with this
+  // incarnation, and a caller that has not received its refusal does not know
+  // that it may retry.
   const bool returned = m_link.Idle();
   const Duration reporting = m_drain->exit - m_drain->response_deadline;
   const Instant last = std::min(m_drain->exit, *m_returning_since + reporting);
@@ -457,10 +460,10 @@
   return m_traffic->OpenAnswers() > 0 || m_server->OpenExchanges() > 0;
 }
 
-// What is open is ended before the holdings go back, so that its spend is among
-// the last reports.
-// `drained`: nothing is; else the line says what the stop waited for, a line of
-// each request follows.
+// Ends open requests before the holdings are returned, so that their spend is
+// part of the final reports. If `drained`, no request is open; otherwise the
+// log line counts what the shutdown waited for, and a line for each open
+// request follows.
 void GatewayEntry::EndAnswers(bool drained) {
   m_returning_since = m_loop.Now();
   const Duration stopping = *m_returning_since - m_drain->begun;
@@ -477,8 +480,8 @@
   ReturnHoldings();
 }
 
-// Also what still comes, a grant or a loan that was under way: it would be lost
-// to its team for good.
+// Also returns grants and loans that arrive during the shutdown; they would
+// otherwise be permanently lost to their team.
 void GatewayEntry::ReturnHoldings() {
   for (wire::CommandT& command : m_budgets.TakeLastCommands(m_loop.Now()))
     m_link.Propose(std::move(command));
--- a/src/dotterelshift/app/gateway_options.cc
+++ b/src/dotterelshift/app/gateway_options.cc
@@ -19,8 +19,8 @@
 
 directory::DirectoryOptions DirectoryOptionsOf() {
   directory::DirectoryOptions options;
-  // Control says which endpoints are silent; an entry that is cut off from it
-  // goes on with those it knows, and with its own evidence.
+  // Control decides which endpoints are silent. An entry that is cut off from
+  // control keeps using the endpoints it knows, judged by its own observations.
   options.silent_after = 60s;
   options.forget_after = 120s;
   return options;
@@ -29,7 +29,7 @@
 directory::SpreadOptions SpreadOptionsOf(const HostId& self) {
   directory::SpreadOptions options;
   options.self = self;
-  options.fan_out = 0;  // entries only listen
+  options.fan_out = 0;  // entries only receive gossip
   return options;
 }
 
--- a/src/dotterelshift/app/gateway_options.h
+++ b/src/dotterelshift/app/gateway_options.h
@@ -14,7 +14,7 @@
 
 namespace dotterelshift::app {
 
-// What the parts of an entry under published routes are made with.
+// Options for the components of an entry under published routes.
 RegistrationOptions RegistrationOptionsOf(const settings::Settings& settings,
                                           Incarnation incarnation);
 ControlLinkOptions ControlLinkOptionsOf(const HostRun& self);
--- a/src/dotterelshift/app/gateway_traffic.cc
+++ b/src/dotterelshift/app/gateway_traffic.cc
@@ -12,25 +12,25 @@
 namespace dotterelshift::app {
 namespace {
 
-// HTTP 503: not run, and may be asked again.
+// HTTP 503: the request was not run and may be retried.
 constexpr int kUnavailable = 503;
 
-// Bytes that a caller has not taken above which its stream is paused.
+// A stream is paused while its caller has more unread bytes than this.
 constexpr size_t kPauseAbove = 256 << 10;
 
-// A connection to an endpoint that is not there after this is given up: a few
-// ways there and back, below the first resend of a lost opening packet.
+// Timeout for connecting to an endpoint: a few round trips, and less than the
+// first retransmission of a lost SYN packet.
 constexpr Duration kConnectTimeout = 300ms;
 
-// The endpoint is given this long beyond the caller's deadline to end its
-// answer by itself, so that the core's deadline comes first.
+// The endpoint may end its response by itself until this long after the
+// caller's deadline, so that the core's deadline takes effect first.
 constexpr Duration kTimeoutSlack = 200ms;
 
-// Endpoints announce how long they keep an idle connection; the shortest that
-// is in common use is 5 s.
+// Idle connections are closed before the endpoint closes them. Endpoints
+// announce how long they keep one; the shortest time in common use is 5 s.
 constexpr Duration kMaxIdle = 4s;
 
-// A wait before the link that a line of a request tells.
+// Shorter waits for the outbound link are left out of a request's log lines.
 constexpr Duration kWorthTelling = 20ms;
 
 std::string Ms(Duration duration) { return std::to_string(ToMs(duration)); }
@@ -97,8 +97,8 @@
 }
 
 void GatewayTraffic::Pump() {
-  // An action may bring the next event about; its actions are then carried out
-  // by the loop that is under way.
+  // An action may cause another event. The actions of that event are executed
+  // by the outer call of Pump().
   if (std::exchange(m_pumping, true)) return;
   for (auto actions = m_core.TakeActions(); !actions.empty();
        actions = m_core.TakeActions()) {
@@ -184,7 +184,7 @@
 }
 
 bool GatewayTraffic::OnChunk(AttemptId attempt, std::string_view piece) {
-  // An event of a stream is a packet of its own.
+  // Each event of a stream is sent as a packet of its own.
   m_answer_bytes += piece.size() + gateway::kPacketHeaderBytes;
   const auto transfer = m_transfers.find(attempt);
   if (transfer == m_transfers.end()) return true;
@@ -265,8 +265,8 @@
   const auto exchange = Take(refuse.request);
   if (exchange == nullptr) return;
   const ErrorRow& row = RowOf(refuse.kind);
-  // A content that is held back may be proper all the same; that it has not run
-  // is what its caller needs to know.
+  // A quarantined content may be harmless; what its caller needs to know is
+  // that it has not run.
   const bool held_back = refuse.kind == ErrorKind::kQuarantined;
   const int status = held_back ? kUnavailable : row.status;
   http::Headers headers = {{"Content-Type", "application/json"},
--- a/src/dotterelshift/app/gateway_traffic.h
+++ b/src/dotterelshift/app/gateway_traffic.h
@@ -21,8 +21,8 @@
 
 namespace dotterelshift::app {
 
-// Carries requests and answers between callers and endpoints as the gateway's
-// core decides.
+// Transfers requests and responses between callers and endpoints, as decided by
+// the gateway's core.
 class GatewayTraffic {
  public:
   GatewayTraffic(loop::Loop& loop, gateway::Core& core,
@@ -30,40 +30,41 @@
                  LinkGuard& link);
 
   void Accept(std::shared_ptr<http::Exchange> exchange);
-  // Carries out what the core wants; after every event that reached it from
-  // elsewhere.
+  // Executes the core's pending actions. To be called after every event that
+  // the core received from elsewhere.
   void Pump();
-  // Asked at each answer whether its caller may keep the connection. `silent`
-  // callers send nothing on theirs: the head of their answer is still to come,
-  // or has told them to close. Without it, all may.
+  // Decides for each response whether its caller may keep the connection.
+  // `silent` is the number of callers that send nothing on their connections:
+  // the head of their response is still to come, or has told them to close.
+  // Without a policy, all callers may keep theirs.
   using KeepPolicy = std::function<bool(size_t silent)>;
   void SetKeepPolicy(KeepPolicy policy) { m_may_keep = std::move(policy); }
   size_t OpenAnswers() const { return m_open.size(); }
 
-  // What went to endpoints, and what they answered, which went on to callers.
+  // Bytes sent to endpoints, and bytes of their responses relayed to callers.
   gateway::LinkBytes Bytes() const;
-  // All that went to callers, answers of the entry's own with it.
+  // All bytes sent to callers, including responses that the entry itself made.
   uint64_t BytesToCallers() const { return m_answer_bytes + m_own_bytes; }
 
  private:
-  // A caller's request and what is kept of its answer.
+  // A caller's request and the state of its response.
   struct Open {
     std::shared_ptr<http::Exchange> exchange;
-    AttemptId streaming = 0;  // the attempt whose stream is passed on
+    AttemptId streaming = 0;  // the attempt whose stream is relayed
     bool paused = false;
-    bool keeps = false;        // its stream's caller may keep the connection
-    bool attempted = false;    // an attempt was started
-    bool handed_over = false;  // and its bytes handed to a connection
+    bool keeps = false;      // the caller of the stream may keep the connection
+    bool attempted = false;  // an attempt was started
+    bool handed_over = false;  // its bytes were handed to a connection
   };
-  // How the request of an attempt left this host, for the log.
+  // How the request of an attempt was sent from this host, for the log.
   struct WayOut {
     std::optional<http::HandOver> handed_over;
     Instant handed_over_at{};
-    Duration wait{};               // before the link, then
-    std::optional<size_t> unsent;  // at the attempt's end
+    Duration wait{};  // expected wait for the outbound link at that time
+    std::optional<size_t> unsent;  // bytes, at the attempt's end
   };
-  // The answer of one attempt: kept whole until it is known to be, unless it
-  // is passed on as it comes.
+  // The response of one attempt: buffered until it is complete, unless it is
+  // streamed to the caller.
   struct Transfer {
     RequestId request = 0;
     http::TransferId id = 0;
@@ -71,7 +72,7 @@
     http::Headers headers;
     std::string body;
     bool streamed = false;
-    bool first = false;  // of its request
+    bool first = false;  // the first attempt of its request
     WayOut way_out;
   };
   using LogInputs = std::vector<std::pair<std::string_view, std::string>>;
@@ -83,7 +84,7 @@
   void OnEnd(AttemptId attempt, http::TransferEnd end);
   void OnHandedOver(AttemptId attempt, const http::HandOver& what);
   SendKind NextSendOf(const Transfer& transfer);
-  // The last that is told of an attempt that is not there any more.
+  // Keeps the send record of an attempt that has ended, for its last log lines.
   void KeepWayOut(AttemptId attempt, const Transfer& transfer);
   void AddWayOut(AttemptId attempt, LogInputs& inputs) const;
 
@@ -98,10 +99,10 @@
   void CarryOut(const gateway::AbortStream& abort);
   void CarryOut(const gateway::Decision& decision) const;
 
-  // Of an answer that is passed on; `keeps`: the connection stays.
+  // Headers of a relayed response; `keeps`: the connection stays open.
   static http::Headers AnswerHeaders(const http::Headers& headers, bool keeps);
   bool MayKeep() const;
-  // The answer of a request has ended, or its caller has left.
+  // Called when the response of a request has ended or its caller has left.
   void Forget(RequestId request);
   std::shared_ptr<http::Exchange> Take(RequestId request);
   void ArmTimer();
@@ -114,13 +115,13 @@
   std::unique_ptr<http::Client> m_client;
   std::unordered_map<RequestId, Open> m_open;
   std::unordered_map<AttemptId, Transfer> m_transfers;
-  // Of attempts that ended among the actions that are being carried out.
+  // Of attempts that ended during the batch of actions being executed.
   std::unordered_map<AttemptId, WayOut> m_ended_ways;
   RequestId m_last_request = 0;
   KeepPolicy m_may_keep;
   size_t m_kept_streams = 0;
   uint64_t m_answer_bytes = 0;
-  uint64_t m_own_bytes = 0;  // of answers in the system's own name
+  uint64_t m_own_bytes = 0;  // of responses that the entry itself made
   bool m_pumping = false;
   loop::Timer m_timer;
 };
--- a/src/dotterelshift/app/gateway_traffic_test.cc
+++ b/src/dotterelshift/app/gateway_traffic_test.cc
@@ -1,6 +1,6 @@
-// A caller leaves while its request is at one step of its way to an endpoint:
-// nothing that was not handed over by then reaches the endpoint, which sees its
-// connection reset at once, also while this host still holds bytes.
+// A caller leaves at each stage of its request. Bytes that were not handed over
+// by then must not reach the endpoint, whose connection is reset at once, even
+// while this host still holds bytes for it.
 #include "dotterelshift/app/gateway_traffic.h"
 
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
@@ -23,8 +23,8 @@
 
 constexpr Duration kGuard = 10s;
 constexpr size_t kShortBody = 6'000;
-// More than an endpoint that reads nothing takes, less than this host's kernel
-// holds for it; and more than both.
+// kHeldBody exceeds what an endpoint that reads nothing receives, but fits into
+// this host's kernel buffers for it; kLongBody exceeds both together.
 constexpr int kSmallBuffer = 4 << 10;
 constexpr size_t kHeldBody = 512 << 10;
 constexpr size_t kLongBody = 32 << 20;
@@ -35,7 +35,7 @@
 constexpr char kAnswerToAnother[] =
     "HTTP/1.1 200 OK\r\nx-id: caller-2\r\ncontent-length: 1000000\r\n\r\n";
 
-// A caller that can leave at any moment, and takes as much as the test says.
+// A caller that can leave at any time and reads as much as the test specifies.
 class FakeExchange : public http::Exchange {
  public:
   FakeExchange(const std::string& path, size_t body) {
@@ -77,7 +77,7 @@
   int m_status = 0;
 };
 
-// Counts the attempts.
+// A dialect that counts the attempts.
 class TestDialect : public gateway::Dialect {
  public:
   gateway::RequestInfo ReadRequestInfo(
@@ -185,7 +185,7 @@
     const auto caller = Ask("/once/x", kShortBody);
     RunUntil([&] { return OpenDescriptors() == before + 1; });
     caller->Leave();
-    // Nothing asks for the connection any more.
+    // No attempt uses the connection any more.
     CPPUNIT_ASSERT_EQUAL(before, OpenDescriptors());
     const http::TestPeer other = endpoint.Accept();
     Turn();
@@ -240,7 +240,7 @@
     ExpectResetBefore(peer, kHeldBody);
   }
 
-  // The first endpoint broke off; the second attempt is decided on and has no
+  // The first attempt has failed; the second has been started and has no
   // connection yet.
   void LeavesBetweenTwoAttempts() {
     const std::array<http::TestListener, 2> endpoints{http::TestListener(1),
@@ -286,7 +286,7 @@
     ExpectResetBefore(peer, kHeldBody);
   }
 
-  // The attempt is cancelled while its own answer is being read.
+  // The attempt is cancelled while its response is being read.
   void AnAnswerToAnotherRequestDropsWhatIsHeld() {
     const http::TestListener endpoint(1, kSmallBuffer);
     Announce(endpoint);
@@ -335,7 +335,7 @@
     return exchange;
   }
 
-  // The connection at the endpoint, once so many bytes are there.
+  // The endpoint's side of the connection, once this many bytes have arrived.
   http::TestPeer AcceptWith(const http::TestListener& endpoint, size_t bytes) {
     RunUntil([&] { return endpoint.HasConnection(); });
     http::TestPeer peer = endpoint.Accept();
@@ -360,7 +360,8 @@
         std::filesystem::directory_iterator("/proc/self/fd"), {}));
   }
 
-  // The loop turns without waiting: the endpoints are not on it.
+  // The loop is polled without blocking, because the endpoints do not run on
+  // it.
   void RunUntil(const std::function<bool()>& condition) {
     const Instant begin = m_loop.Now();
     while (!condition()) {
@@ -369,7 +370,7 @@
     }
   }
 
-  // Lets what is due be done, without waiting for more.
+  // Runs what is due, without waiting for further events.
   void Turn() {
     constexpr int kTurns = 20;
     for (int i = 0; i < kTurns; ++i) ev_run(m_loop.Raw(), EVRUN_NOWAIT);
--- a/src/dotterelshift/app/gauges.h
+++ b/src/dotterelshift/app/gauges.h
@@ -24,22 +24,23 @@
     metrics.SetGauge(gauge.name, gauge.help, gauge.value);
 }
 
-// What both roles say of their connections to other daemons.
+// Metrics of both roles about their connections to other daemons.
 void SetHubMetrics(telemetry::Metrics& metrics, const peers::Hub& hub);
 
-// What waits for an entry's way out.
+// Metrics of the requests queued for an entry's outbound link.
 void SetLinkQueueMetrics(telemetry::Metrics& metrics,
                          const gateway::LinkQueue& queue);
 
-// What a control daemon has sent of published routes.
+// Counters of the published routes that a control daemon has sent.
 void SetRoutesSentCounters(telemetry::Metrics& metrics,
                            const EntryPushes::RoutesSent& sent);
 
-// What a replica of control says of itself; `entries`: connected to it.
+// Gauges of a control replica; `entries` is the number connected to it.
 void SetReplicaGauges(telemetry::Metrics& metrics,
                       const ControlReplica& replica, size_t entries);
 
-// Where each token of the published totals is: every one is in one column.
+// Gauges that split the published totals: each token is counted in exactly one
+// of the categories.
 void SetTokenGauges(telemetry::Metrics& metrics, const state::State& state);
 
 }  // namespace dotterelshift::app
--- a/src/dotterelshift/app/hub_options.h
+++ b/src/dotterelshift/app/hub_options.h
@@ -10,12 +10,12 @@
 
 namespace dotterelshift::app {
 
-// Where the daemon at a seed's host takes the other daemons.
+// Address at which the daemon on a seed's host accepts other daemons.
 inline std::string PeerAddressOf(const std::string& seed, uint16_t peer_port) {
   return seed.substr(0, seed.find(':')) + ":" + std::to_string(peer_port);
 }
 
-// Where this daemon's HTTP interface is, as it tells the others.
+// Address of this daemon's HTTP interface, as advertised to the other daemons.
 inline std::string HttpAddressOf(const settings::Settings& settings,
                                  uint16_t http_port) {
   const std::string address =
@@ -25,8 +25,8 @@
   return address + ":" + std::to_string(http_port);
 }
 
-// The hub's options that both roles take from their settings. `http_port` is
-// the one that the daemon listens on.
+// Hub options that both roles derive from their settings. `http_port` is the
+// port on which the daemon listens for HTTP.
 inline peers::HubOptions MakeHubOptions(const settings::Settings& settings,
                                         const std::string& secret,
                                         Incarnation incarnation,
--- a/src/dotterelshift/app/hub_options_test.cc
+++ b/src/dotterelshift/app/hub_options_test.cc
@@ -11,7 +11,7 @@
   CPPUNIT_TEST(SeedsAreDialledAtTheOwnPeerPort);
   CPPUNIT_TEST_SUITE_END();
 
-  // A follower sends operators to this address.
+  // A follower redirects operators to this address.
   void OthersAreToldWhereTheHttpInterfaceListens() {
     settings::Settings settings;
     CPPUNIT_ASSERT_EQUAL(std::string("127.0.0.1:81"),
--- a/src/dotterelshift/app/link_guard.cc
+++ b/src/dotterelshift/app/link_guard.cc
@@ -11,30 +11,30 @@
 namespace dotterelshift::app {
 namespace {
 
-// One line for this time at the most.
+// Minimum time between two summary lines in the log.
 constexpr Duration kSummaryEvery = 1s;
 
-// A link in use by less is not worth a line.
+// No summary is logged while link utilization is lower, unless a wait was long.
 constexpr double kWorthALine = 0.5;
 
-// A wait before the link that is.
+// A wait for the outbound link from which on a summary is logged in any case.
 constexpr Duration kWaitWorthALine = 100ms;
 
-// Connections that the system holds until they are taken, as time of the link:
-// what waits there has sent its first bytes.
+// Size of the listen backlog, as the link time of the first bytes of its
+// connections: callers in the backlog have already sent these.
 constexpr Duration kBacklog = 500ms;
 
-// Callers are asked to close their connections until so long after the last
-// time at which no more could be taken.
+// Callers are asked to close their connections until this long after
+// connections were last not accepted.
 constexpr Duration kFullFor = 1s;
 
-// Idle connections are ended no more often than this.
+// Minimum time between two closings of idle connections.
 constexpr Duration kIdleClosedEvery = 200ms;
 
 std::string Ms(Duration duration) { return std::to_string(ToMs(duration)); }
 
-// The kind of frame that most bytes have gone into since an earlier count, and
-// how many.
+// The kind of frame that used the most bytes since an earlier count, and the
+// number of these bytes.
 std::string MostOf(const std::map<wire::FrameBody, uint64_t>& bytes,
                    const std::map<wire::FrameBody, uint64_t>& earlier) {
   uint64_t most = 0;
@@ -131,7 +131,8 @@
   m_admission.SetQueuedOutbound(traffic.held_out);
   m_summary.peer_bytes = m_summary.peer_bytes + peers;
   m_summary.bytes = m_summary.bytes + fresh;
-  // What was handed over is counted among it, and waits since then.
+  // `fresh` includes the bytes reported by OnHandedOver(), which are already
+  // counted as waiting.
   const uint64_t waits = std::exchange(m_handed_over, 0);
   m_wait_out.OnBytes(fresh.out - std::min(fresh.out, waits), now);
   m_summary.max_busy_time =
@@ -160,7 +161,7 @@
   ++m_shuts;
 }
 
-// When it cannot, it is tried again at the next turn; one line is enough.
+// A failure is retried at the next event loop iteration and logged only once.
 bool LinkGuard::Listen(http::Server& server, Instant now) {
   const bool listens = server.ResumeAccepting();
   if (!listens && !m_listen_failed)
--- a/src/dotterelshift/app/link_guard.h
+++ b/src/dotterelshift/app/link_guard.h
@@ -16,57 +16,57 @@
 
 // What a request that is handed to a connection has been through.
 enum class SendKind {
-  kFirst,     // its first attempt
-  kHeldBack,  // of its attempts before, none had a connection
-  kRepeat,    // it was handed over before
+  kFirst,     // first attempt of its request
+  kHeldBack,  // not the first attempt, but none before had a connection
+  kRepeat,    // the request was handed to a connection before
 };
 
-// Keeps what callers bring to an entry within what its host's link carries:
-// takes connections while there is room, bounds how many callers may keep
-// theirs, and ends those that are idle while a queue may stand. Logs a line a
-// second while the link is half full.
+// Keeps the load from callers within the capacity of the host's link: accepts
+// connections while there is capacity, limits how many callers may keep theirs,
+// and closes idle ones while a queue may be standing. Logs a line per second
+// while the link is at least half full.
 class LinkGuard {
  public:
   explicit LinkGuard(const settings::Settings& settings);
 
-  // Has `options` report connections here, and bounds what the system holds of
-  // them. The guard outlives the server.
+  // Makes a server report its connections to this guard and limits its listen
+  // backlog. The guard must outlive the server.
   void SetOptions(http::ServerOptions& options);
 
-  // A request of a caller is whole.
+  // A caller's request has been received completely.
   void OnRequest(const http::Request& request);
 
-  // A request goes to an endpoint.
+  // A request was handed to a connection to an endpoint.
   void OnHandedOver(const http::HandOver& what, SendKind kind, Instant now);
-  // How long what is handed to the link now waits before it, about.
+  // Estimated wait for the outbound link of bytes that are handed over now.
   Duration WaitOut(Instant now) const { return m_wait_out.Wait(now); }
-  // A beat was answered by control, so long after it had been sent.
+  // Control answered a heartbeat `trip` after it had been sent.
   void OnControlTrip(Duration trip);
 
-  // What has gone over the link since the start, but for callers' requests.
+  // Traffic over the link since the start, except callers' requests.
   struct Traffic {
-    gateway::LinkBytes endpoints;  // attempts, and answers that went on
+    gateway::LinkBytes endpoints;  // attempts and relayed responses
     gateway::LinkBytes peers;
-    uint64_t held_out = 0;  // of requests that wait here for the way out
+    uint64_t held_out = 0;  // bytes of requests queued for the outbound link
   };
-  // Takes connections, or ceases to, as the link asks for.
+  // Starts or stops accepting connections, depending on the link's load.
   void Adjust(http::Server& server, const Traffic& traffic, Instant now);
-  // Looks at what has lasted: ends idle connections, and logs.
+  // Periodic work: closes idle connections while a queue drains, and logs.
   void Watch(http::Server& server, const peers::HubCounters& peers,
              Instant now);
 
-  // Callers should not send their next request on the same connection.
+  // Whether callers should not send their next request on the same connection.
   bool IsFull(Instant now) const;
-  // Whether the caller of an answer that goes out now may keep its connection,
-  // while so many callers send nothing on theirs.
+  // Whether the caller of a response that is sent now may keep its connection;
+  // `silent` is the number of callers that send nothing on theirs.
   bool MayKeep(const http::Server& server, size_t silent, Instant now) const;
-  // The balancer should send new connections to other entries.
+  // Whether the load balancer should send new connections to other entries.
   bool IsShedding() const { return m_shedding; }
 
   void SetMetrics(telemetry::Metrics& metrics) const;
 
  private:
-  // What happened since the last line.
+  // Events since the last log line.
   struct Summary {
     Instant since{};
     size_t accepted = 0;
@@ -78,15 +78,16 @@
     size_t turned_away = 0;
     size_t shuts = 0;
     Duration shut{};
-    Instant shut_counted_to{};  // while it goes on
-    Duration max_busy_time{};   // without a gap on the way in
-    // Requests handed over to endpoints, and before what waits.
+    Instant shut_counted_to{};  // while not listening
+    Duration max_busy_time{};   // without a gap on the inbound link
+    // Requests handed over to endpoints, and how many of them met a wait for
+    // the outbound link above 100, 300 and 500 ms.
     size_t handed_over = 0;
     size_t over_100ms = 0;
     size_t over_300ms = 0;
     size_t over_500ms = 0;
     std::map<SendKind, uint64_t> handed_bytes;
-    size_t connects = 0;  // that were made for them
+    size_t connects = 0;  // new connections made for them
     Duration longest_connect{};
     Duration longest_control_trip{};
   };
@@ -109,7 +110,7 @@
   Summary m_summary;
   std::map<wire::FrameBody, uint64_t> m_frame_bytes;  // at the last summary
   gateway::AdmissionDecision m_entrance = gateway::AdmissionDecision::kAccept;
-  Instant m_last_paused{};  // a moment at which connections were not taken
+  Instant m_last_paused{};  // last time at which connections were not accepted
   Instant m_idle_closed{};
   bool m_listen_failed = false;
   bool m_shedding = false;
--- a/src/dotterelshift/app/link_guard_test.cc
+++ b/src/dotterelshift/app/link_guard_test.cc
@@ -11,7 +11,7 @@
 constexpr double kLinkMbit = 10;
 constexpr size_t kPromptBytes = 6'000;
 
-// A server that notes what it is told.
+// A server that records the calls it receives.
 class FakeServer : public http::Server {
  public:
   uint16_t Port() const override { return 1; }
@@ -70,7 +70,7 @@
     m_guard->Watch(m_server, {}, m_now);
   }
 
-  // Requests on connections that stay, of so much time of the link.
+  // Receives requests on kept connections that take this much link time.
   void Bring(Duration time) {
     const double bytes =
         kLinkMbit * 1e6 / 8 * std::chrono::duration<double>(time).count();
@@ -83,7 +83,7 @@
     }
   }
 
-  // Guards against callers who stay in a queue that only grows.
+  // Guards against a queue of callers that grows without bound.
   void CallersAreTurnedAwayThenNotListenedToThenTakenAgain() {
     Bring(200ms);
     Pass(1ms);
@@ -129,7 +129,7 @@
     CPPUNIT_ASSERT(m_guard->IsShedding());
   }
 
-  // The same bytes come again in the count of all that went out.
+  // Handed-over bytes appear again in the count of all outbound bytes.
   void WhatIsHandedOverWaitsOnce() {
     m_guard->OnHandedOver({125'000, false, 0s}, SendKind::kFirst, m_now);
     CPPUNIT_ASSERT(m_guard->WaitOut(m_now) == 100ms);
@@ -141,7 +141,8 @@
     CPPUNIT_ASSERT(m_guard->WaitOut(m_now) == 50ms);
   }
 
-  // Guards against callers who all speak at once on connections they have kept.
+  // Guards against overload when all callers with kept connections send at
+  // once.
   void NoMoreConnectionsAreKeptThanTheLinkBearsAtOnce() {
     Bring(50ms);
     Pass(1s);
@@ -153,8 +154,8 @@
     CPPUNIT_ASSERT(m_guard->MayKeep(m_server, 200, m_now));
   }
 
-  // Guards against 200 callers who are refused in one turn, as prompts that
-  // wait for the link are, and who all come back on kept connections.
+  // Guards against 200 callers that are refused in one event loop iteration, as
+  // happens to prompts queued for the link, and all retry on kept connections.
   void AnswersOfOneTurnDoNotAllKeepTheirConnections() {
     Bring(50ms);
     Pass(1s);
@@ -166,7 +167,7 @@
     CPPUNIT_ASSERT(bytes <= 0.15 * 1.25e6);
   }
 
-  // Guards against connections that end where the link bounds nothing.
+  // Guards against closing connections when the link is not the bottleneck.
   void AFastLinkKeepsAllThatTheServerTakes() {
     Make(1'000);
     Bring(50ms);
@@ -175,7 +176,7 @@
     CPPUNIT_ASSERT(m_guard->MayKeep(m_server, 0, m_now));
   }
 
-  // A caller who is turned away has sent its prompt by then.
+  // A rejected caller has already sent its prompt.
   void CallersTurnedAwayFillTheLinkToo() {
     Bring(150ms);
     Pass(1ms);
--- a/src/dotterelshift/app/listen_options.h
+++ b/src/dotterelshift/app/listen_options.h
@@ -8,8 +8,8 @@
 
 namespace dotterelshift::app {
 
-// The bounds of an HTTP server of this daemon, at an address "IP:port" that the
-// settings have checked.
+// Options of an HTTP server of this daemon. `listen` is an "IP:port" address
+// that has been validated with the settings.
 inline http::ServerOptions ListenOptionsAt(const settings::Settings& settings,
                                            const std::string& listen) {
   http::ServerOptions options;
@@ -23,7 +23,7 @@
   return options;
 }
 
-// The same for the daemon's main HTTP interface.
+// Options of the daemon's main HTTP interface.
 inline http::ServerOptions ListenOptions(const settings::Settings& settings) {
   if (!settings.listen.empty())
     return ListenOptionsAt(settings, settings.listen);
--- a/src/dotterelshift/app/other_entries.cc
+++ b/src/dotterelshift/app/other_entries.cc
@@ -6,12 +6,13 @@
 namespace dotterelshift::app {
 namespace {
 
-// Entries that one frame of SendToSome() goes to.
+// Number of entries to which SendToSome() sends a frame.
 constexpr size_t kAskedAtOnce = 3;
 
 }  // namespace
 
-// The timer only has the loop turn.
+// The timer only causes an event loop iteration, in which SendNotes() is
+// called.
 OtherEntries::OtherEntries(loop::Loop& loop, peers::Hub& hub,
                            const gateway::LoadUpdatePacerOptions& notes)
     : m_hub(hub), m_note_pacer(notes), m_note_timer(loop, [] {}) {}
--- a/src/dotterelshift/app/other_entries.h
+++ b/src/dotterelshift/app/other_entries.h
@@ -12,19 +12,20 @@
 
 namespace dotterelshift::app {
 
-// Frames to the other entries that are connected.
+// Sends frames to the other connected entries.
 class OtherEntries {
  public:
-  // `hub` outlives this.
+  // `hub` must outlive this object.
   OtherEntries(loop::Loop& loop, peers::Hub& hub,
                const gateway::LoadUpdatePacerOptions& notes);
 
-  // Tells all of them what has changed at endpoints, once there is room for it.
-  // Called in each turn of the loop; has the loop turn again where it must
-  // wait.
+  // Sends changes of the endpoints' load to all of them, once the pacer permits
+  // it. Called in each event loop iteration; if it must wait, a timer causes
+  // another iteration.
   void SendNotes(gateway::FleetLoad& load, Instant now);
-  // To a few at a time, each time to others: whoever is asked to lend lends, so
-  // that more would lend many times what is needed.
+  // Sends a request to lend to a few entries, to different ones each time. Each
+  // receiver lends what it can, so that asking more entries would yield many
+  // times the tokens needed.
   void SendToSome(const wire::FrameT& frame);
 
  private:
--- a/src/dotterelshift/app/registration.h
+++ b/src/dotterelshift/app/registration.h
@@ -9,27 +9,28 @@
 
 namespace dotterelshift::app {
 
-// What an answer of control says of the run that asked.
+// Status of an incarnation according to control's answer to its command.
 enum class RunStanding {
-  kUnchanged,   // nothing
-  kRegistered,  // this run is the newest of its host
-  kRaised,      // a later start is known: Command() is to be sent again
-  kSuperseded,  // a later run has taken the host's name: this one must leave
+  kUnchanged,   // no new information
+  kRegistered,  // this incarnation is the newest of its host
+  kRaised,      // a newer one is known: Command() must be sent again
+  kSuperseded,  // a newer one has taken the host's name: this one must stop
 };
 
 struct RegistrationOptions {
   HostRun self;
   std::string data_centre;
-  std::string address;  // for the other daemons
-  // Whether a run of which nothing was accepted may take a number above the
-  // newest one. Helps after the wall clock was set back between two starts;
-  // only for a role that reads its incarnation from Self() each time.
+  std::string address;  // at which the other daemons connect
+  // Whether an incarnation of which no command was accepted may raise its
+  // number above the newest known one. Needed after the wall clock was set back
+  // between two starts. Only for a role that reads its incarnation from Self()
+  // each time.
   bool may_raise = false;
 };
 
-// The registration of an entry's run with control: the first command of a run,
-// which proves the older runs of its host dead, and what the answers say of
-// the run itself.
+// Registers an entry's incarnation with control and tracks its status. The
+// registration is the first command of an incarnation and proves that older
+// incarnations of its host are dead.
 class Registration {
  public:
   explicit Registration(RegistrationOptions options);
@@ -37,18 +38,19 @@
   const HostRun& Self() const { return m_options.self; }
   bool Done() const { return m_done; }
 
-  // The command that registers the run, under this number of the run.
+  // Returns the command that registers the incarnation; `sequence` is the
+  // command's number within the incarnation.
   wire::CommandT Command(uint64_t sequence);
 
-  // Takes any answer to a command of this run. Logs a raised incarnation, and
-  // once that the run is superseded.
+  // Evaluates an answer to any command of this incarnation. Logs that the
+  // incarnation was raised and, once only, that it is superseded.
   RunStanding OnAnswer(const wire::CommandAnswerT& answer);
 
  private:
   RunStanding OnStale(Incarnation newest);
 
   RegistrationOptions m_options;
-  uint64_t m_sequence = 0;  // of the command that registers
+  uint64_t m_sequence = 0;  // of the registration command
   bool m_done = false;
   bool m_superseded = false;
 };
--- a/src/dotterelshift/app/registration_test.cc
+++ b/src/dotterelshift/app/registration_test.cc
@@ -11,7 +11,7 @@
 namespace dotterelshift::app {
 namespace {
 
-// The number under which the tests register.
+// Sequence number of the registration command in these tests.
 constexpr uint64_t kSequence = 7;
 
 wire::CommandAnswerT AnswerTo(const wire::CommandT& command, ErrorKind error,
@@ -87,7 +87,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_log->Count("incarnation_raised"));
   }
 
-  // The log is all that tells why such a daemon stopped.
+  // The log is the only place that shows why such a daemon stopped.
   void ARegisteredRunThatIsSupersededSaysSoOnce() {
     Registration registration = MakeRegistration(true);
     const wire::CommandT command = registration.Command(kSequence);
@@ -110,8 +110,8 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_log->Count("stale_incarnation"));
   }
 
-  // Two commands under way when the first is refused: the second refusal is of
-  // a number that the run no longer has, and must not end it.
+  // Two commands are in flight when the first is refused. The second refusal is
+  // for the former incarnation number and must not stop the daemon.
   void AnAnswerToTheFormerNumberOfTheRunIsNoVerdict() {
     Registration registration = MakeRegistration(true);
     const wire::CommandT first = registration.Command(kSequence);
--- a/src/dotterelshift/app/request_traffic.cc
+++ b/src/dotterelshift/app/request_traffic.cc
@@ -151,8 +151,8 @@
 }
 
 void RequestTraffic::Pump() {
-  // An action may lead to an event, whose Pump() then leaves the rest to this
-  // one.
+  // An action may cause another event, which calls Pump() again. The outer call
+  // executes the actions of that event.
   if (m_pumping) return;
   m_pumping = true;
   while (true) {
--- a/src/dotterelshift/app/request_traffic.h
+++ b/src/dotterelshift/app/request_traffic.h
@@ -15,8 +15,8 @@
 
 namespace dotterelshift::app {
 
-// Carries bytes between the callers' front and the endpoints' attempts as the
-// request core decides.
+// Transfers bytes between the callers' front and the attempts at endpoints, as
+// decided by the request core.
 class RequestTraffic {
  public:
   struct Callbacks {
@@ -32,14 +32,14 @@
     m_front->Accept(std::move(exchange));
   }
 
-  // Carries out what the core wants; to be called after every event that
-  // reached the core from elsewhere.
+  // Executes the core's pending actions. To be called after every event that
+  // the core received from elsewhere.
   void Pump();
 
   size_t OpenAnswers() const { return m_front->Open(); }
 
  private:
-  // The answer of one attempt on its way to the caller.
+  // The response of one attempt while it is relayed to the caller.
   struct ActiveRequest {
     RequestId request = 0;
     int status = 0;
@@ -47,7 +47,7 @@
     bool streamed = false;
     bool head_sent = false;
     bool paused = false;
-    std::string held;  // an answer that is not streamed waits here for its bill
+    std::string held;  // a response that is not streamed, until it is billed
     Instant last_piece{};
   };
 
--- a/src/dotterelshift/app/routes_port.cc
+++ b/src/dotterelshift/app/routes_port.cc
@@ -20,7 +20,7 @@
                                      : std::string(RowOf(outcome).name);
 }
 
-// Routes that an operator's program asks to have in force.
+// A request of an operator's program to put routes in force.
 struct Publication {
   uint64_t version = 0;
   std::string document;
@@ -44,8 +44,8 @@
     return m_replica.GetNode().Role() == replication::NodeRole::kLeader;
   }
 
-  // One at a time, and the newest of those that wait: in a storm of changes
-  // the ones that a newer one has overtaken cost nothing.
+  // Proposes one publication at a time, always the newest waiting one, so that
+  // superseded versions cost nothing in a burst of changes.
   void Publish(uint64_t version, std::string document,
                std::map<TeamId, Tokens> totals, Published callback) override {
     m_waiting.push_back({version, std::move(document), std::move(totals),
@@ -80,7 +80,7 @@
   }
 
  private:
-  // A line when reads begin to fail, fail in another way, or succeed again.
+  // Logs when reads begin to fail, fail in another way, or succeed again.
   void LogRead(ErrorKind outcome) {
     ++m_reads;
     if (outcome == m_read_outcome) return;
@@ -123,7 +123,7 @@
       m_on_stale(answer.newest_incarnation);
       return Propose();
     }
-    // Another leader's change was committed in between.
+    // A change of another leader was committed in the meantime.
     if (error == ErrorKind::kNone && refused == ErrorKind::kVersionMoved)
       return Propose();
     const ErrorKind outcome = error == ErrorKind::kNone ? refused : error;
@@ -135,7 +135,8 @@
     ProposeNewest();
   }
 
-  // Of those that wait: all after a failure, else the ones that are overtaken.
+  // Removes waiting publications and returns them: all of them after a failure,
+  // otherwise those that are superseded.
   std::vector<Publication> TakeSettled(ErrorKind outcome,
                                        const wire::CommandAnswerT& answer) {
     const auto* body = answer.body.AsRoutesAnswer();
@@ -172,10 +173,10 @@
   DirectoryExchange& m_directory;
   const std::function<void(Incarnation)> m_on_stale;
   ErrorKind m_read_outcome = ErrorKind::kNone;
-  uint64_t m_reads = 0;  // since the last line about them
+  uint64_t m_reads = 0;  // since the last log line about reads
   std::vector<Publication> m_waiting;
   std::optional<Publication> m_under_way;
-  size_t m_sent_bytes = 0;  // of the document that is under way
+  size_t m_sent_bytes = 0;  // of the document being committed
 };
 
 }  // namespace
--- a/src/dotterelshift/app/routes_port.h
+++ b/src/dotterelshift/app/routes_port.h
@@ -16,15 +16,17 @@
 
 namespace dotterelshift::app {
 
-// The command that brings a document in force, told as a step from the one that
-// is in force now. An older version is only to be answered, and has none.
+// Returns the command that puts a document in force, encoded as a delta against
+// the document that is in force. For an older version it has no delta, because
+// it only needs an answer.
 wire::PublishRoutesT RoutesCommand(uint64_t version, std::string_view document,
                                    const std::map<TeamId, Tokens>& totals,
                                    const state::PublishedRoutes& in_force);
 
-// What an adapter may ask of this control daemon. `on_stale` is told the newest
-// run that the log knows of this host, when it is newer than this one: the wall
-// clock was set back between two starts.
+// Creates the interface through which an adapter uses this control daemon.
+// `on_stale` is called with the newest incarnation of this host in the log if
+// it is newer than this one, as after the wall clock was set back between two
+// starts.
 std::unique_ptr<RoutesControl> MakeRoutesControl(
     loop::Loop& loop, ControlReplica& replica, OperatorBackend& backend,
     DirectoryExchange& directory,
--- a/src/dotterelshift/app/routes_port_test.cc
+++ b/src/dotterelshift/app/routes_port_test.cc
@@ -12,7 +12,7 @@
 namespace dotterelshift::app {
 namespace {
 
-// Carries out what was proposed when it is told to.
+// A backend whose proposals are committed or failed when the test says so.
 class LateBackend : public operators::MockBackend {
  public:
   explicit LateBackend(state::State& state) : m_run(&state, "control", 1) {}
--- a/src/dotterelshift/app/routes_spread_test.cc
+++ b/src/dotterelshift/app/routes_spread_test.cc
@@ -13,7 +13,7 @@
 namespace dotterelshift::app {
 namespace {
 
-// A clock moved by events, in order of their time.
+// A simulated clock that advances from event to event.
 class Events {
  public:
   Instant Now() const { return m_now; }
@@ -34,11 +34,11 @@
   std::multimap<Instant, std::function<void()>> m_events;
 };
 
-// Something that carries bytes one after the other.
+// A resource that processes bytes sequentially at a fixed rate.
 class Link {
  public:
   explicit Link(double bytes_per_second) : m_rate(bytes_per_second) {}
-  // When bytes that are handed over at `from` have passed.
+  // Returns when bytes that are queued at `from` have been processed.
   Instant Pass(size_t bytes, Instant from) {
     const std::chrono::duration<double> time(static_cast<double>(bytes) /
                                              m_rate);
@@ -52,7 +52,7 @@
   Instant m_free{};
 };
 
-// Frames take the leader's processor, the leader's link and the receiver's.
+// Frames use the leader's processor, the leader's link and the receiver's link.
 class SlowHub : public peers::Hub {
  public:
   using Deliver = std::function<void(const HostId&, const wire::FrameT&)>;
@@ -84,7 +84,7 @@
   uint16_t Port() const override { return 0; }
   const peers::HubCounters& Counters() const override { return m_counters; }
 
-  // Until then the leader is at work.
+  // The time until which the leader's processor is busy.
   Instant BusyUntil() { return m_processor.Pass(0, m_events.Now()); }
   size_t Bytes() const { return m_bytes; }
 
@@ -92,9 +92,10 @@
   static constexpr Duration kLatency = 2ms;
   static constexpr double kLeaderBytesPerSecond = 21e6;
   static constexpr double kEntryBytesPerSecond = 1.25e6;
-  // What a small part of a processor packs and sends.
+  // Rate at which a small fraction of a processor packs and sends.
   static constexpr double kHandledBytesPerSecond = 16e6;
-  static constexpr size_t kBytesOfFrame = 8 << 10;  // as long as any takes
+  static constexpr size_t kBytesOfFrame =
+      8 << 10;  // fixed cost of a frame, at least that of any
 
   Events& m_events;
   Deliver m_deliver;
@@ -106,7 +107,7 @@
   peers::HubCounters m_counters;
 };
 
-// A leader, its entries, and an operator that changes a large document.
+// A leader, its entries, and an operator that changes a large routes document.
 class Fleet {
  public:
   Fleet(size_t entries, size_t routes) : m_routes(routes) {
@@ -122,7 +123,7 @@
     m_pushes.OnUp(info);
   }
 
-  // One route differs from the version before.
+  // Publishes a version in which one route differs from the previous one.
   void Publish(uint64_t version, std::optional<size_t> changed) {
     m_document = state::RoutesDocument(
         {.version = version, .routes = m_routes, .changed = changed});
@@ -134,8 +135,8 @@
 
   void RunFor(Duration time) { m_events.RunUntil(m_events.Now() + time); }
 
-  // The longest time from a version's commit until all entries held it or a
-  // newer one; none while one does not.
+  // The longest time from a version's commit until all entries had it or a
+  // newer one; empty while an entry has not.
   std::optional<Duration> LongestWait() const {
     Duration longest{};
     for (const auto& [version, committed] : m_committed) {
@@ -154,7 +155,7 @@
       return entry.second.RoutesDocument() == m_document;
     });
   }
-  // From here on only what follows counts.
+  // Excludes the versions published so far from LongestWait().
   void Forget() { m_committed.clear(); }
   size_t Bytes() const { return m_hub.Bytes(); }
 
@@ -183,15 +184,16 @@
   EntryPushes m_pushes{m_hub, m_replica};
   state::TestSender m_control{m_replica.state.get(), "control", 1};
   std::string m_document;
-  std::map<uint64_t, Instant> m_committed;               // by version
-  std::map<HostId, std::map<uint64_t, Instant>> m_held;  // since when
+  std::map<uint64_t, Instant> m_committed;  // by version
+  std::map<HostId, std::map<uint64_t, Instant>>
+      m_held;  // when received, by version
 };
 
-// The aim for a change among hosts that reach each other.
+// Target time for a change to reach all connected hosts.
 constexpr Duration kInForce = 500ms;
 
-// A storm of changes of a large document to a fleet on slow links, from a
-// leader on a small part of a processor.
+// A burst of changes to a large document, sent to a fleet on slow links by a
+// leader that has a small fraction of a processor.
 class RoutesSpreadTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RoutesSpreadTest);
   CPPUNIT_TEST(AStormOfChangesIsInForceInTime);
--- a/src/dotterelshift/app/simulated_loop.h
+++ b/src/dotterelshift/app/simulated_loop.h
@@ -1,8 +1,8 @@
 #ifndef DOTTERELSHIFT_APP_SIMULATED_LOOP_H_
 #define DOTTERELSHIFT_APP_SIMULATED_LOOP_H_
 
-// Event loops of several hosts on one simulated clock, where work costs time;
-// for tests only.
+// Event loops of several hosts on one simulated clock, on which work takes
+// time. For tests only.
 
 #include <algorithm>   // for max
 #include <cstdint>     // for uint64_t
@@ -18,36 +18,36 @@
 
 class SimulatedLoop;
 
-// What is to happen on all hosts, in the order of time.
+// The pending events of all hosts, in order of time.
 class SimulatedTime {
  public:
   using Event = std::function<void()>;
 
   Instant Now() const { return m_now; }
 
-  // An event of no host when `host` is null.
+  // Adds an event. It belongs to no host if `host` is null.
   void Add(Instant when, SimulatedLoop* host, Event event) {
     Add(when, Due{host, true, std::move(event)});
   }
-  // Work of a host that is free at that time.
+  // Adds work of a host that is idle at that time.
   void AddWork(Instant when, SimulatedLoop* host, Event work) {
     Add(when, Due{host, false, std::move(work)});
   }
 
-  // Drops all that is to happen on a host.
+  // Drops all pending events of a host.
   void Forget(const SimulatedLoop* host) {
     std::erase_if(m_events,
                   [&](const auto& due) { return due.second.host == host; });
   }
 
-  // Goes on to the next event; false when there is none.
+  // Advances to the next event and runs it; returns false if there is none.
   bool Step();
 
  private:
-  using Key = std::pair<Instant, uint64_t>;  // when, and the order of adding
+  using Key = std::pair<Instant, uint64_t>;  // time and insertion order
   struct Due {
     SimulatedLoop* host = nullptr;
-    bool waits = false;  // until its host is free
+    bool waits = false;  // until its host is idle
     Event event;
   };
   void Add(Instant when, Due due) {
@@ -59,27 +59,28 @@
   std::map<Key, Due> m_events;
 };
 
-// The loop of one host. Its clock runs ahead of the others' while it works, and
-// what falls due meanwhile waits in order, as on a single thread.
+// The event loop of one host. Its clock runs ahead of the others' while it
+// works. Events that become due in the meantime wait in order, as on a single
+// thread.
 class SimulatedLoop {
  public:
   explicit SimulatedLoop(SimulatedTime& time) : m_time(time) {}
 
   Instant Now() const { return std::max(m_time.Now(), m_busy_until); }
   WallMs WallNow() const { return ToMs(Now().time_since_epoch()); }
-  // Work that takes this long.
+  // Simulates work that takes this long.
   void Spend(Duration work) { m_busy_until = Now() + work; }
 
   SimulatedTime& Time() { return m_time; }
 
-  // An event falls due.
+  // Queues an event that has become due.
   void Take(SimulatedTime::Event event) {
     m_due.push_back(std::move(event));
     if (m_due.size() == 1) CarryOutNext();
   }
 
  private:
-  // The event that is carried out stays in front until the work is done.
+  // The running event stays at the front of the queue until its work is done.
   void CarryOutNext() {
     m_time.AddWork(m_busy_until, this, [this] {
       m_due.front()();
@@ -114,7 +115,8 @@
   SimulatedTimer(const SimulatedTimer&) = delete;
   SimulatedTimer& operator=(const SimulatedTimer&) = delete;
 
-  // As on a real loop, one that is due already comes after those armed before.
+  // As on a real loop, a timer that is already due fires after those armed
+  // earlier.
   void ArmAt(Instant when) {
     Cancel();
     m_armed = std::make_shared<bool>(true);
--- a/src/dotterelshift/app/spool_sender.cc
+++ b/src/dotterelshift/app/spool_sender.cc
@@ -8,7 +8,7 @@
 
 constexpr size_t kMostAtOnce = 512;
 
-// Whether the log itself gave the answer.
+// Whether the log itself gave the answer, rather than a failure to commit.
 bool IsDecided(const wire::CommandAnswerT& answer) {
   const auto error = static_cast<ErrorKind>(answer.error);
   return error != ErrorKind::kNotLeader && error != ErrorKind::kNoQuorum &&
--- a/src/dotterelshift/app/spool_sender.h
+++ b/src/dotterelshift/app/spool_sender.h
@@ -11,23 +11,23 @@
 
 namespace dotterelshift::app {
 
-// A record of the store's spool, and back; an unreadable one throws
-// Error(kStorageDamaged).
+// Encode and decode a record of the store's spool. DecodeSpool throws
+// Error(kStorageDamaged) if the record is unreadable.
 std::string EncodeSpool(const wire::SpoolT& spool);
 wire::SpoolT DecodeSpool(const std::string& bytes);
 
-// The spooled commands that the leader has not answered yet. They keep their
-// ids, so that proposing them again is harmless.
+// Spooled commands that the leader has not answered yet. They keep their ids,
+// so that proposing them again is idempotent.
 class SpoolSender {
  public:
   void Add(const wire::SpoolT& spool);
   bool Empty() const { return m_waiting.empty(); }
 
-  // The next ones to be proposed.
+  // Returns the next commands to propose.
   std::vector<wire::CommandT> Some() const;
 
-  // Drops the commands whose answers say that the log has decided about them.
-  // True when this was the last one.
+  // Removes the commands that the log has decided according to their answers.
+  // Returns true if this removed the last one.
   bool OnAnswers(const std::vector<wire::CommandAnswerT>& answers);
 
  private:
