--- a/src/dotterelshift/app/gateway_traffic.h
+++ b/src/dotterelshift/app/gateway_traffic.h
@@ -35,7 +35,7 @@
   void Pump();
   // Decides for each response whether its caller may keep the connection.
   // `silent` is the number of callers that send nothing on their connections:
-  // the head of their response is still to come, or has told them to close.
+  // the head of their response is still to come, or has asked them to close.
   // Without a policy, all callers may keep theirs.
   using KeepPolicy = std::function<bool(size_t silent)>;
   void SetKeepPolicy(KeepPolicy policy) { m_may_keep = std::move(policy); }
--- a/src/dotterelshift/app/gateway_traffic_test.cc
+++ b/src/dotterelshift/app/gateway_traffic_test.cc
@@ -360,8 +360,7 @@
         std::filesystem::directory_iterator("/proc/self/fd"), {}));
   }
 
-  // The loop is polled without blocking, because the endpoints do not run on
-  // it.
+  // Polls the loop without blocking, because the endpoints do not run on it.
   void RunUntil(const std::function<bool()>& condition) {
     const Instant begin = m_loop.Now();
     while (!condition()) {
--- a/src/dotterelshift/app/link_guard_test.cc
+++ b/src/dotterelshift/app/link_guard_test.cc
@@ -141,8 +141,7 @@
     CPPUNIT_ASSERT(m_guard->WaitOut(m_now) == 50ms);
   }
 
-  // Guards against overload when all callers with kept connections send at
-  // once.
+  // Guards against overload when all callers send at once on kept connections.
   void NoMoreConnectionsAreKeptThanTheLinkBearsAtOnce() {
     Bring(50ms);
     Pass(1s);
--- a/src/dotterelshift/app/other_entries.cc
+++ b/src/dotterelshift/app/other_entries.cc
@@ -11,8 +11,7 @@
 
 }  // namespace
 
-// The timer only causes an event loop iteration, in which SendNotes() is
-// called.
+// The timer only causes an event loop iteration, which calls SendNotes().
 OtherEntries::OtherEntries(loop::Loop& loop, peers::Hub& hub,
                            const gateway::LoadUpdatePacerOptions& notes)
     : m_hub(hub), m_note_pacer(notes), m_note_timer(loop, [] {}) {}
--- a/src/dotterelshift/app/routes_spread_test.cc
+++ b/src/dotterelshift/app/routes_spread_test.cc
@@ -94,8 +94,8 @@
   static constexpr double kEntryBytesPerSecond = 1.25e6;
   // Rate at which a small fraction of a processor packs and sends.
   static constexpr double kHandledBytesPerSecond = 16e6;
-  static constexpr size_t kBytesOfFrame =
-      8 << 10;  // fixed cost of a frame, at least that of any
+  // Fixed processing cost of a frame, as an upper bound for any frame.
+  static constexpr size_t kBytesOfFrame = 8 << 10;
 
   Events& m_events;
   Deliver m_deliver;
@@ -185,8 +185,8 @@
   state::TestSender m_control{m_replica.state.get(), "control", 1};
   std::string m_document;
   std::map<uint64_t, Instant> m_committed;  // by version
-  std::map<HostId, std::map<uint64_t, Instant>>
-      m_held;  // when received, by version
+  // When each entry received each version.
+  std::map<HostId, std::map<uint64_t, Instant>> m_held;
 };
 
 // Target time for a change to reach all connected hosts.
