--- a/include/dotterelshift/app/control_link.h
+++ b/include/dotterelshift/app/control_link.h
@@ -18,31 +18,32 @@
 
 namespace dotterelshift::app {
 
-// The name of a reach in logs and health answers.
+// The name of a reachability state in logs and health responses.
 std::string_view NameOf(serving::ControlReach reach);
 
 struct ControlLinkOptions {
   HostRun self;
-  Duration beat = 1s;            // to every control host in reach
-  Duration search_beat = 100ms;  // while no leader is known
+  Duration beat = 1s;            // heartbeat interval, to each control host
+  Duration search_beat = 100ms;  // heartbeat interval while no leader is known
   Duration cut_off_after =
-      3s;  // since the last beat that a leader answered was sent
+      3s;  // since the newest heartbeat that a leader answered was sent
   Duration resend_after =
-      1s;  // a command without an answer is sent again, with the same id
-  // Doubled at each resend to the same leader, up to this: a leader that is
-  // behind must not get more to do for being late.
+      1s;  // an unanswered command is sent again, with the same id
+  // Limit of the resend timeout, which doubles at each resend to the same
+  // leader so that resends do not add load to a leader that is behind.
   Duration resend_most = 8s;
   size_t commands_per_frame = 512;
-  // Tells control which answers it need not keep any more. Only where commands
-  // are proposed in the order of their sequences.
+  // Reports the sequence below which all answers have arrived, so that control
+  // can drop them. Valid only if commands are proposed in sequence order.
   bool names_answered = false;
   size_t spool_copies = 2;
 };
 
-// An entry's side of its connections to control, as a core: finds the leader,
-// keeps commands until they are answered, follows the configuration, and says
-// how far control can be reached. A replica leads for us only once it has
-// answered a beat, which it does after a quorum confirmed it.
+// The entry side of the connections to control, without I/O of its own: finds
+// the leader, keeps commands until they are answered, follows the configuration
+// and the published routes, and reports whether control can be reached. A
+// replica is taken for the leader only once it has answered a heartbeat, which
+// it does after a quorum has confirmed its leadership.
 class ControlLink {
  public:
   explicit ControlLink(const ControlLinkOptions& options)
@@ -50,19 +51,19 @@
 
   void OnPeerUp(const HostId& host, Instant now);
   void OnPeerDown(const HostId& host, Instant now);
-  // A frame of a control host. Frames of other kinds are passed over.
+  // Handles a frame from a control host. Frames of other kinds are ignored.
   void OnFrame(const HostId& from, const wire::FrameT& frame, Instant now);
   void OnTimer(Instant now);
   Instant NextTimer() const { return m_next_beat; }
 
-  // Sends a command until it is answered; the answer is among TakeAnswers(),
-  // once.
+  // Sends a command repeatedly until it is answered. TakeAnswers() returns the
+  // answer exactly once.
   void Propose(wire::CommandT command);
-  // Hands a settlement to control replicas in reach; the id is among
-  // TakeSpooled() once one of them stored it.
+  // Sends a settlement to reachable control replicas. TakeSpooled() returns its
+  // id once one of them has stored it.
   void Spool(wire::CommandT command);
 
-  // What the next beats tell the leader of our holdings.
+  // The budget holdings that the next heartbeats report to the leader.
   void SetHoldings(std::vector<wire::BudgetHoldingT> holdings) {
     m_holdings = std::move(holdings);
   }
@@ -72,25 +73,26 @@
   const state::Configuration& GetConfiguration() const {
     return m_configuration;
   }
-  // The newest published routes that a leader sent; version 0: none.
+  // The newest published routes received from a leader; version 0: none.
   uint64_t RoutesVersion() const { return m_routes_version; }
   const std::string& RoutesDocument() const { return m_routes_document; }
-  // The longest that an answered beat has taken, there and back and for a
-  // quorum, since the last call; 0: none was answered.
+  // The longest time from sending a heartbeat to its answer since the last
+  // call: the round trip and the confirmation by a quorum. 0: none was
+  // answered.
   Duration TakeLongestBeat() { return std::exchange(m_longest_beat, {}); }
-  // Addresses of control and of the entries, as the leader named them last.
+  // Addresses of control replicas and of entries, as last sent by control.
   const std::vector<std::string>& ControlAddresses() const {
     return m_control_addresses;
   }
   const std::vector<std::string>& EntryAddresses() const {
     return m_entry_addresses;
   }
-  // Entries in the whole fleet, this one among them.
+  // Number of entries in the fleet, including this one.
   size_t EntryCount() const { return m_entry_count; }
-  // The place of this entry among them.
+  // Index of this entry among them.
   size_t EntryPlace() const { return m_entry_place; }
   size_t Unanswered() const { return m_unanswered.size(); }
-  // True when nothing waits for an answer.
+  // True if no command and no spooled settlement awaits an answer.
   bool Idle() const { return m_unanswered.empty() && m_spooling.empty(); }
 
   std::vector<std::pair<HostId, wire::FrameT>> TakeFrames(Instant now);
@@ -110,8 +112,8 @@
  private:
   struct PendingCommand {
     wire::CommandT command;
-    Instant sent{};    // the epoch: not yet
-    Duration timeout;  // from then until it is sent again
+    Instant sent{};    // the epoch: not sent
+    Duration timeout;  // from `sent` until it is sent again
   };
   void OnLeaderBeat(const HostId& from, const wire::LeaderBeatT& beat,
                     Instant now);
@@ -132,31 +134,32 @@
   void SendSpools(Instant now);
 
   ControlLinkOptions m_options;
-  std::vector<HostId> m_hosts;  // control hosts in reach
-  HostId m_leader;              // empty: not known
+  std::vector<HostId> m_hosts;  // connected control hosts
+  HostId m_leader;              // empty: unknown
   uint64_t m_term = 0;
   uint64_t m_beat_sequence = 0;
   std::map<uint64_t, Instant>
-      m_beats_sent;  // by sequence, those not older than the answered one
+      m_beats_sent;  // by sequence, from the newest answered one
   Instant m_next_beat{};
   Duration m_longest_beat{};
-  std::optional<Instant> m_confirmed;  // when the newest answered beat was sent
+  // When the newest answered heartbeat was sent.
+  std::optional<Instant> m_confirmed;
   serving::ControlReach m_reach = serving::ControlReach::kNever;
   state::Configuration m_configuration;
-  uint64_t m_wanted_version = 0;  // the leader's, by its last beat
+  uint64_t m_wanted_version = 0;  // of the leader, by its last heartbeat
   bool m_knows_wanted_version = false;
   uint64_t m_wanted_routes = 0;  // version of the leader's published routes
   uint64_t m_routes_version = 0;
   std::string m_routes_document;
-  bool m_wants_routes = false;  // steps did not lead on from what is held
+  bool m_wants_routes = false;  // a delta did not apply to the held version
   std::vector<std::string> m_control_addresses;
   std::vector<std::string> m_entry_addresses;
   size_t m_entry_count = 1;
   size_t m_entry_place = 0;
   Commands m_unanswered;
   Commands m_spooling;
-  bool m_has_spooled = false;      // once any command was handed to a spool
-  std::vector<uint64_t> m_unsent;  // sequences to be sent, or sent again
+  bool m_has_spooled = false;      // a command was ever sent to a spool
+  std::vector<uint64_t> m_unsent;  // sequences to send or resend
   std::vector<uint64_t> m_unsent_spools;
   std::vector<wire::BudgetHoldingT> m_holdings;
   std::vector<std::pair<HostId, wire::FrameT>> m_frames;
--- a/include/dotterelshift/app/control_replica.h
+++ b/include/dotterelshift/app/control_replica.h
@@ -21,37 +21,39 @@
   replication::NodeOptions node;
   storage::LogStoreOptions store;
   state::StateOptions state;
-  // Hosts of the first members: used only while the folder is fresh. A group is
-  // founded when all of them are there and fresh; after that a fresh folder
-  // waits, and says its id to these hosts, until an operator's plan adds it.
+  // Hosts of the initial members; used only while the data folder is empty. The
+  // group is bootstrapped once all of them are running with empty folders.
+  // Afterwards a replica with an empty folder announces its id to these hosts
+  // and waits until an operator's plan adds it.
   std::vector<std::string> first_members;
   HostId self;
   std::string self_address;
   replication::SnapshotPolicyOptions snapshot;
-  // The leader adds replicas that wait, and replaces members that are lost,
-  // without a plan.
+  // The leader adds waiting replicas and replaces lost members without an
+  // operator's plan.
   bool self_healing = false;
 };
 
-// Answers to one Propose(), in the order of its commands; or the reason why
-// none was accepted. kNotLeader and kNoQuorum from here mean "not accepted as
-// far as this replica knows": the same ids may be proposed again elsewhere.
+// Receives the answers to one Propose() in the order of its commands, or the
+// error for which none was accepted. kNotLeader and kNoQuorum mean that this
+// replica does not know whether the commands were accepted: the same ids may be
+// proposed again to another replica.
 using ProposalCallback = std::function<void(
     ErrorKind error, std::vector<wire::CommandAnswerT> answers)>;
 
-// How much a replica has in hand.
+// Pending work and stored bytes of a replica.
 struct ReplicaLoad {
   size_t waiting_commands = 0;  // not yet in a batch
   size_t pending_commands = 0;  // in batches that are not committed
-  size_t waiting_reads = 0;     // for a quorum's word that this replica leads
+  size_t waiting_reads = 0;     // awaiting confirmation by a quorum
   uint64_t log_bytes = 0;       // in memory, since the last snapshot
   uint64_t snapshot_bytes = 0;
-  uint64_t unapplied_entries = 0;  // committed, not yet in the state
-  uint64_t hellos = 0;  // from other replicas, since this one's start
+  uint64_t unapplied_entries = 0;  // committed, not yet applied to the state
+  uint64_t hellos = 0;  // received from other replicas since the start
 };
 
-// Drives one replica: node, files and state together on the loop. Proposals of
-// one turn of the loop are committed as one batch with one sync.
+// Drives the node, the storage and the state of one replica on the event loop.
+// Proposals of one loop iteration are written in bounded batches with one sync.
 class ControlReplica {
  public:
   virtual ~ControlReplica() = default;
@@ -59,46 +61,46 @@
   virtual void Propose(std::vector<wire::CommandT> commands,
                        ProposalCallback callback) = 0;
   // Calls back with kNone once a quorum has confirmed that this replica leads
-  // and all that was committed before the call is applied; else with kNotLeader
-  // or kNoQuorum.
+  // and all entries committed before the call are applied. Otherwise calls back
+  // with kNotLeader, kNoQuorum or the storage error of Trouble().
   virtual void ConfirmedRead(std::function<void(ErrorKind)> callback) = 0;
-  // A settlement handed over by an entry that cannot reach the leader; durable
-  // when this returns. Proposed to the leader as soon as there is one, then
-  // dropped. Throws Error of a storage kind.
+  // Stores a settlement from an entry that cannot reach the leader; it is
+  // durable when this returns. It is proposed once a leader is known and
+  // dropped once answered. Throws Error of a storage kind.
   virtual void Spool(const wire::SpoolT& spool) = 0;
 
   virtual const state::State& GetState() const = 0;
   virtual const replication::Node& GetNode() const = 0;
   virtual ReplicaLoad Load() const { return {}; }
   virtual bool Leads() const = 0;         // inside its lease
-  virtual HostId LeaderHost() const = 0;  // empty: not known
-  // Replicas that wait to be added by a plan: they said hello and are in no
-  // group.
+  virtual HostId LeaderHost() const = 0;  // empty: unknown
+  // Replicas that have sent a hello, are in no group, and wait to be added.
   virtual std::vector<wire::ReplicaT> WaitingReplicas() const { return {}; }
-  // Why this replica takes no part at present: kStorageFull (tried again each
-  // second), kStorageFailed or kStorageDamaged (until a restart); else kNone.
+  // The storage error that keeps this replica out of the group: kStorageFull
+  // (retried each second), kStorageFailed or kStorageDamaged (both last until a
+  // restart). kNone if it takes part.
   virtual ErrorKind Trouble() const { return ErrorKind::kNone; }
 
-  // A frame between replicas that came in by the hub, and ProposeAnswers to
-  // what this replica proposed from its spool.
+  // Handles a frame received from another replica, or ProposeAnswers to
+  // commands that this replica proposed from its spool.
   virtual void OnFrame(const peers::PeerInfo& from,
                        const wire::FrameT& frame) = 0;
 };
 
 struct ControlReplicaCallbacks {
-  // Sends to another replica's host; a failure to send is a lost message.
+  // Sends to another replica's host. A failed send counts as a lost message.
   std::function<void(const HostId& host, const wire::FrameT& frame)> send;
-  // A committed batch has been applied (also while catching up).
+  // Called after a committed batch has been applied, also while catching up.
   std::function<void(const wire::CommandBatchT& batch,
                      const std::vector<wire::CommandAnswerT>& answers)>
       on_applied;
-  // The leader or the term changed, or a new leader has applied all that was
-  // accepted before its term, so that Leads() holds.
+  // Called when the leader or the term has changed, and when a new leader has
+  // applied all entries accepted before its term, so that Leads() can hold.
   std::function<void()> on_leadership_changed;
-  // Control hosts that are connected: whom a replica outside of any group, or
-  // one that hears no leader, tells of itself. Only with self_healing.
+  // Returns the connected control hosts. A replica that is in no group or knows
+  // no leader sends them hellos. Only used with self_healing.
   std::function<std::vector<HostId>()> control_hosts;
-  // Addresses of the group's replicas, as another replica named them.
+  // Called with the addresses of the group's replicas that a hello contained.
   std::function<void(const std::vector<std::string>&)> on_members_heard;
 };
 
--- a/src/dotterelshift/app/entry_pushes.h
+++ b/src/dotterelshift/app/entry_pushes.h
@@ -13,12 +13,12 @@
 
 namespace dotterelshift::app {
 
-// Where the replicas of a group can be reached.
+// Addresses at which the replicas of a group can be reached.
 std::vector<std::string> ReplicaAddresses(const replication::Node& node);
 
-// What control tells the entries that are connected to it: configuration,
-// published routes, quarantined contents, and who the others are. Only a leader
-// that a quorum has just confirmed pushes.
+// Pushes configuration, published routes, quarantined contents and the
+// addresses of other entries to the connected entries. Only a leader that a
+// quorum has just confirmed pushes.
 class EntryPushes {
  public:
   EntryPushes(peers::Hub& hub, const ControlReplica& replica)
@@ -26,30 +26,31 @@
 
   void OnUp(const peers::PeerInfo& entry);
   void OnDown(const HostId& entry) { m_entries.erase(entry); }
-  // The entry told which versions it has. False when it is not connected.
+  // Records the versions that the entry reports. Returns false if the entry is
+  // not connected.
   bool OnHeartbeat(const HostId& entry, const wire::EntryBeatT& beat,
                    Instant now);
 
-  // Answers a beat, once a quorum has confirmed that this replica leads. What
-  // the entry lacks is left to PushSome().
+  // Answers a heartbeat; to be called once a quorum has confirmed that this
+  // replica leads. Missing versions are sent by PushSome().
   void AnswerBeat(const HostId& entry, uint64_t sequence, WallMs stamp);
-  // Tells entries what they lack, as many as one turn of the loop bears, in
-  // turns; true when there are more.
+  // Sends missing versions to the entries in round-robin order, up to the byte
+  // limit of one loop iteration. Returns true if entries remain.
   bool PushSome(Instant now);
   void PushQuarantine(const HostId& entry, WallMs now);
   void PushQuarantineToAll(WallMs now);
 
   size_t Entries() const { return m_entries.size(); }
-  // What was sent of published routes since the start.
+  // Totals of published routes sent since the start.
   struct RoutesSent {
-    uint64_t wholes = 0;  // documents by themselves
-    uint64_t steps = 0;   // sent as steps from the version that is held
+    uint64_t wholes = 0;  // pushes of a full document
+    uint64_t steps = 0;   // pushes of deltas from the version held
     uint64_t bytes = 0;
   };
   const RoutesSent& Sent() const { return m_sent; }
 
  private:
-  // The version of something that an entry has, or that is on its way to it.
+  // The version that an entry holds or that is in transit to it.
   struct Pushed {
     uint64_t version = 0;
     Instant at{};  // when it was sent
@@ -60,21 +61,21 @@
     Pushed configuration;
     Pushed routes;
   };
-  // How one version of the routes goes out, for a line about it.
+  // Progress of one routes version to the entries, for the log.
   struct Spread {
     uint64_t version = 0;
     Instant begun{};
     RoutesSent sent_before;
     bool told = true;
   };
-  // `wants_whole`: what was sent is of no use to the entry.
+  // `wants_whole`: the entry could not apply the delta that was sent.
   static void OnHas(Pushed& pushed, uint64_t version, bool wants_whole,
                     Instant now);
-  // Give the bytes that were sent, about.
+  // Return the approximate number of bytes sent.
   size_t Push(Entry& entry, Instant now);
   size_t PushConfiguration(Entry& entry, Instant now);
   size_t PushRoutes(Entry& entry, Instant now);
-  // The document by itself; packed once for all entries that need it.
+  // The full document as a step; packed once for all entries that need it.
   const wire::RoutesStepT& WholeRoutes(const state::PublishedRoutes& published);
   void WatchSpread(Instant now);
   void LogSpread(Instant now);
--- a/src/dotterelshift/app/leader_testing.h
+++ b/src/dotterelshift/app/leader_testing.h
@@ -1,7 +1,7 @@
 #ifndef DOTTERELSHIFT_SRC_APP_LEADER_TESTING_H_
 #define DOTTERELSHIFT_SRC_APP_LEADER_TESTING_H_
 
-// A control replica that leads, without a group; for tests only.
+// A control replica that always leads and has no group; for tests only.
 
 #include <functional>  // for function
 #include <memory>      // for unique_ptr
@@ -14,7 +14,7 @@
 
 namespace dotterelshift::app {
 
-// A leader over a real state.
+// A replica that always leads, with a real state.
 class MockReplica : public ControlReplica {
  public:
   MockReplica() {
--- a/src/dotterelshift/app/member_changes.h
+++ b/src/dotterelshift/app/member_changes.h
@@ -12,38 +12,40 @@
 
 namespace dotterelshift::app {
 
-// One change of the group's members that an operator's confirmed plan asks for.
+// One membership change that an operator's confirmed plan requests.
 struct MemberChange {
   wire::ReplicaT replica;
   bool remove = false;
 };
 
-// The changes of members that confirmed plans ask for and that are not made
-// yet, in order. A function of the applied log alone, so every replica has the
-// same and a new leader carries on; it is kept with the snapshot of the state.
+// The membership changes that confirmed plans request and that are not yet
+// committed, in order. They depend on the applied log alone, so all replicas
+// hold the same list and a new leader can continue it. They are stored with the
+// snapshot of the state.
 class MemberChanges {
  public:
-  // Looks for newly confirmed plans in a batch. `version_before` is the
-  // configuration's version before the batch: a resent confirm answers with an
-  // older one and asks for nothing.
+  // Adds the changes of plans that a batch newly confirms. `version_before` is
+  // the configuration version before the batch: a resent confirmation is
+  // answered with a version that is not newer and adds nothing.
   void OnApplied(const wire::CommandBatchT& batch,
                  const std::vector<wire::CommandAnswerT>& answers,
                  const state::State& state, uint64_t version_before);
 
-  // A membership is committed: drops what it fulfils.
+  // Drops the changes that a committed membership already contains.
   void OnMembers(const wire::MembershipT& members);
 
-  // The change to be proposed next.
+  // The change to propose next; empty if there is none.
   std::optional<MemberChange> Next() const;
 
-  // Adds them to the bytes of a snapshot, and takes them out again; returns the
-  // bytes of the state. Throws Error(kStorageDamaged) on bad bytes.
+  // Appends the pending changes to the bytes of a snapshot.
   void AppendTo(std::string& snapshot) const;
+  // Restores the pending changes from a snapshot and returns the bytes of the
+  // state. Throws Error(kStorageDamaged) on malformed bytes.
   std::string_view TakeFrom(std::string_view snapshot);
 
  private:
   std::deque<MemberChange> m_wanted;
-  wire::MembershipT m_members;  // the last one committed
+  wire::MembershipT m_members;  // the newest committed one
 };
 
 }  // namespace dotterelshift::app
--- a/src/dotterelshift/app/operator_backend.h
+++ b/src/dotterelshift/app/operator_backend.h
@@ -12,15 +12,16 @@
 
 namespace dotterelshift::app {
 
-// What the operators' interface works with; the daemon owns it.
+// Backend of the operators' interface; owned by the daemon.
 using OperatorBackend = operators::Backend;
 
-// On an entry: knows where the leader is, holds no state.
+// Backend of an entry: it knows the leader's address and holds no state.
 std::unique_ptr<OperatorBackend> MakeEntryBackend(
     loop::Loop& loop, const peers::Hub& hub, const ControlLink& link,
     const directory::Directory& directory, std::string http_address);
 
-// On a control host: its replica. Ids of its commands come from `next_id`.
+// Backend of a control host, on its replica. `next_id` returns the ids of its
+// commands.
 std::unique_ptr<OperatorBackend> MakeControlBackend(
     loop::Loop& loop, const peers::Hub& hub, ControlReplica& replica,
     const directory::Directory& directory, std::string http_address,
--- a/src/dotterelshift/app/proposals.h
+++ b/src/dotterelshift/app/proposals.h
@@ -11,43 +11,45 @@
 
 namespace dotterelshift::app {
 
-// The bytes that the log holds for a batch.
+// Encodes a batch as the payload of a log entry.
 std::string EncodeBatch(const wire::CommandBatchT& batch);
 
-// The batch of a log entry. Throws Error(kStorageDamaged) on other bytes.
+// Decodes the payload of a log entry. Throws Error(kStorageDamaged) if it is
+// not a valid batch.
 wire::CommandBatchT DecodeBatch(const std::vector<uint8_t>& bytes);
 
-// Proposals that wait to be put into a batch, and batches that wait to be
+// Proposals that are not yet in a batch, and batches that are not yet
 // committed.
 class Proposals {
  public:
-  // A batch and the callers that its commands belong to.
+  // A batch with the callbacks of the proposals that its commands belong to.
   struct Batch {
     wire::CommandBatchT content;
-    std::vector<std::pair<size_t, ProposalCallback>> parts;  // commands of each
+    std::vector<std::pair<size_t, ProposalCallback>> parts;  // command counts
   };
 
   void Add(std::vector<wire::CommandT> commands, ProposalCallback callback);
   bool HasWaiting() const { return !m_waiting.empty(); }
-  size_t CountWaiting() const;  // commands that wait to be put into a batch
-  size_t CountPending() const;  // commands in batches that wait to be committed
+  size_t CountWaiting() const;  // commands not yet in a batch
+  size_t CountPending() const;  // commands in uncommitted batches
 
-  // All that waits, in batches of at most this many commands; a proposal is
-  // never split.
+  // Takes all waiting proposals in batches of at most `most_commands` commands.
+  // A proposal is never split, so a larger one makes a larger batch of its own.
   std::vector<Batch> TakeWaiting(size_t most_commands);
 
-  // A batch has been put into the log.
+  // Records that a batch was appended to the log.
   void OnProposed(uint64_t index, uint64_t term, Batch batch);
 
-  // The batch that was proposed for this entry; empty when the entry is of
-  // another leader, and then the callers are told.
+  // Takes the batch that was proposed at this index. Empty if there is none or
+  // if the committed entry has another term; in that case the batch fails with
+  // kNotLeader.
   std::optional<Batch> TakeCommitted(uint64_t index, uint64_t term);
 
-  // Gives each caller its answers.
+  // Calls back each proposal with its answers.
   static void Answer(const Batch& batch,
                      const std::vector<wire::CommandAnswerT>& answers);
 
-  // Tells all callers that nothing of theirs is known to be accepted.
+  // Fails all proposals; none of them is known to be accepted.
   void FailAll(ErrorKind error);
 
  private:
--- a/src/dotterelshift/app/replica.h
+++ b/src/dotterelshift/app/replica.h
@@ -26,10 +26,10 @@
 
 namespace dotterelshift::app {
 
-// What a replica runs on: a loop with a clock, the timers of that loop, its
-// data folder, and the state that the log's commands make. The daemon runs on
-// LiveRuntime; tests may take a simulated clock, and a folder and a state whose
-// use costs time on it.
+// The environment of a replica: an event loop with a clock, timers, a log store
+// and the replicated state. The daemon uses LiveRuntime. Tests may use a
+// simulated clock, with a store and a state whose operations take simulated
+// time.
 template <typename R>
 concept ReplicaRuntime = std::constructible_from<
     typename R::Timer, typename R::Loop&, std::function<void()>> &&
@@ -45,7 +45,7 @@
   R::MakeState(loop, state)->LastStamp();
 };
 
-// The replica behind MakeControlReplica(). Its definitions are spread over
+// The replica behind MakeControlReplica(). Its member functions are defined in
 // replica_start.h, replica_pump.h, replica_snapshot.h and replica_spool.h.
 template <ReplicaRuntime Runtime>
 class Replica final : public ControlReplica {
@@ -87,7 +87,7 @@
   using NodeRole = replication::NodeRole;
   using Ready = replication::Ready;
 
-  // Starting.
+  // Start, discovery and membership repair.
   void Restore(storage::OpenedStore opened);
   void LogOpened(Instant start) const;
   replication::GroupView View() const { return GroupViewOf(*m_node); }
@@ -97,7 +97,8 @@
   void OnHello(const HostId& from, const wire::ReplicaHelloT& hello);
   void TryBootstrap();
 
-  // One turn: proposals in, messages out, files written, entries applied.
+  // One iteration: takes proposals, sends messages, writes the log and applies
+  // entries.
   void SchedulePump();
   void Pump();
   void PumpOnce();
@@ -123,8 +124,8 @@
   void OnSpoolAnswers(const std::vector<wire::CommandAnswerT>& answers);
 
   HostId HostOf(ReplicaId id) const;
-  // A leader that has not applied what its predecessors accepted would act on
-  // what is out of date.
+  // A leader that has not applied the entries accepted by its predecessors
+  // would act on outdated state.
   bool HasCaughtUp() const {
     return m_applied.last_index >= m_node->TermStart();
   }
@@ -150,7 +151,7 @@
   std::optional<replication::SnapshotPolicy> m_snapshots;  // once restored
   std::optional<Ready> m_unwritten;
   std::deque<wire::LogEntryT> m_unapplied;  // committed
-  std::vector<uint64_t> m_confirmed_reads;  // wait for what is unapplied
+  std::vector<uint64_t> m_confirmed_reads;  // until m_unapplied is empty
   bool m_leads = false;
   Proposals m_proposals;
   std::vector<std::function<void(ErrorKind)>> m_new_reads;
@@ -158,12 +159,12 @@
   MemberChanges m_member_changes;
   SpoolSender m_spool;
   int m_ticks = 0;
-  uint64_t m_hellos = 0;  // heard
+  uint64_t m_hellos = 0;  // received
 
   std::optional<replication::MembershipRepair>
       m_membership_repair;                                  // with self_healing
   std::optional<replication::MemberDiscovery> m_discovery;  // once restored
-  std::map<ReplicaId, HostId> m_hosts;                      // heard from
+  std::map<ReplicaId, HostId> m_hosts;                      // senders seen
 
   bool m_pump_scheduled = false;
   Timer m_pump;
--- a/src/dotterelshift/app/replica_group.h
+++ b/src/dotterelshift/app/replica_group.h
@@ -1,7 +1,7 @@
 #ifndef DOTTERELSHIFT_APP_REPLICA_GROUP_H_
 #define DOTTERELSHIFT_APP_REPLICA_GROUP_H_
 
-// A group of control replicas on one loop, with frames handed over directly;
+// A group of control replicas on one event loop that exchange frames directly;
 // for tests only.
 
 #include <functional>  // for function
@@ -27,7 +27,7 @@
     m_options.node.lease = 125ms;
   }
 
-  // Starts a host's replica on its folder (made at the first start).
+  // Starts a host's replica on its folder, which the first start creates.
   void Start(const HostId& host) {
     Host& started = m_hosts[host];
     if (!started.folder) started.folder = std::make_unique<TemporaryFolder>();
@@ -42,38 +42,38 @@
     started.replica = MakeControlReplica(m_loop, options, std::move(callbacks));
   }
 
-  // Ends a replica without any farewell; its folder stays.
+  // Stops a replica without a shutdown; its folder stays.
   void Kill(const HostId& host) { m_hosts[host].replica.reset(); }
 
-  // Ends a replica and loses its folder.
+  // Stops a replica and deletes its folder.
   void Wipe(const HostId& host) { m_hosts[host] = Host(); }
 
-  // Cuts a host off from the others, or joins it again.
+  // Partitions a host from the others, or reconnects it.
   void Cut(const HostId& host, bool cut) { m_hosts[host].cut = cut; }
 
   ControlReplica* Find(const HostId& host) {
     return m_hosts[host].replica.get();
   }
 
-  // How many frames the host has sent up to now.
+  // Number of frames that the host has sent.
   uint64_t FramesFrom(const HostId& host) { return m_hosts[host].frames; }
 
-  // The host that leads inside its lease; empty when none does.
+  // The host that leads within its lease; empty if there is none.
   HostId Leader() const {
     for (const auto& [name, host] : m_hosts)
       if (host.replica && !host.cut && host.replica->Leads()) return name;
     return "";
   }
 
-  // Runs the loop until one leads, and names it. On a busy machine a term may
-  // end at any moment.
+  // Runs the loop until a host leads, and returns it. On a busy machine its
+  // term may end at any time.
   HostId AwaitLeader() {
     RunUntil([this] { return !Leader().empty(); });
     return Leader();
   }
 
-  // Runs the loop until the condition holds; throws when it does not in a time
-  // far above what any test needs.
+  // Runs the loop until the condition holds. Throws after 30 s, far more than
+  // any test needs.
   void RunUntil(const std::function<bool()>& condition) {
     bool late = false;
     loop::Timer guard(m_loop, [&] {
@@ -82,13 +82,13 @@
     });
     guard.ArmIn(30s);
     while (!condition()) {
-      if (late) throw std::runtime_error("the group does not get there");
+      if (late) throw std::runtime_error("condition not reached within 30 s");
       ev_run(m_loop.Raw(), EVRUN_ONCE);
     }
   }
 
-  // Proposes at the leader, again and again as a caller does, until the
-  // commands are accepted.
+  // Proposes to the leader, retrying as a caller does, until the commands are
+  // accepted.
   std::vector<wire::CommandAnswerT> Accept(
       const std::vector<wire::CommandT>& commands) {
     std::vector<wire::CommandAnswerT> accepted;
@@ -104,7 +104,7 @@
     return accepted;
   }
 
-  // Has a plan with these changes confirmed.
+  // Proposes and confirms a plan with these changes.
   wire::CommandAnswerT AcceptPlan(std::vector<wire::ChangeT> changes) {
     RunUntil([this] { return !Leader().empty(); });
     const uint64_t base =
@@ -117,7 +117,7 @@
     return Accept(commands).back();
   }
 
-  // Whether all running replicas hold this configuration version.
+  // Whether all running replicas hold at least this configuration version.
   bool AllHave(uint64_t version) const {
     for (const auto& [name, host] : m_hosts) {
       const bool has =
--- a/src/dotterelshift/app/replica_pump.h
+++ b/src/dotterelshift/app/replica_pump.h
@@ -1,8 +1,8 @@
 #ifndef DOTTERELSHIFT_APP_REPLICA_PUMP_H_
 #define DOTTERELSHIFT_APP_REPLICA_PUMP_H_
 
-// One turn of a replica: proposals in, messages out, files written, entries
-// applied.
+// One iteration of a replica: takes proposals, sends messages, writes the log
+// and applies entries.
 
 #include <algorithm>  // for max, move
 #include <iterator>   // for back_inserter
@@ -11,18 +11,18 @@
 
 namespace dotterelshift::app {
 
-// A batch is applied in one go, and there is one sync for all batches of a
-// turn: small ones cost little and keep a turn of the loop short.
+// A batch is applied without interruption, and all batches of an iteration
+// share one sync: small batches cost little and keep loop iterations short.
 inline constexpr size_t kMostCommandsInBatch = 64;
 
-// How long committed entries are applied in one turn of the loop: well below a
-// heartbeat, so that the group hears of a replica that has much to apply.
+// Time for applying committed entries in one loop iteration: well below the
+// heartbeat interval, so that a replica with a long backlog still sends and
+// answers messages.
 inline constexpr Duration kMostApplying = 40ms;
 
-// Work in one turn of the loop that is worth a line.
+// Apply time in one loop iteration from which it is logged.
 inline constexpr Duration kLongWork = 100ms;
 
-// Whether there is nothing to do.
 inline bool IsEmpty(const replication::Ready& ready) {
   return !ready.HasWrites() && ready.messages.empty() &&
          ready.committed.empty() && ready.reads_confirmed.empty() &&
@@ -53,7 +53,7 @@
     return OnSpoolAnswers(copies);
   }
   const ReplicaId sender = replication::SenderOf(frame);
-  // A replica that cannot write must not help to commit.
+  // A replica that cannot write must not acknowledge entries.
   if (sender == 0 || m_trouble != ErrorKind::kNone) return;
   m_hosts[sender] = from.run.host;
   if (m_membership_repair)
@@ -66,8 +66,8 @@
   SchedulePump();
 }
 
-// The pump runs in the next turn of the loop, so that the frames and proposals
-// of one turn are written together.
+// Runs the pump in the next loop iteration, so that the frames and proposals of
+// one iteration are written together.
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::SchedulePump() {
   if (std::exchange(m_pump_scheduled, true)) return;
@@ -89,8 +89,9 @@
 
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::PumpOnce() {
-  // The timer is armed anew at the end of each turn, behind the next one: under
-  // steady work it alone would never come, and no heartbeat would go out.
+  // The node timer is rearmed at the end of each iteration, behind the next
+  // pump. Under steady load it would never fire, and no heartbeat would be
+  // sent.
   m_node->OnTimer(m_loop.Now());
   if (m_unwritten) FinishWrite();
   FlushProposals();
@@ -107,8 +108,8 @@
     if (ready.leadership_changed) OnLeadershipChanged();
     if (!ready.HasWrites()) continue;
     m_unwritten = std::move(ready);
-    // The messages leave at the end of this turn; the file is written in the
-    // next one, while they are under way.
+    // The messages leave at the end of this iteration. The log is written in
+    // the next one, while they are in transit.
     if (messages) return SchedulePump();
     FinishWrite();
   }
@@ -139,7 +140,7 @@
 
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::ProposeMemberChange() {
-  // Changes that its log asks for may have been made later in it.
+  // A later entry of the log may already have made the requested change.
   if (!HasCaughtUp()) return;
   const std::optional<MemberChange> change = m_member_changes.Next();
   if (change)
@@ -179,10 +180,9 @@
                            ready.reads_confirmed.end());
 }
 
-// Applies what is queued, and no more once the turn's time is over: a replica
-// that stood still for all that it found in its log at a start would hear no
-// vote and send no heartbeat meanwhile, and a new leader would lose its lease
-// over it.
+// Applies queued entries until `until`. A replica that applied its whole log at
+// the start without a break would meanwhile receive no votes and send no
+// heartbeats, and a new leader would lose its lease.
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::ApplySome(Instant until) {
   const Instant start = m_loop.Now();
@@ -246,7 +246,7 @@
   SendSpool();
 }
 
-// Told at an election, and again once the new leader may act on its state.
+// Called at an election, and again once the new leader may act on its state.
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::TellLeadership() {
   if (m_callbacks.on_leadership_changed) m_callbacks.on_leadership_changed();
@@ -269,8 +269,9 @@
     m_node_timer.Cancel();
 }
 
-// A full disk may be emptied: the write is tried again, and until then the
-// replica is silent, so that another one leads. Any other trouble lasts.
+// A full disk may get free space, so the write is retried. Until then the
+// replica stays silent, so that another one leads. Other storage errors last
+// until a restart.
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::OnTrouble(const Error& error) {
   m_trouble = error.Kind();
--- a/src/dotterelshift/app/replica_simulation.h
+++ b/src/dotterelshift/app/replica_simulation.h
@@ -1,8 +1,8 @@
 #ifndef DOTTERELSHIFT_APP_REPLICA_SIMULATION_H_
 #define DOTTERELSHIFT_APP_REPLICA_SIMULATION_H_
 
-// Control replicas on one simulated clock, where reading, writing and carrying
-// out commands take time; for tests only.
+// Control replicas on one simulated clock, where reading, writing and applying
+// commands take simulated time; for tests only.
 
 #include <algorithm>  // for any_of, min
 #include <cstdint>    // for uint64_t
@@ -22,24 +22,24 @@
 
 namespace dotterelshift::app {
 
-// How long work takes on a host.
+// Simulated durations of a host's operations.
 struct WorkCosts {
   Duration sync = 5ms;     // one write of the log
   Duration frame = 200us;  // one frame from another replica
-  Duration command{};      // carrying out one command
-  Duration open_entry{};   // reading one entry of the log at a start
-  Duration snapshot{};     // making or reading one
+  Duration command{};      // applying one command
+  Duration open_entry{};   // reading one log entry at the start
+  Duration snapshot{};     // creating or reading one
   Duration sent_kib{};     // sending a KiB of the log to another replica
 };
 
-// What a host's data folder holds.
+// The contents of a host's data folder.
 struct SimulatedDisk {
   replication::RestoredLog log;
   std::string snapshot;
   std::vector<std::string> spool;
 };
 
-// A host's loop, with what its work costs and where it writes.
+// The event loop of a host, with its operation costs and its disk.
 class HostLoop : public SimulatedLoop {
  public:
   HostLoop(SimulatedTime& time, const WorkCosts& costs, SimulatedDisk& disk)
@@ -52,7 +52,7 @@
   SimulatedDisk& m_disk;
 };
 
-// The folder of a simulated host: what is written is there at once.
+// The log store of a simulated host. Writes are durable immediately.
 class SimulatedStore : public storage::LogStore {
  public:
   explicit SimulatedStore(HostLoop& loop) : m_loop(loop) {}
@@ -92,11 +92,11 @@
   HostLoop& m_loop;
 };
 
-// The replica that CountingState's one plan adds.
+// The replica that the single plan of CountingState adds.
 inline constexpr ReplicaId kNewcomer = 1000;
 
-// A state that only counts the commands that it was given. Each costs time, and
-// so do snapshots. It knows one plan, which adds a replica.
+// A state that only counts the applied commands. Commands and snapshots take
+// simulated time. It has a single plan, which adds a replica.
 class CountingState : public state::State {
  public:
   explicit CountingState(HostLoop& loop) : m_loop(loop) {
@@ -175,7 +175,7 @@
   wire::PlanT m_plan;
 };
 
-// What simulated replicas run on.
+// The runtime of simulated replicas.
 struct SimulatedRuntime {
   using Loop = HostLoop;
   using Timer = SimulatedTimer;
@@ -197,8 +197,8 @@
   }
 };
 
-// Hosts "control-1" and so on, each with a replica of one group that heals
-// itself. Frames between them take a millisecond and keep their order.
+// Hosts "control-1" and so on, each with a replica of one self-healing group.
+// Frames between them take 1 ms and arrive in order.
 class ReplicaSimulation {
  public:
   ReplicaSimulation(size_t hosts, const WorkCosts& costs) : m_costs(costs) {
@@ -220,8 +220,8 @@
           replication::MakeInitialLog(host.disk.log.self, m_members);
   }
 
-  // Writes this many committed commands into every folder, in entries of at
-  // least this many bytes.
+  // Appends `commands` commands to every log, each in an entry of at least
+  // `entry_bytes` bytes.
   void FillLogs(uint64_t commands, size_t entry_bytes = 0) {
     for (uint64_t i = 0; i < commands; ++i) {
       wire::PublishRoutesT routes;
@@ -231,13 +231,13 @@
       AppendToLogs(BatchOf(std::move(command)), wire::LogEntryKind::Batch);
     }
   }
-  // Writes the confirmation of the plan into every folder.
+  // Appends the confirmation of the plan to every log.
   void LogConfirmedPlan() {
     wire::CommandT command;
     command.body.Set(state::ConfirmOf("plan"));
     AppendToLogs(BatchOf(std::move(command)), wire::LogEntryKind::Batch);
   }
-  // Writes into every folder that the newcomer was taken in and out again.
+  // Appends to every log that the plan's replica was added and removed again.
   void LogNewcomerCameAndWent() {
     wire::ReplicaT newcomer;
     newcomer.id = kNewcomer;
@@ -261,7 +261,7 @@
   void StartAll() {
     for (const auto& [name, host] : m_hosts) Start(name);
   }
-  // Ends a replica without any farewell; its folder stays.
+  // Stops a replica without a shutdown; its folder stays.
   void Kill(const HostId& name) {
     Host& host = m_hosts.at(name);
     host.replica.reset();
@@ -270,14 +270,14 @@
   void KillAll() {
     for (const auto& [name, host] : m_hosts) Kill(name);
   }
-  // Loses the folder of a host that is not running.
+  // Clears the folder of a host that is not running.
   void Wipe(const HostId& name) {
     SimulatedDisk& disk = m_hosts.at(name).disk;
     disk = {};
     disk.log.self = ++m_last_replica;
   }
 
-  // Goes on until the condition holds; false when it does not within `limit`.
+  // Runs until the condition holds; false if it does not within `limit`.
   template <typename Condition>
   bool RunUntil(Condition condition, Duration limit) {
     const Instant end = m_time.Now() + limit;
@@ -290,8 +290,8 @@
     RunUntil([] { return false; }, time);
   }
 
-  // How long it takes until a read is confirmed by any replica; callers ask
-  // all of them again and again. Empty: not within `limit`.
+  // Time until any replica confirms a read; all replicas are asked repeatedly.
+  // Empty: not within `limit`.
   std::optional<Duration> TimeToRead(Duration limit) {
     const Instant start = m_time.Now();
     const auto done = std::make_shared<bool>(false);
@@ -300,7 +300,8 @@
     return m_time.Now() - start;
   }
 
-  // Has the leader accept this many commands, some at a time.
+  // Proposes commands to the leader in small groups until all are accepted;
+  // false if they are not within `limit`.
   bool Accept(uint64_t commands, Duration limit) {
     const Instant end = m_time.Now() + limit;
     while (commands > 0) {
@@ -311,15 +312,15 @@
     return true;
   }
 
-  // The same with all of them proposed at one moment.
+  // Like Accept(), with all commands proposed at once.
   bool AcceptAtOnce(uint64_t commands, Duration limit) {
     const auto accepted = std::make_shared<uint64_t>(0);
     for (uint64_t i = 0; i < commands; ++i) ProposeUntilAccepted(accepted);
     return RunUntil([&] { return *accepted == commands; }, limit);
   }
 
-  // The same with one proposed after the other, whether or not those before it
-  // are accepted.
+  // Like Accept(), with one command proposed every `gap`, whether or not the
+  // previous ones are accepted.
   bool AcceptEach(Duration gap, uint64_t commands, Duration limit) {
     const auto accepted = std::make_shared<uint64_t>(0);
     for (uint64_t i = 0; i < commands; ++i)
@@ -328,7 +329,7 @@
     return RunUntil([&] { return *accepted == commands; }, limit);
   }
 
-  // Whether any replica has the newcomer among its members.
+  // Whether any replica has the plan's replica among its members.
   bool NewcomerIsMember() const {
     return std::ranges::any_of(m_hosts, [](const auto& entry) {
       const auto& replica = entry.second.replica;
@@ -343,15 +344,15 @@
     return "";
   }
   ControlReplica& Find(const HostId& name) { return *m_hosts.at(name).replica; }
-  // How many commands this replica's state has been given.
+  // Number of commands applied to this replica's state.
   uint64_t CommandsAt(const HostId& name) {
     return dynamic_cast<const CountingState&>(Find(name).GetState()).Commands();
   }
-  // How often a replica became leader up to now.
+  // Number of terms in which a replica has led.
   uint64_t Elections() const { return m_terms_led.size(); }
-  // How often a replica was told of its leadership while it could act on it.
+  // Number of leadership callbacks of replicas that could act as leader.
   uint64_t TimesToldToLead() const { return m_told_to_lead; }
-  // Hellos sent between replicas up to now.
+  // Number of hellos sent between running replicas.
   uint64_t Hellos() const { return m_hellos; }
   ControlReplicaOptions& Options() { return m_options; }
   SimulatedTime& Time() { return m_time; }
@@ -464,7 +465,7 @@
   wire::MembershipT m_members;
   std::map<HostId, Host> m_hosts;
   ReplicaId m_last_replica = 0;
-  std::mt19937_64 m_seeds;  // of the replicas' starts
+  std::mt19937_64 m_seeds;  // one for each start of a replica
   std::set<uint64_t> m_terms_led;
   uint64_t m_told_to_lead = 0;
   uint64_t m_hellos = 0;
--- a/src/dotterelshift/app/replica_snapshot.h
+++ b/src/dotterelshift/app/replica_snapshot.h
@@ -1,7 +1,7 @@
 #ifndef DOTTERELSHIFT_APP_REPLICA_SNAPSHOT_H_
 #define DOTTERELSHIFT_APP_REPLICA_SNAPSHOT_H_
 
-// When a replica makes a snapshot, and how it takes one over.
+// How a replica creates and installs snapshots.
 
 #include <algorithm>  // for min
 
@@ -13,7 +13,7 @@
 void Replica<Runtime>::InstallSnapshot(const replication::SnapshotMeta& meta,
                                        const std::string& bytes) {
   const Instant start = m_loop.Now();
-  m_unapplied.clear();  // the snapshot covers it
+  m_unapplied.clear();  // covered by the snapshot
   m_state->Restore(m_member_changes.TakeFrom(bytes));
   m_member_changes.OnMembers(meta.membership);
   m_applied = meta;
--- a/src/dotterelshift/app/replica_spool.h
+++ b/src/dotterelshift/app/replica_spool.h
@@ -1,7 +1,7 @@
 #ifndef DOTTERELSHIFT_APP_REPLICA_SPOOL_H_
 #define DOTTERELSHIFT_APP_REPLICA_SPOOL_H_
 
-// Commands that a replica keeps for entries that do not reach the leader.
+// Commands that a replica stores for entries that cannot reach the leader.
 
 #include "dotterelshift/app/replica.h"  // for Replica
 
--- a/src/dotterelshift/app/replica_start.h
+++ b/src/dotterelshift/app/replica_start.h
@@ -1,15 +1,17 @@
 #ifndef DOTTERELSHIFT_APP_REPLICA_START_H_
 #define DOTTERELSHIFT_APP_REPLICA_START_H_
 
-// How a replica starts, finds its group and keeps its members.
+// Start of a replica, group discovery and membership repair.
 
 #include "dotterelshift/app/replica.h"  // for Replica
 
 namespace dotterelshift::app {
 
-// How often a new group is attempted, a waiting replica says hello, and a spool
-// is proposed again.
+// Interval of attempts to bootstrap a group and of hellos from a waiting
+// replica.
 inline constexpr Duration kHousekeepingInterval = 200ms;
+// Housekeeping ticks between proposals of the spool, retries after a full disk
+// and membership repairs.
 inline constexpr int kTicksBetweenRetries = 5;
 
 template <ReplicaRuntime Runtime>
@@ -52,7 +54,8 @@
       m_options.self, m_self, m_options.first_members, m_options.self_healing});
 }
 
-// What a start found, so that it can be told from a later wait for the group.
+// Logs what the start found, so that the time to open the store can be
+// distinguished from a later wait for the group.
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::LogOpened(Instant start) const {
   telemetry::Log(
@@ -85,8 +88,9 @@
     RepairMembership();
 }
 
-// The leader heals the group; a replica that hears none says so to all control
-// hosts, because it may have been replaced while it was away.
+// The leader repairs the membership. A replica that knows no leader sends
+// hellos to all control hosts, because it may have been replaced while it was
+// away.
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::RepairMembership() {
   const Instant now = m_loop.Now();
