--- a/src/dotterelshift/app/control.cc
+++ b/src/dotterelshift/app/control.cc
@@ -26,9 +26,9 @@
 namespace {
 
 constexpr Duration kTick = 100ms;
-// How often the leader lets old bills and claims age out.
+// How often the leader proposes to compact old bills and claims.
 constexpr Duration kAgeOutEvery = 60s;
-// Within the longest delivery that the order core waits out.
+// Below the longest delivery time that the order core allows for.
 constexpr Duration kOrderTimeout = 8s;
 
 std::vector<HostId> FirstMembers(const settings::Settings& settings) {
@@ -41,13 +41,14 @@
   return own ? members : std::vector<HostId>{};
 }
 
-// A leader's lease ends before any replica may stand for election.
+// A leader's lease ends before any replica may start an election.
 Duration LeaseOf(Duration election_timeout) {
   constexpr int kParts = 6;
   return election_timeout / kParts * (kParts - 1);
 }
 
-// Under published routes entries only listen, so control tells each of them.
+// With published routes the entries only receive gossip, so control sends to
+// each of them.
 directory::SpreadOptions SpreadOptionsOf(const settings::Settings& settings) {
   constexpr size_t kAll = 1000;
   directory::SpreadOptions options;
@@ -56,8 +57,8 @@
   return options;
 }
 
-// The control role: one replica of the state, the entries that propose to it,
-// and the operators.
+// The control role: runs one replica of the state and serves the entries that
+// propose to it and the operators.
 class Control : public Daemon {
  public:
   Control(loop::Loop& loop, const settings::Settings& settings,
@@ -293,8 +294,8 @@
                         const wire::ProposeT& propose) {
   std::vector<wire::CommandT> commands;
   for (const auto& command : propose.commands) {
-    // An entry speaks only for its own run; a replica also for the entries
-    // whose spools it keeps.
+    // An entry may propose only for its own incarnation; a replica also for the
+    // entries whose commands it has spooled.
     const bool own = command != nullptr && command->id != nullptr &&
                      (peer.role == wire::HostRole::Control ||
                       (command->id->host == peer.run.host &&
@@ -337,8 +338,8 @@
           SchedulePushes();
           return m_pushes->AnswerBeat(host, sequence, m_loop.WallNow());
         }
-        // An entry that has just started knows the seeds alone, and none of
-        // them may lead.
+        // An entry that has just started knows only the seeds, and possibly
+        // none of them leads.
         SendHint(host);
       });
 }
@@ -347,7 +348,7 @@
   try {
     m_replica->Spool(spool);
   } catch (const Error& error) {
-    // Not stored, so not acknowledged: the entry tries another replica.
+    // Not stored, so not acknowledged: the entry sends it again.
     telemetry::Log(telemetry::LogLevel::kError, "spool_not_stored",
                    {{"detail", error.what()}});
     return;
@@ -362,7 +363,7 @@
 
 void Control::OnApplied(const wire::CommandBatchT& batch,
                         const std::vector<wire::CommandAnswerT>& answers) {
-  // While the folder is read at the start there is nobody to tell.
+  // While the log is restored at the start no entry is connected.
   if (m_replica == nullptr || !m_replica->Leads()) return;
   bool suspects = false;
   for (size_t i = 0; i < answers.size(); ++i) {
@@ -377,7 +378,8 @@
   if (suspects) m_pushes->PushQuarantineToAll(m_loop.WallNow());
 }
 
-// Asks holders for what is idle when a request got less than it needs.
+// Recalls idle tokens from other holders if a request was granted less than its
+// minimum.
 void Control::RecallFor(const wire::CommandIdT& asker,
                         const wire::RequestGrantT& request,
                         const wire::GrantAnswerT& answer) {
@@ -407,7 +409,7 @@
       record.detail = action.detail;
       wire::CommandT command;
       command.body.Set(std::move(record));
-      // What is not committed is decided and recorded again.
+      // If the record is not committed, the order core decides again.
       m_backend->Propose(std::move(command),
                          [](ErrorKind, const wire::CommandAnswerT&) {});
     }
@@ -424,8 +426,9 @@
       });
 }
 
-// In a turn of its own, so that what a turn has applied is pushed once, and the
-// group is served between the pushes to a large fleet.
+// Pushes in a separate loop iteration, so that all changes applied in one
+// iteration are pushed once, and frames of the group are handled between the
+// pushes to a large fleet.
 void Control::SchedulePushes() {
   if (std::exchange(m_pushes_scheduled, true)) return;
   m_push.ArmIn(0ms);
@@ -440,7 +443,7 @@
 void Control::OnTick() {
   const Instant now = m_loop.Now();
   SendOrders();
-  // What waited for an entry's connection to empty.
+  // Retries pushes that were held back by an entry's backlog.
   SchedulePushes();
   if (m_replica->Leads() && now >= m_next_age_out) {
     m_next_age_out = now + kAgeOutEvery;
@@ -460,7 +463,7 @@
   return id;
 }
 
-// A hub address that another daemon named; one that is none is passed over.
+// Dials a hub address received from another daemon; ignores invalid ones.
 void Control::DialMember(const std::string& address) {
   if (ParseAddress(address)) m_hub->Dial(address);
 }
--- a/src/dotterelshift/app/control_link.cc
+++ b/src/dotterelshift/app/control_link.cc
@@ -82,7 +82,7 @@
   m_knows_wanted_version = true;
   m_beats_sent.erase(m_beats_sent.begin(), sent);
   if (m_leader == from) return;
-  // A new leader may not have what was on its way to the old one.
+  // Commands in transit to the old leader may not have reached the new one.
   m_leader = from;
   m_unsent.clear();
   for (auto& [sequence, waiting] : m_unanswered) {
@@ -109,7 +109,8 @@
 void ControlLink::OnConfiguration(const wire::ConfigurationPushT& push) {
   const bool whole = push.from_version == 0;
   if (push.to_version <= m_configuration.Version()) return;
-  // A gap: the next beat tells the leader our version, and it sends the rest.
+  // A gap: the next heartbeat reports our version, and the leader sends the
+  // rest.
   if (!whole && push.from_version != m_configuration.Version()) return;
   std::vector<wire::ChangeT> changes;
   for (const auto& change : push.changes) {
@@ -119,8 +120,8 @@
   m_configuration.Apply(changes, push.to_version);
 }
 
-// Versions only rise: a leader that was cut off may send an older one late.
-// What does not lead on is asked for whole, at once.
+// Versions never decrease: a leader that was partitioned may send an older one
+// late. If a delta does not apply, the full document is requested at once.
 void ControlLink::OnRoutes(const wire::RoutesPushT& push, Instant now) {
   for (const auto& step : push.steps) {
     if (step == nullptr || step->version <= m_routes_version) continue;
@@ -201,7 +202,7 @@
   m_unsent_spools.push_back(sequence);
 }
 
-// Without a leader nothing is marked: the next one is sent all there is.
+// Without a leader no command is marked: the next leader is sent all of them.
 void ControlLink::MarkOverdue(Instant now) {
   if (!m_leader.empty()) MarkOverdueOf(m_unanswered, &m_unsent, now);
   MarkOverdueOf(m_spooling, &m_unsent_spools, now);
@@ -214,15 +215,15 @@
     const bool overdue =
         waiting.sent != Instant{} && now - waiting.sent >= waiting.timeout;
     if (!overdue) continue;
-    // Not marked once more before it has left.
+    // Not marked again until it has been sent.
     waiting.sent = {};
     waiting.timeout = std::min(waiting.timeout * 2, m_options.resend_most);
     unsent->push_back(sequence);
   }
 }
 
-// What a replica keeps in its spool comes to the leader later, under its first
-// id: once anything went there, all answers are kept.
+// A spooled command reaches the leader later under its original id, so no
+// answer is reported as received once any command has been spooled.
 uint64_t ControlLink::AnsweredBelow() const {
   const bool known =
       m_options.names_answered && !m_has_spooled && !m_unanswered.empty();
--- a/src/dotterelshift/app/control_replica.cc
+++ b/src/dotterelshift/app/control_replica.cc
@@ -5,7 +5,7 @@
 namespace dotterelshift::app {
 namespace {
 
-// The daemon's own loop, folder and state.
+// Uses the daemon's event loop, log store and state.
 struct LiveRuntime {
   using Loop = loop::Loop;
   using Timer = loop::Timer;
--- a/src/dotterelshift/app/entry_pushes.cc
+++ b/src/dotterelshift/app/entry_pushes.cc
@@ -13,31 +13,33 @@
 namespace dotterelshift::app {
 namespace {
 
-// Up to so many entries all know each other. In a larger fleet each knows those
-// of its data centre: at 86 entries on links of 10 Mbit/s, load notes to all of
-// them were two thirds of the bytes between data centres.
+// Up to this many entries, each is sent the addresses of all others. In a
+// larger fleet each is sent those of its data centre: with 86 entries on links
+// of 10 Mbit/s, load updates to all of them were two thirds of the bytes
+// between data centres.
 constexpr size_t kFullMesh = 16;
 
-// Nothing is pushed to an entry whose connection has more than this to send: a
-// version that waits here is replaced by the next one, one in the connection is
-// not. It keeps a storm of changes to a fleet on slow links from being held in
-// memory once for each entry and version; one document for each entry remains.
+// Nothing is pushed to an entry whose connection has a larger backlog: a
+// version that waits here is replaced by the next one, a version in the
+// connection's buffer is not. Otherwise frequent changes on slow links would be
+// buffered once for each entry and version. At most one document for each entry
+// is buffered.
 constexpr size_t kMostBacklogBytes = 64 << 10;
 
-// Bytes that one turn of the loop pushes. A document for each entry of a large
-// fleet in one turn kept a leader silent for longer than its lease bears.
+// Bytes pushed in one loop iteration. Sending a document to each entry of a
+// large fleet in one iteration kept a leader silent for longer than its lease.
 constexpr size_t kMostBytesInTurn = 256 << 10;
 
-// What one change of the configuration takes, about.
+// Approximate size of one configuration change.
 constexpr size_t kBytesOfChange = 128;
 
-// What any frame costs beside its bytes, as the bytes that take as long.
+// Fixed cost of a frame, as the number of bytes that take as long to send.
 constexpr size_t kBytesOfFrame = 4 << 10;
 
-// For so long an entry that names an older version than the one that was sent
-// to it is taken to have not read that far. Sent again at each beat, the
-// documents of a fleet that starts at once would pile up behind each other
-// faster than they leave.
+// For this long after a push, an entry that still reports an older version is
+// assumed not to have received it yet. If documents were resent at each
+// heartbeat while a whole fleet starts, they would queue faster than they are
+// sent.
 constexpr Duration kPushPatience = 5s;
 
 }  // namespace
@@ -45,7 +47,7 @@
 std::vector<std::string> ReplicaAddresses(const replication::Node& node) {
   std::vector<std::string> addresses;
   for (const auto& member : node.Members().replicas) {
-    // Where hosts are named by their address, no other is kept.
+    // Hosts named by their address have no separate address.
     const std::string& address =
         member->address.empty() ? member->host : member->address;
     if (ParseAddress(address)) addresses.push_back(address);
@@ -116,7 +118,7 @@
   if (version != m_spread.version) m_spread = {version, now, m_sent, false};
 }
 
-// Once each version has been sent to all entries, or a newer one has.
+// Logs each version once it, or a newer one, has been sent to all entries.
 void EntryPushes::LogSpread(Instant now) {
   const auto is_behind = [this](const auto& entry) {
     return entry.second.routes.version < m_spread.version;
@@ -161,9 +163,9 @@
   return changes.size() * kBytesOfChange;
 }
 
-// A change costs what it changes: an entry that holds one of the newest
-// versions is told the steps from there. Whole documents to a large fleet took
-// longer to send than changes may take to be in force.
+// An entry that holds one of the newest versions is sent the deltas from there.
+// Sending full documents to a large fleet took longer than a change may take to
+// be in force.
 size_t EntryPushes::PushRoutes(Entry& entry, Instant now) {
   const state::State& state = m_replica.GetState();
   const state::PublishedRoutes published = state.GetPublished();
--- a/src/dotterelshift/app/member_changes.cc
+++ b/src/dotterelshift/app/member_changes.cc
@@ -11,7 +11,7 @@
 
 using replication::FindMember;
 
-// The change of members in a plan's change, if it is one.
+// The membership change in a plan's change; empty if it is of another kind.
 std::optional<MemberChange> AsMemberChange(const wire::ChangeT& change) {
   MemberChange wanted;
   if (const wire::AddReplicaT* add = change.body.AsAddReplica()) {
@@ -61,7 +61,7 @@
   return m_wanted.front();
 }
 
-// The layout: the state, the wanted changes as a plan, the length of these.
+// Layout: the state, the pending changes as a plan, the plan's length.
 void MemberChanges::AppendTo(std::string& snapshot) const {
   wire::PlanT plan;
   for (const MemberChange& change : m_wanted) {
@@ -96,13 +96,15 @@
     snapshot.remove_suffix(sizeof(length));
   }
   if (!has_length || length > snapshot.size())
-    throw Error(ErrorKind::kStorageDamaged, "a snapshot is too short");
-  // Copied so that it is aligned.
+    throw Error(ErrorKind::kStorageDamaged,
+                "snapshot is too short for its list of membership changes");
+  // Copied for alignment.
   const std::string tail(snapshot.substr(snapshot.size() - length));
   flatbuffers::Verifier verifier(reinterpret_cast<const uint8_t*>(tail.data()),
                                  tail.size());
   if (!verifier.VerifyBuffer<wire::Plan>(nullptr))
-    throw Error(ErrorKind::kStorageDamaged, "a snapshot's end cannot be read");
+    throw Error(ErrorKind::kStorageDamaged,
+                "snapshot has an invalid list of membership changes");
   wire::PlanT plan;
   flatbuffers::GetRoot<wire::Plan>(tail.data())->UnPackTo(&plan);
   m_wanted.clear();
--- a/src/dotterelshift/app/operator_backend.cc
+++ b/src/dotterelshift/app/operator_backend.cc
@@ -6,7 +6,7 @@
 namespace dotterelshift::app {
 namespace {
 
-// HTTP address of a peer by its host; empty when it is not connected.
+// The HTTP address of the peer on a host; empty if it is not connected.
 std::string HttpAddressOf(const peers::Hub& hub, const HostId& host) {
   for (const peers::PeerInfo& peer : hub.Peers()) {
     if (peer.run.host == host) return peer.http_address;
--- a/src/dotterelshift/app/proposals.cc
+++ b/src/dotterelshift/app/proposals.cc
@@ -30,7 +30,8 @@
   flatbuffers::Verifier verifier(bytes.data(), bytes.size(), kMaxDepth,
                                  kMaxTables);
   if (bytes.empty() || !verifier.VerifyBuffer<wire::CommandBatch>(nullptr))
-    throw Error(ErrorKind::kStorageDamaged, "a batch cannot be read");
+    throw Error(ErrorKind::kStorageDamaged,
+                "log entry is not a valid command batch");
   wire::CommandBatchT batch;
   flatbuffers::GetRoot<wire::CommandBatch>(bytes.data())->UnPackTo(&batch);
   return batch;
@@ -96,7 +97,7 @@
 }
 
 void Proposals::FailAll(ErrorKind error) {
-  // The callers may propose again from within.
+  // The callbacks may propose again.
   const auto waiting = std::exchange(m_waiting, {});
   const auto pending = std::exchange(m_pending, {});
   for (const auto& [index, entry] : pending) FailBatch(entry.batch, error);
