--- a/src/dotterelshift/app/control_link_test.cc
+++ b/src/dotterelshift/app/control_link_test.cc
@@ -11,7 +11,7 @@
 using peers::MakeFrame;
 using serving::ControlReach;
 
-// A link with a clock moved by hand and two control hosts, c1 and c2.
+// A link with a manual clock and two control hosts, c1 and c2.
 class ControlLinkTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ControlLinkTest);
   CPPUNIT_TEST(ReadyOnlyWithTheCurrentConfiguration);
@@ -47,7 +47,7 @@
     CPPUNIT_ASSERT(m_link->Reach() == ControlReach::kConnected);
   }
 
-  // None of the replicas that an entry was told of may lead.
+  // An entry that has just started may know no replica that leads.
   void FollowersNameTheGroupToAnEntryThatHasStarted() {
     wire::LeaderHintT hint;
     hint.control = {"10.0.0.1:7", "10.0.0.9:7"};
@@ -73,7 +73,8 @@
     CPPUNIT_ASSERT(m_link->Reach() == ControlReach::kConnected);
   }
 
-  // From leaders that know of different versions; what is held is passed over.
+  // Leaders may assume different held versions; deltas already applied are
+  // skipped.
   void StepsLeadFromTheVersionHeld() {
     TakeRoutes({{0, 5}});
     CPPUNIT_ASSERT_EQUAL(std::string("5"), m_link->RoutesDocument());
@@ -92,7 +93,7 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{5}, m_link->RoutesVersion());
     CPPUNIT_ASSERT(m_link->NextTimer() == m_now);
     CPPUNIT_ASSERT(AsksForRoutes("c1"));
-    // Told against another document under the same version: not taken either.
+    // A delta against another document of the same version is rejected too.
     wire::RoutesPushT push;
     push.steps.push_back(StepOf(5, 8, "not 5"));
     m_link->OnFrame("c1", MakeFrame(std::move(push)), m_now);
@@ -112,7 +113,7 @@
     m_link->Propose(CommandOf(8));
     AnswerBeat("c2", 2, 0);
     CPPUNIT_ASSERT(TakeProposed("c2") == (std::vector<uint64_t>{7, 8}));
-    // Without an answer they are sent again, not sooner than said.
+    // Unanswered commands are sent again, not before the resend timeout.
     m_now += 900ms;
     m_link->OnTimer(m_now);
     CPPUNIT_ASSERT(TakeProposed("c2").empty());
@@ -121,8 +122,8 @@
     CPPUNIT_ASSERT(TakeProposed("c2") == (std::vector<uint64_t>{7, 8}));
   }
 
-  // A leader that has just started leads, and is 10 s behind with the backlog
-  // of a whole fleet.
+  // A leader that has just started may need 10 s to answer the backlog of a
+  // whole fleet; resends must not add to it at a constant rate.
   void ALateLeaderIsSentACommandMoreAndMoreRarely() {
     AnswerBeat("c1", 1, 0);
     m_link->Propose(CommandOf(7));
@@ -134,7 +135,7 @@
     }
     CPPUNIT_ASSERT(sent >= 2);
     CPPUNIT_ASSERT(sent <= 4);
-    // The next leader has not heard of it, and is told at once.
+    // The next leader has not received it, and is sent it at once.
     m_link->OnPeerDown("c1", m_now);
     AnswerBeat("c2", 2, 0);
     CPPUNIT_ASSERT(TakeProposed("c2") == std::vector<uint64_t>{7});
@@ -188,7 +189,7 @@
     m_link->OnFrame("c1", MakeFrame(std::move(answers)), m_now);
     m_link->Propose(CommandOf(10));
     CPPUNIT_ASSERT_EQUAL(uint64_t{8}, AnsweredBelowIn("c1"));
-    // A replica proposes what it spools under the first id.
+    // A replica proposes spooled commands under their original ids.
     m_link->Spool(CommandOf(11));
     m_link->Propose(CommandOf(12));
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, AnsweredBelowIn("c1"));
@@ -261,7 +262,7 @@
     return command;
   }
 
-  // Lets the next beat go out and returns its sequence as the host got it.
+  // Sends the next heartbeat and returns the sequence that the host received.
   uint64_t NextBeat(const HostId& host) {
     m_now = std::max(m_now, m_link->NextTimer());
     m_link->OnTimer(m_now);
@@ -294,7 +295,7 @@
     m_link->OnFrame("c1", MakeFrame(std::move(push)), m_now);
   }
 
-  // The document of a version is its number.
+  // The document of each version is its number.
   static std::unique_ptr<wire::RoutesStepT> StepOf(
       uint64_t base, uint64_t version, const std::string& base_document) {
     auto step = std::make_unique<wire::RoutesStepT>();
@@ -304,7 +305,7 @@
     return step;
   }
 
-  // The link is sent steps, each from a version to another.
+  // Sends deltas to the link, each from one version to another.
   void TakeRoutes(const std::vector<std::pair<uint64_t, uint64_t>>& steps) {
     wire::RoutesPushT push;
     for (const auto& [base, version] : steps)
--- a/src/dotterelshift/app/control_replica_test.cc
+++ b/src/dotterelshift/app/control_replica_test.cc
@@ -62,9 +62,9 @@
     }
   }
 
-  // Between two terms nobody leads; what looks at the leader then has to wait
-  // for the next one. A test that did not ended in a null pointer on a busy
-  // machine.
+  // Between two terms there is no leader, so tests that use the leader must
+  // wait for the next one. On a busy machine a test that did not wait
+  // dereferenced a null pointer.
   void WithoutALeaderTheNextOneIsAwaited() {
     ReplicaGroup group({"a", "b", "c"});
     StartThree(group);
@@ -129,7 +129,7 @@
     });
     CPPUNIT_ASSERT(FindMember(Members(group), old) == nullptr);
     group.RunUntil([&] { return group.AllHave(2); });
-    // A second loss right after the repair loses nothing.
+    // A second loss right after the repair loses no data.
     group.Wipe(leader);
     group.AcceptPlan(ATeam("after"));
     CPPUNIT_ASSERT(group.Find(group.AwaitLeader())
@@ -138,8 +138,8 @@
                        .FindTeam("before") != nullptr);
   }
 
-  // The member that founded the group loses its folder while the rest is down:
-  // it must wait, and the rest must go on as before.
+  // The member that bootstrapped the group loses its folder while the others
+  // are down. It must wait, and the others must continue the group.
   void WipedCoordinatorFoundsNoSecondGroup() {
     ReplicaGroup group({"a", "b", "c"});
     StartThree(group);
@@ -150,7 +150,7 @@
     group.Start("a");
     group.Start("b");
     const ControlReplica* wiped = group.Find("a");
-    // Several rounds of asking the others.
+    // Several rounds of hellos to the others.
     group.RunUntil([&] { return group.FramesFrom("a") >= 10; });
     CPPUNIT_ASSERT(wiped->GetNode().Members().replicas.empty());
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, wiped->GetNode().Term());
@@ -175,7 +175,8 @@
     constexpr uint64_t kPlans = 60;
     for (uint64_t plan = 2; plan <= kPlans; ++plan)
       group.AcceptPlan(ATeam("team-" + std::to_string(plan)));
-    // Restarted replicas have cut their logs, so only a snapshot can help.
+    // Restarted replicas have truncated their logs, so the lagging one needs a
+    // snapshot.
     for (const char* host : {"a", "b", "c"}) group.Kill(host);
     StartThree(group);
     group.RunUntil([&] { return group.AllHave(kPlans); });
@@ -195,7 +196,7 @@
     group.Find(keeper)->Spool(spool);
     group.Kill(keeper);
     group.Start(keeper);
-    // It leads when the others cannot: then it proposes what it kept.
+    // Other leaders are restarted until it leads and proposes its spool.
     group.Cut(keeper, false);
     group.Kill(keeper == "b" ? "c" : "b");
     group.RunUntil([&] {
--- a/src/dotterelshift/app/entry_pushes_test.cc
+++ b/src/dotterelshift/app/entry_pushes_test.cc
@@ -11,7 +11,7 @@
 namespace dotterelshift::app {
 namespace {
 
-// Connections that take nothing until they are told to.
+// Connections that send nothing until their backlog is cleared.
 class MockHub : public peers::Hub {
  public:
   bool Send(const HostId& host, const wire::FrameT& frame) override {
@@ -35,7 +35,7 @@
 
   std::map<HostId, size_t> backlog;
   std::map<HostId, uint64_t> versions;  // of the newest document sent
-  std::map<HostId, uint64_t> bases;     // of the first step sent
+  std::map<HostId, uint64_t> bases;     // of the first delta sent
   size_t most = 0;
   int documents = 0;
 
@@ -56,8 +56,8 @@
   static constexpr size_t kDocumentBytes = 200'000;
   static constexpr int kEntries = 86;
 
-  // A document that no packing makes smaller, and that has nothing of the one
-  // before it.
+  // Commits an incompressible document that shares nothing with the previous
+  // one.
   void Commit(uint64_t version) {
     std::minstd_rand random(static_cast<uint32_t>(version));
     wire::PublishRoutesT routes;
@@ -72,7 +72,7 @@
     Commit(version);
     PushAll();
   }
-  // The next version, told as a step.
+  // Publishes the next version as a delta.
   void PublishStep(uint64_t version) {
     const state::PublishedRoutes in_force = m_replica.state->GetPublished();
     wire::PublishRoutesT routes;
@@ -84,7 +84,7 @@
     PushAll();
   }
 
-  // What the loop does in as many turns as it takes.
+  // Pushes until no entry remains, as the loop does over several iterations.
   void PushAll() {
     while (m_pushes.PushSome(m_now)) {
     }
@@ -108,8 +108,8 @@
     }
   }
 
-  // Entries that know no leader beat ten times a second, and none of them takes
-  // anything for two seconds.
+  // Entries that know no leader send ten heartbeats a second. Each must be sent
+  // one document, although their connections send nothing for two seconds.
   void AFleetThatStartsIsSentOneDocumentEach() {
     Publish(1);
     StartEntries();
@@ -133,8 +133,8 @@
       CPPUNIT_ASSERT_EQUAL(version, sent);
   }
 
-  // A leader that sent each of a large fleet its document in one turn of the
-  // loop lost its lease over it.
+  // A leader that sent a document to each entry of a large fleet in one loop
+  // iteration lost its lease.
   void ATurnPushesToAFewEntries() {
     constexpr size_t kMostBytes = 256 << 10;
     StartEntries();
@@ -149,7 +149,8 @@
     CPPUNIT_ASSERT_EQUAL(size_t{kEntries}, m_hub.versions.size());
   }
 
-  // A document that the entry could not use, or a connection that is new.
+  // An entry that still reports the old version after the push timeout, and an
+  // entry with a new connection, are sent the document again.
   void WhatWasLostIsSentAgain() {
     StartEntries();
     Publish(1);
@@ -168,7 +169,8 @@
     CPPUNIT_ASSERT_EQUAL(kEntries + 2, m_hub.documents);
   }
 
-  // Once: until the whole has come, beats go on asking for it.
+  // The full document is sent once, although heartbeats request it until it has
+  // arrived.
   void AStepThatIsOfNoUseIsFollowedByTheWhole() {
     StartEntries();
     Publish(1);
@@ -183,7 +185,7 @@
   }
 
   Instant m_now{1000s};
-  size_t m_document_bytes = 0;  // of the newest, as it is sent whole
+  size_t m_document_bytes = 0;  // of the newest, packed without a base
   uint64_t m_beats = 0;
   MockHub m_hub;
   MockReplica m_replica;
--- a/src/dotterelshift/app/replica_start_test.cc
+++ b/src/dotterelshift/app/replica_start_test.cc
@@ -9,8 +9,8 @@
 
 constexpr size_t kHosts = 9;
 
-// What work costs with 0.075 of a core, where one simulated command stands for
-// a thousand real ones of 2 microseconds each.
+// Costs of a host with 0.075 of a core. One simulated command stands for a
+// thousand real ones of 2 microseconds each.
 WorkCosts SlowHost() {
   WorkCosts costs;
   costs.command = 27ms;
@@ -19,7 +19,8 @@
   return costs;
 }
 
-// All hosts lose power at the same moment, and two of them their folders.
+// Restarts all hosts after a power loss in which two of them lose their
+// folders.
 void RestartAll(ReplicaSimulation& group) {
   group.KillAll();
   group.Wipe("control-2");
@@ -40,9 +41,9 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Members that hear no leader tell each other so. Each hello that is answered
-  // by another one goes on until there is a leader, and takes the time in which
-  // one could be elected.
+  // Members without a leader send hellos to each other. If each hello were
+  // answered by another one, the exchange would go on until there is a leader
+  // and take the processing time that an election needs.
   void WithoutALeaderHellosDoNotMultiply() {
     constexpr uint64_t kRunning = 4;  // too few for a leader
     constexpr uint64_t kSeconds = 20;
@@ -50,15 +51,15 @@
     for (uint64_t i = 1; i <= kRunning; ++i)
       group.Start("control-" + std::to_string(i));
     group.RunFor(kSeconds * 1s);
-    // Each says hello to each other one once a second; an answer is due only
-    // from one that knows more.
+    // Each sends a hello to every other one once a second; only a replica that
+    // knows more answers.
     constexpr uint64_t kMost = kRunning * (kRunning - 1) * (kSeconds + 1);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(group.Hellos()) + " hellos",
                            group.Hellos() <= kMost);
   }
 
-  // A leader that is silent while it carries out what it found in its folder is
-  // replaced by one that does the same.
+  // A leader that sends no heartbeats while it applies the log from its folder
+  // is replaced by another one that does the same.
   void LeaderStaysWhileItsLogIsCarriedOut() {
     constexpr uint64_t kCommands = 300;  // 8 s of work
     ReplicaSimulation group(kHosts, SlowHost());
@@ -70,7 +71,7 @@
     CPPUNIT_ASSERT_EQUAL(kCommands, group.CommandsAt(group.Leader()));
   }
 
-  // Until then it would tell entries of routes and totals that are out of date.
+  // Before that it would send outdated routes and totals to the entries.
   void ALeaderActsOnceItsLogIsCarriedOut() {
     constexpr uint64_t kCommands = 100;
     ReplicaSimulation group(kHosts, SlowHost());
@@ -83,7 +84,7 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, group.TimesToldToLead());
   }
 
-  // Its log asks for a member that later came and went.
+  // The log requests a member that a later entry adds and another one removes.
   void ALeaderChangesMembersOnceItsLogIsCarriedOut() {
     ReplicaSimulation group(kHosts, SlowHost());
     group.LogConfirmedPlan();
@@ -95,8 +96,9 @@
     CPPUNIT_ASSERT(!group.Leader().empty());
   }
 
-  // Entries that were away send at once what they have kept: one batch of it
-  // all is one turn of the loop, however the log is sliced.
+  // Entries that reconnect send all their pending commands at once. A single
+  // batch of them would be applied in one loop iteration, however the apply
+  // time of log entries is limited.
   void ALeaderStaysWhenManyEntriesReturnAtOnce() {
     constexpr uint64_t kCommands = 1000;
     WorkCosts costs;
@@ -109,8 +111,8 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, group.Elections());
   }
 
-  // A host that has lost its folder is sent the whole log: handed to its
-  // connection in one turn of the loop, that is as long as the log.
+  // A host that has lost its folder is sent the whole log. Sent in one loop
+  // iteration, that would block the leader in proportion to the log's length.
   void ALeaderStaysWhileItSendsItsLogToLostHosts() {
     constexpr uint64_t kCommands = 100;
     constexpr size_t kEntryBytes = 64 << 10;
@@ -125,8 +127,8 @@
     CPPUNIT_ASSERT_EQUAL(kCommands, group.CommandsAt("control-7"));
   }
 
-  // A fleet's reports come without a pause: each turn of the leader ends with
-  // something to write, and begins with it.
+  // A fleet sends reports without a pause, so each loop iteration of the leader
+  // begins and ends with a pending write.
   void ALeaderStaysUnderSteadyWork() {
     constexpr uint64_t kCommands = 2'000;
     for (const Duration gap : {1ms, 2ms, 4ms}) {
@@ -141,7 +143,7 @@
     }
   }
 
-  // Five seconds from the start of all to the first confirmed read.
+  // At most 5 s from the start of all hosts to the first confirmed read.
   void ReadsComeSoonAfterAStartHoweverLongTheGroupRan() {
     for (const uint64_t commands : {10, 100, 1000}) {
       ReplicaSimulation group(kHosts, SlowHost());
