--- a/include/dotterelshift/http/client.h
+++ b/include/dotterelshift/http/client.h
@@ -19,11 +19,11 @@
 
 // Outcome of a transfer.
 enum class TransferEnd {
-  kWhole,          // the response is complete, as its framing says
-  kNotSent,        // the request was not sent
-  kCutBeforeHead,  // request sent in part or whole, no head received
-  kCut,            // the response ended early, after its head
-  kTimedOut,       // total_timeout expired
+  kWhole,             // the response is complete, as its framing says
+  kNotSent,           // the request was not sent
+  kFailedBeforeHead,  // request sent in part or whole, no head received
+  kCut,               // the response ended early, after its head
+  kTimedOut,          // total_timeout expired
 };
 
 struct ClientRequest {
@@ -51,7 +51,7 @@
   std::function<void(int status, const Headers& headers)> on_head;
   // Returns false to pause the transfer until Resume(). The chunk counts as
   // consumed in both cases.
-  std::function<bool(std::string_view piece)> on_piece;
+  std::function<bool(std::string_view chunk)> on_chunk;
   std::function<void(TransferEnd end)> on_end;
 };
 
--- a/include/dotterelshift/http/event_bytes.h
+++ b/include/dotterelshift/http/event_bytes.h
@@ -8,7 +8,7 @@
 
 // Returns the offset just past the first server-sent event and its terminating
 // empty line, or npos while the event is incomplete.
-inline size_t EndOfEvent(std::string_view bytes) {
+inline size_t FindEventEnd(std::string_view bytes) {
   size_t line = 0;
   while (true) {
     const size_t end = bytes.find('\n', line);
--- a/include/dotterelshift/http/hop_headers.h
+++ b/include/dotterelshift/http/hop_headers.h
@@ -8,7 +8,7 @@
 // Returns the headers without the hop-by-hop ones: the standard set, those
 // named by a Connection header, and the body's framing, which each hop sets
 // itself. Header names must be in lower case.
-Headers WithoutHopHeaders(const Headers& headers);
+Headers RemoveHopByHopHeaders(const Headers& headers);
 
 }  // namespace dotterelshift::http
 
--- a/include/dotterelshift/http/server.h
+++ b/include/dotterelshift/http/server.h
@@ -50,7 +50,7 @@
   // Sends a response in chunks: the head, any number of chunks, then Finish()
   // to end it properly.
   virtual void SendHead(int status, const Headers& headers) = 0;
-  virtual void SendPiece(std::string_view piece) = 0;
+  virtual void WriteChunk(std::string_view chunk) = 0;
   virtual void Finish() = 0;
 
   // Closes the connection without the protocol's end mark, so that the caller
@@ -82,8 +82,8 @@
 // request itself is reported by the handler.
 struct ConnectionCallbacks {
   std::function<void()> on_accepted;
-  std::function<void()> on_turned_away;
-  std::function<void()> on_unused_end;  // closed without a request
+  std::function<void()> on_rejected;
+  std::function<void()> on_closed_unused;  // closed without a request
 };
 
 struct ServerOptions {
@@ -121,7 +121,7 @@
   virtual bool ResumeAccepting() = 0;
   // While on, closes new connections without reading from them, so that callers
   // know that nothing has run and can retry elsewhere at once.
-  virtual void TurnAway(bool on) = 0;
+  virtual void SetRejectConnections(bool on) = 0;
   // Closes keep-alive connections that are waiting for their next request.
   virtual void CloseIdle() = 0;
 };
--- a/src/dotterelshift/app/gateway_traffic.cc
+++ b/src/dotterelshift/app/gateway_traffic.cc
@@ -6,7 +6,7 @@
 #include <variant>    // for visit
 
 #include "dotterelshift/callers/front.h"     // for ErrorBody
-#include "dotterelshift/http/hop_headers.h"  // for WithoutHopHeaders
+#include "dotterelshift/http/hop_headers.h"  // for RemoveHopByHopHeaders
 #include "dotterelshift/telemetry/log.h"     // for Log
 
 namespace dotterelshift::app {
@@ -141,7 +141,7 @@
                                       const http::Headers& headers) {
     OnHead(attempt, status, headers);
   };
-  callbacks.on_piece = [this, attempt](std::string_view piece) {
+  callbacks.on_chunk = [this, attempt](std::string_view piece) {
     return OnChunk(attempt, piece);
   };
   callbacks.on_end = [this, attempt](http::TransferEnd end) {
@@ -252,7 +252,7 @@
 
 http::Headers GatewayTraffic::AnswerHeaders(const http::Headers& headers,
                                             bool keeps) {
-  http::Headers onward = http::WithoutHopHeaders(headers);
+  http::Headers onward = http::RemoveHopByHopHeaders(headers);
   if (!keeps) onward.emplace_back("Connection", "close");
   return onward;
 }
@@ -306,7 +306,7 @@
 
 void GatewayTraffic::CarryOut(const gateway::RelayChunk& relay) {
   const auto open = m_open.find(relay.request);
-  if (open != m_open.end()) open->second.exchange->SendPiece(relay.bytes);
+  if (open != m_open.end()) open->second.exchange->WriteChunk(relay.bytes);
 }
 
 void GatewayTraffic::CarryOut(const gateway::FinishStream& finish) {
--- a/src/dotterelshift/app/gateway_traffic_test.cc
+++ b/src/dotterelshift/app/gateway_traffic_test.cc
@@ -51,7 +51,9 @@
   void SendHead(int status, const http::Headers&) override {
     m_status = status;
   }
-  void SendPiece(std::string_view piece) override { m_taken += piece; }
+  void WriteChunk(std::string_view piece) override {
+    m_consumed_bytes += piece;
+  }
   void Finish() override {}
   void Abort() override {}
   size_t Backlog() const override { return m_backlog; }
@@ -66,13 +68,13 @@
     callback();
   }
   void SetBacklog(size_t bytes) { m_backlog = bytes; }
-  const std::string& Taken() const { return m_taken; }
+  const std::string& Taken() const { return m_consumed_bytes; }
   int Status() const { return m_status; }
 
  private:
   http::Request m_request;
   std::function<void()> m_on_gone;
-  std::string m_taken;
+  std::string m_consumed_bytes;
   size_t m_backlog = 0;
   int m_status = 0;
 };
--- a/src/dotterelshift/app/link_guard.cc
+++ b/src/dotterelshift/app/link_guard.cc
@@ -75,12 +75,12 @@
     ++m_summary.accepted;
     m_admission.OnConnected();
   };
-  options.connections.on_turned_away = [this] {
+  options.connections.on_rejected = [this] {
     ++m_summary.turned_away;
     ++m_turned_away;
     m_admission.OnRejected();
   };
-  options.connections.on_unused_end = [this] {
+  options.connections.on_closed_unused = [this] {
     ++m_summary.unused_ends;
     m_admission.OnClosedUnused();
   };
@@ -150,7 +150,7 @@
       m_entrance != gateway::AdmissionDecision::kStopAccepting;
   if (listens && !listened && !Listen(server, now)) return;
   if (!listens) StopListening(server, now);
-  server.TurnAway(entrance == gateway::AdmissionDecision::kReject);
+  server.SetRejectConnections(entrance == gateway::AdmissionDecision::kReject);
   m_entrance = entrance;
 }
 
--- a/src/dotterelshift/app/link_guard_test.cc
+++ b/src/dotterelshift/app/link_guard_test.cc
@@ -24,7 +24,7 @@
     listens = may_listen;
     return listens;
   }
-  void TurnAway(bool on) override { turns_away = on; }
+  void SetRejectConnections(bool on) override { turns_away = on; }
   void CloseIdle() override { ++idle_closed; }
 
   size_t connections = 0;
@@ -182,7 +182,7 @@
     CPPUNIT_ASSERT(m_server.turns_away);
     http::ServerOptions options;
     m_guard->SetOptions(options);
-    for (int i = 0; i < 50; ++i) options.connections.on_turned_away();
+    for (int i = 0; i < 50; ++i) options.connections.on_rejected();
     Pass(1ms);
     CPPUNIT_ASSERT(!m_server.listens);
   }
--- a/src/dotterelshift/app/request_traffic.cc
+++ b/src/dotterelshift/app/request_traffic.cc
@@ -58,7 +58,7 @@
     m_core.OnAttemptHead(attempt, status, m_loop.Now());
     Pump();
   };
-  events.on_piece = [this](AttemptId attempt, const serving::Chunk& piece,
+  events.on_chunk = [this](AttemptId attempt, const serving::Chunk& piece,
                            std::string_view bytes) {
     return OnChunk(attempt, piece, bytes);
   };
@@ -79,7 +79,7 @@
     ActiveRequest& flight = found->second;
     if (flight.streamed) {
       SendHead(flight);
-      go_on = m_front->SendPiece(flight.request, bytes);
+      go_on = m_front->WriteChunk(flight.request, bytes);
       flight.paused = !go_on;
     } else {
       flight.held.append(bytes);
@@ -134,7 +134,7 @@
     if (found != m_active.end()) {
       SendHead(found->second);
       if (!found->second.held.empty())
-        m_front->SendPiece(finish.request, found->second.held);
+        m_front->WriteChunk(finish.request, found->second.held);
     }
   }
   m_front->Finish(finish.request);
--- a/src/dotterelshift/http/exchange.cc
+++ b/src/dotterelshift/http/exchange.cc
@@ -8,12 +8,12 @@
 namespace {
 
 // Memory of a drained buffer above this size is released.
-constexpr size_t kKeptBuffer = 32 << 10;
+constexpr size_t kMaxRetainedBuffer = 32 << 10;
 
 // Size of the library's buffer for a streamed response to a caller without
 // chunked encoding, one per response. Chunks are read into the connection's own
 // memory instead.
-constexpr size_t kReadBlock = 1 << 10;
+constexpr size_t kResponseBlockBytes = 1 << 10;
 
 }  // namespace
 
@@ -32,9 +32,9 @@
   Wake();
 }
 
-void MhdExchange::SendPiece(std::string_view piece) {
-  if (!Open() || m_phase != Phase::kStreaming || piece.empty()) return;
-  m_out.append(piece);
+void MhdExchange::WriteChunk(std::string_view chunk) {
+  if (!Open() || m_phase != Phase::kStreaming || chunk.empty()) return;
+  m_out.append(chunk);
   Wake();
 }
 
@@ -77,7 +77,7 @@
 void MhdExchange::Detach(bool whole) {
   if (!whole) CallerGone();
   m_connection = nullptr;
-  m_want_run = nullptr;
+  m_request_run = nullptr;
   m_on_gone = nullptr;
   m_on_drained = nullptr;
 }
@@ -100,12 +100,12 @@
     Suspend();
     return 0;
   }
-  std::memcpy(buffer, m_out.data() + m_taken, size);
-  m_taken += size;
-  if (m_taken == m_out.size()) {
-    m_taken = 0;
+  std::memcpy(buffer, m_out.data() + m_consumed_bytes, size);
+  m_consumed_bytes += size;
+  if (m_consumed_bytes == m_out.size()) {
+    m_consumed_bytes = 0;
     m_out.clear();
-    if (m_out.capacity() > kKeptBuffer) m_out.shrink_to_fit();
+    if (m_out.capacity() > kMaxRetainedBuffer) m_out.shrink_to_fit();
     if (m_on_drained) m_on_drained();
   }
   return static_cast<ssize_t>(size);
@@ -122,8 +122,8 @@
       m_phase == Phase::kWhole
           ? MHD_create_response_from_buffer_with_free_callback_cls(
                 m_out.size(), m_out.data(), Release, self)
-          : MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, kReadBlock,
-                                              Read, self, Release);
+          : MHD_create_response_from_callback(
+                MHD_SIZE_UNKNOWN, kResponseBlockBytes, Read, self, Release);
   if (response == nullptr) {
     Release(self);
     return MHD_NO;
@@ -145,7 +145,7 @@
   if (!m_suspended) return;
   m_suspended = false;
   MHD_resume_connection(m_connection);
-  m_want_run();
+  m_request_run();
 }
 
 }  // namespace dotterelshift::http
--- a/src/dotterelshift/http/server.cc
+++ b/src/dotterelshift/http/server.cc
@@ -26,15 +26,15 @@
 // limits the head and the block of a response that is written at once. Heads
 // above max_head_bytes get the server's refusal response; heads that exceed
 // this memory are refused by the library itself.
-constexpr size_t kMemoryPerHead = 2;
+constexpr size_t kMemoryHeaderFactor = 2;
 
 // Connections above max_connections that are accepted only to send them a
 // refusal response.
-constexpr size_t kSpareConnections = 64;
+constexpr size_t kRefusalConnections = 64;
 
 // A body above max_body_bytes is read and discarded up to this multiple of the
 // limit, so that its caller can read the refusal.
-constexpr size_t kDroppedBodies = 4;
+constexpr size_t kMaxDiscardedBodyFactor = 4;
 
 // State of a connection, stored as its socket context in the library.
 struct Connection {
@@ -67,7 +67,7 @@
 }
 
 // Leaves percent-encoding in the path, because the endpoint decodes it.
-size_t KeepEscapes(void*, MHD_Connection*, char* text) {
+size_t KeepPercentEncoding(void*, MHD_Connection*, char* text) {
   return std::strlen(text);
 }
 
@@ -77,8 +77,8 @@
       : m_loop(loop),
         m_options(options),
         m_handler(std::move(handler)),
-        m_timer(loop, [this] { m_run_wanted = true; }),
-        m_receive_timer(loop, [this] { EndSlowOnes(); }),
+        m_timer(loop, [this] { m_run_requested = true; }),
+        m_receive_timer(loop, [this] { CloseSlowConnections(); }),
         m_prepare(loop, [this] { RunDaemon(); }) {
     m_listener = std::make_unique<Listener>(
         loop, m_options.address, m_options.port, m_options.listen_backlog,
@@ -90,9 +90,9 @@
     const int ready =
         MHD_get_daemon_info(m_daemon, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd;
     m_daemon_watcher = std::make_unique<loop::IoWatcher>(
-        m_loop, ready, EV_READ, [this](int) { m_run_wanted = true; });
+        m_loop, ready, EV_READ, [this](int) { m_run_requested = true; });
     m_ends_watcher = std::make_unique<loop::IoWatcher>(
-        m_loop, m_ends, EV_READ, [this](int) { TakeEnds(); });
+        m_loop, m_ends, EV_READ, [this](int) { HandleClosedCallers(); });
   }
 
   ~MhdServer() override {
@@ -120,14 +120,14 @@
   void StopAccepting() override { m_listener->Pause(); }
   bool ResumeAccepting() override { return m_listener->Resume(); }
 
-  void TurnAway(bool on) override { m_turns_away = on; }
+  void SetRejectConnections(bool on) override { m_reject_connections = on; }
 
   void CloseIdle() override {
     for (const Connection* connection : m_receiving) {
       const bool idle = connection->used && !connection->head_begun;
       if (idle) ::shutdown(connection->descriptor, SHUT_RDWR);
     }
-    WantRun();
+    RequestRun();
   }
 
  private:
@@ -141,14 +141,14 @@
     m_daemon = MHD_start_daemon(
         kFlags, 0, nullptr, nullptr, OnAccess, this,
         MHD_OPTION_CONNECTION_LIMIT,
-        static_cast<unsigned>(m_options.max_connections + kSpareConnections),
+        static_cast<unsigned>(m_options.max_connections + kRefusalConnections),
         MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-        kMemoryPerHead * m_options.max_head_bytes,
+        kMemoryHeaderFactor * m_options.max_head_bytes,
         MHD_OPTION_CONNECTION_TIMEOUT, idle_seconds + 1,
         MHD_OPTION_NOTIFY_CONNECTION, OnConnection, this,
         MHD_OPTION_NOTIFY_COMPLETED, OnCompleted, this,
         MHD_OPTION_URI_LOG_CALLBACK, OnUri, this, MHD_OPTION_UNESCAPE_CALLBACK,
-        KeepEscapes, nullptr, MHD_OPTION_SIGPIPE_HANDLED_BY_APP, 1,
+        KeepPercentEncoding, nullptr, MHD_OPTION_SIGPIPE_HANDLED_BY_APP, 1,
         MHD_OPTION_END);
     if (m_daemon == nullptr)
       throw Error(ErrorKind::kInternal, "libmicrohttpd failed to start");
@@ -156,27 +156,27 @@
 
   // The library closes the descriptor if it does not accept the connection.
   void AddConnection(int descriptor, const SocketAddress& peer) {
-    if (m_turns_away) {
+    if (m_reject_connections) {
       ::close(descriptor);
-      const auto& on_turned_away = m_options.connections.on_turned_away;
-      if (on_turned_away) on_turned_away();
+      const auto& on_rejected = m_options.connections.on_rejected;
+      if (on_rejected) on_rejected();
       return;
     }
     const socklen_t size =
         peer.any.sa_family == AF_INET6 ? sizeof peer.v6 : sizeof peer.v4;
     MHD_add_connection(m_daemon, descriptor, &peer.any, size);
-    WantRun();
+    RequestRun();
   }
 
   // Schedules a run of the library before the loop waits, in this iteration or
   // the next one.
-  void WantRun() {
-    if (!std::exchange(m_run_wanted, true)) m_timer.ArmIn(0s);
+  void RequestRun() {
+    if (!std::exchange(m_run_requested, true)) m_timer.ArmIn(0s);
   }
 
   // Runs the library if a run is scheduled, just before the loop waits.
   void RunDaemon() {
-    if (!std::exchange(m_run_wanted, false)) return;
+    if (!std::exchange(m_run_requested, false)) return;
     MHD_run(m_daemon);
     MHD_UNSIGNED_LONG_LONG wait_ms = 0;
     if (MHD_get_timeout(m_daemon, &wait_ms) == MHD_YES) {
@@ -228,14 +228,14 @@
     StopReceiving(*connection);
     epoll_ctl(m_ends, EPOLL_CTL_DEL, connection->descriptor, nullptr);
     m_connections.erase(connection);
-    const auto& on_unused_end = m_options.connections.on_unused_end;
-    if (!connection->any_handed_over && on_unused_end) on_unused_end();
+    const auto& on_closed_unused = m_options.connections.on_closed_unused;
+    if (!connection->any_handed_over && on_closed_unused) on_closed_unused();
     delete connection;
   }
 
   // Handles callers that have closed their side: an exchange in flight ends at
   // once, even if the library is not reading its connection.
-  void TakeEnds() {
+  void HandleClosedCallers() {
     std::array<epoll_event, 64> events;
     const int count =
         epoll_wait(m_ends, events.data(), static_cast<int>(events.size()), 0);
@@ -246,7 +246,7 @@
       const std::shared_ptr<MhdExchange> exchange = connection->exchange;
       if (exchange && !connection->receiving) exchange->CallerGone();
     }
-    m_run_wanted = true;
+    m_run_requested = true;
   }
 
   static void* OnUri(void*, const char* uri, MHD_Connection* handle) {
@@ -269,7 +269,7 @@
       const size_t taken = std::exchange(*size, 0);
       return server.OnBody(connection, std::string_view(data, taken));
     }
-    if (connection.receiving) return server.OnWhole(connection);
+    if (connection.receiving) return server.OnRequestComplete(connection);
     // A request that exceeded the receive timeout is not handed over.
     if (!connection.handed_over) return MHD_NO;
     return connection.exchange->Continue();
@@ -278,8 +278,8 @@
   MHD_Result OnHead(Connection& connection, const char* method) {
     if (connection.over_limit)
       return Refuse(connection, ServerRefusal::kTooManyConnections);
-    connection.exchange =
-        std::make_shared<MhdExchange>(connection.handle, [this] { WantRun(); });
+    connection.exchange = std::make_shared<MhdExchange>(
+        connection.handle, [this] { RequestRun(); });
     ++m_open;
     Request& request = connection.exchange->MutableRequest();
     request.method = method;
@@ -312,12 +312,12 @@
       return MHD_YES;
     }
     connection.exchange->MutableRequest().body.clear();
-    const bool hopeless =
-        connection.body_bytes > m_options.max_body_bytes * kDroppedBodies;
+    const bool hopeless = connection.body_bytes >
+                          m_options.max_body_bytes * kMaxDiscardedBodyFactor;
     return hopeless ? MHD_NO : MHD_YES;
   }
 
-  MHD_Result OnWhole(Connection& connection) {
+  MHD_Result OnRequestComplete(Connection& connection) {
     StopReceiving(connection);
     if (connection.body_bytes > m_options.max_body_bytes)
       return Refuse(connection, ServerRefusal::kBodyTooLarge);
@@ -400,13 +400,13 @@
   }
 
   // All connections have the same timeout, so the list is ordered by deadline.
-  void EndSlowOnes() {
+  void CloseSlowConnections() {
     const Instant now = m_loop.Now();
     while (!m_receiving.empty() &&
            m_receiving.front()->receive_deadline <= now) {
       Connection& slow = *m_receiving.front();
       StopReceiving(slow);
-      EndSlow(slow);
+      RefuseSlowConnection(slow);
     }
     if (!m_receiving.empty())
       m_receive_timer.ArmAt(m_receiving.front()->receive_deadline);
@@ -414,7 +414,7 @@
 
   // The library cannot respond to an incomplete request, so the refusal is
   // written directly to the socket, which is then shut down.
-  void EndSlow(Connection& slow) {
+  void RefuseSlowConnection(Connection& slow) {
     if (slow.head_begun && !slow.refused) {
       const auto [status, body] = RefusalOf(ServerRefusal::kSlowCaller);
       const std::string answer =
@@ -428,7 +428,7 @@
                  MSG_NOSIGNAL | MSG_DONTWAIT);
     }
     ::shutdown(slow.descriptor, SHUT_RDWR);
-    m_run_wanted = true;
+    m_run_requested = true;
   }
 
   loop::Loop& m_loop;
@@ -436,8 +436,8 @@
   const Handler m_handler;
   MHD_Daemon* m_daemon = nullptr;
   int m_ends = -1;
-  bool m_run_wanted = true;
-  bool m_turns_away = false;
+  bool m_run_requested = true;
+  bool m_reject_connections = false;
   size_t m_open = 0;
   uint64_t m_bytes_received = 0;
   std::unordered_set<Connection*> m_connections;
--- a/src/dotterelshift/storage/format.h
+++ b/src/dotterelshift/storage/format.h
@@ -53,7 +53,7 @@
 
 struct Blocks {
   std::vector<Block> blocks;
-  uint64_t good_bytes = 0;  // size of the valid prefix; the rest is torn
+  uint64_t valid_bytes = 0;  // size of the valid prefix; the rest is torn
 };
 
 // Whether a file may end with a write that was interrupted by a crash.
--- a/src/dotterelshift/storage/restore.h
+++ b/src/dotterelshift/storage/restore.h
@@ -23,12 +23,12 @@
   uint64_t LargestIndex() const { return m_largest_index; }
   uint64_t NextSequence() const { return m_next_sequence; }
 
-  // Returns the log after a snapshot. Sets `lost_to_snapshot` if the entries do
-  // not connect to the snapshot and are discarded: a crash interrupted its
+  // Returns the log after a snapshot. Sets `discarded_entries` if the entries
+  // do not connect to the snapshot and are discarded: a crash interrupted its
   // installation, and the next write must record that the log restarts there.
   replication::RestoredLog Finish(const std::string& folder,
                                   replication::SnapshotMeta snapshot,
-                                  bool* lost_to_snapshot);
+                                  bool* discarded_entries);
 
  private:
   void Apply(const std::string& file, const Block& block);
