--- a/include/dotterelshift/directory/directory.h
+++ b/include/dotterelshift/directory/directory.h
@@ -26,16 +26,16 @@
 // What this daemon knows of an endpoint.
 struct Endpoint {
   wire::EndpointRecordT record;
-  Instant last_news;        // when the newest announcement was made
-  Instant last_evidence;    // last response or probe that succeeded here
-  Instant dead_until;       // not used before this: a connection was refused
-  bool heard_here = false;  // it announces itself only to this daemon
-  bool usable = false;      // not draining, gone, silent or dead
+  Instant last_news;      // when the newest announcement was made
+  Instant last_evidence;  // last response or probe that succeeded here
+  Instant dead_until;     // not used before this: a connection was refused
+  bool announced_here = false;  // it announces itself only to this daemon
+  bool usable = false;          // not draining, gone, silent or dead
 };
 
 // What an update of a record changed.
-enum class News {
-  kOld,    // nothing: late, reordered or duplicate
+enum class RecordUpdate {
+  kStale,  // nothing: late, reordered or duplicate
   kLoad,   // its load and the time it was last seen
   kOffer,  // what it offers, or its availability
 };
@@ -62,18 +62,18 @@
   // when it changed the record, which is then part of the next delta.
   bool OnRecord(const wire::EndpointRecordT& record, Instant now);
   // The same, but returns what changed.
-  News Take(const wire::EndpointRecordT& record, Instant now);
-  // Applies a load report. Returns kOld when the incarnation is not the known
+  RecordUpdate Take(const wire::EndpointRecordT& record, Instant now);
+  // Applies a load report. Returns kStale when the incarnation is not the known
   // one or the report is not newer.
-  News TakeLoad(const EndpointId& endpoint, uint64_t incarnation,
-                const LoadReport& load, Instant now);
+  RecordUpdate ApplyLoad(const EndpointId& endpoint, uint64_t incarnation,
+                         const LoadReport& load, Instant now);
   // Sets whether the endpoint announces itself only to this daemon. If so, its
   // idle timeout is DirectoryOptions::silent_after, since no other daemon can
   // have newer updates of it.
-  void SetHeardHere(const EndpointId& endpoint, bool heard_here);
+  void SetAnnouncedHere(const EndpointId& endpoint, bool announced_here);
   // Sets the idle timeout of endpoints that announce themselves to other
   // daemons. DirectoryOptions::silent_after is the lower bound.
-  void SetSilenceOfOthers(Duration silence);
+  void SetRemoteSilenceTimeout(Duration silence);
   // Local evidence: the endpoint responded, or refused a connection.
   void OnAlive(const EndpointId& endpoint, Instant now);
   void OnDead(const EndpointId& endpoint, uint64_t incarnation, Instant now);
@@ -84,7 +84,7 @@
   // The records that changed since the last call, to be disseminated, and all
   // records, for a daemon that has just joined.
   wire::DirectoryDeltaT TakeDelta(Instant now);
-  wire::DirectoryDeltaT Everything(Instant now) const;
+  wire::DirectoryDeltaT AllRecords(Instant now) const;
 
   // The record with its current age, as it is sent to other daemons.
   wire::EndpointRecordT AgedRecord(const Endpoint& endpoint, Instant now) const;
@@ -107,18 +107,18 @@
   };
   // Returns false when the record is not newer than its tombstone; otherwise
   // copies the sticky flags of the tombstone and removes it.
-  bool PassTombstone(wire::EndpointRecordT* record);
+  bool CheckTombstone(wire::EndpointRecordT* record);
   bool IsUsable(const Endpoint& endpoint, Instant now) const;
-  void Judge(Endpoint* endpoint, Instant now);
-  News Meet(wire::EndpointRecordT record, Instant now);
-  News Amend(Endpoint* endpoint, const wire::EndpointRecordT& late,
-             Instant now);
-  Duration SilenceOf(const Endpoint& endpoint) const;
+  void UpdateUsable(Endpoint* endpoint, Instant now);
+  RecordUpdate AddEndpoint(wire::EndpointRecordT record, Instant now);
+  RecordUpdate MergeStickyFlags(Endpoint* endpoint,
+                                const wire::EndpointRecordT& late, Instant now);
+  Duration SilenceTimeoutOf(const Endpoint& endpoint) const;
   DirectoryOptions m_options;
   std::unordered_map<EndpointId, Endpoint> m_endpoints;
   std::unordered_map<EndpointId, Tombstone> m_tombstones;
   std::unordered_set<EndpointId> m_changed;
-  Duration m_silence_of_others = 0s;
+  Duration m_remote_silence_timeout = 0s;
   uint64_t m_generation = 1;
 };
 
--- a/include/dotterelshift/directory/spread.h
+++ b/include/dotterelshift/directory/spread.h
@@ -18,10 +18,11 @@
 struct SpreadOptions {
   HostId self;
   size_t fan_out = 3;
-  Duration round = 100ms;      // how often pending updates are sent
-  Duration least_pulse = 1s;   // between two load reports of an endpoint
-  Duration digest_every = 3s;  // how often neighbours compare digests
-  Duration pull_again = 10s;   // between full transfers from one neighbour
+  Duration round = 100ms;            // how often pending updates are sent
+  Duration min_pulse_interval = 1s;  // between two load reports of an endpoint
+  Duration digest_interval = 3s;     // how often neighbours compare digests
+  Duration min_pull_interval =
+      10s;  // between full transfers from one neighbour
   // Bound on the traffic of all load reports, sent and received together. With
   // more endpoints each is reported less often.
   double pulse_bytes_per_second = 12'000;
@@ -55,7 +56,7 @@
   void OnPeerDown(const HostId& host, Instant now);
 
   // An endpoint announced itself to this daemon.
-  News OnAnnounced(const wire::EndpointRecordT& record, Instant now);
+  RecordUpdate OnAnnounced(const wire::EndpointRecordT& record, Instant now);
   // Applies a delta of another daemon, except its cache events. Returns true
   // when something in it was new.
   bool OnDelta(const HostId& from, const wire::DirectoryDeltaT& delta,
@@ -75,27 +76,27 @@
     bool whole = false;
     HostId from;
   };
-  struct Known {
+  struct TrackedEndpoint {
     uint64_t key = 0;
     Instant last_pulse{};
     // Consecutive announcements to this daemon without a newer update of
     // others.
-    uint32_t heard_in_a_row = 0;
+    uint32_t consecutive_announcements = 0;
   };
   struct Neighbour {
     Instant pulled{};
-    bool wants_all = false;  // it requested a full transfer
-    bool ask_all = false;    // a full transfer is to be requested from it
-    bool differed = false;   // its last digest was different
+    bool full_requested = false;  // it requested a full transfer
+    bool request_full = false;    // a full transfer is to be requested from it
+    bool differed = false;        // its last digest was different
   };
 
   void ChooseNeighbours();
-  void Note(const EndpointId& endpoint, News news, const HostId& from,
-            Instant now);
-  void TakePulses(const HostId& from, const wire::DirectoryDeltaT& delta,
-                  Instant now, bool* any_news);
+  void QueueUpdate(const EndpointId& endpoint, RecordUpdate news,
+                   const HostId& from, Instant now);
+  void ApplyPulses(const HostId& from, const wire::DirectoryDeltaT& delta,
+                   Instant now, bool* any_news);
   void CompareDigest(const HostId& from, uint64_t digest, Instant now);
-  void TellSilence(Instant now);
+  void AnnounceSilence(Instant now);
   uint64_t Digest() const;
   wire::DirectoryDeltaT DeltaFor(const HostId& host, bool with_digest,
                                  Instant now) const;
@@ -105,7 +106,7 @@
   std::set<HostId> m_roster;
   std::vector<HostId> m_neighbours;
   std::map<HostId, Neighbour> m_peers;
-  std::unordered_map<EndpointId, Known> m_known;
+  std::unordered_map<EndpointId, TrackedEndpoint> m_known;
   std::unordered_map<uint64_t, EndpointId> m_by_key;
   std::map<EndpointId, Pending> m_pending;
   Instant m_next_round{};
--- a/include/dotterelshift/peers/hub.h
+++ b/include/dotterelshift/peers/hub.h
@@ -38,8 +38,9 @@
   // A peer with more unsent bytes is disconnected.
   size_t max_backlog_bytes = 64 << 20;
   Duration hello_timeout = 5s;
-  Duration reconnect_least = 50ms;  // doubled with jitter after each failure
-  Duration reconnect_most = 2s;
+  Duration min_reconnect_delay =
+      50ms;  // doubled with jitter after each failure
+  Duration max_reconnect_delay = 2s;
   // A peer that sends nothing for this long is disconnected.
   Duration silence_timeout = 6s;
   uint64_t seed = 0;  // of the jitter
--- a/src/dotterelshift/peers/handshake.h
+++ b/src/dotterelshift/peers/handshake.h
@@ -25,12 +25,12 @@
   // Processes the hello of the other side. Returns false when one was processed
   // before, and for another protocol or fleet, a missing host name, our own
   // host name, or a challenge of the wrong size.
-  bool TakeHello(const wire::HelloT& hello);
+  bool AcceptHello(const wire::HelloT& hello);
 
-  // The response to the other side's challenge. Requires TakeHello().
+  // The response to the other side's challenge. Requires AcceptHello().
   wire::HelloProofT Proof() const;
 
-  // Verifies the proof of the other side. Requires TakeHello().
+  // Verifies the proof of the other side. Requires AcceptHello().
   bool Proves(const wire::HelloProofT& proof) const;
 
   bool HasPeer() const { return m_has_peer; }
--- a/src/dotterelshift/telemetry/bounded_output.h
+++ b/src/dotterelshift/telemetry/bounded_output.h
@@ -12,8 +12,8 @@
 // dropped.
 class BoundedOutput : public std::streambuf {
  public:
-  explicit BoundedOutput(int descriptor, size_t max_held_bytes = 64 << 10)
-      : m_descriptor(descriptor), m_max_held(max_held_bytes) {}
+  explicit BoundedOutput(int descriptor, size_t max_buffered_bytes = 64 << 10)
+      : m_descriptor(descriptor), m_max_buffered(max_buffered_bytes) {}
 
   // Number of lines dropped so far.
   uint64_t Dropped() const { return m_dropped; }
@@ -28,9 +28,9 @@
   bool CanWrite() const;
 
   const int m_descriptor;
-  const size_t m_max_held;
-  std::string m_line;  // the line being composed
-  std::string m_held;  // bytes of complete lines not written yet
+  const size_t m_max_buffered;
+  std::string m_line;      // the line being composed
+  std::string m_buffered;  // bytes of complete lines not written yet
   uint64_t m_dropped = 0;
 };
 
