--- a/include/dotterelshift/app/slow_turns.h
+++ b/include/dotterelshift/app/slow_turns.h
@@ -8,17 +8,17 @@
 namespace dotterelshift::app {
 
 // Event loop iterations at least this long may be noticed by peers as silence.
-inline constexpr Duration kSlowTurn = 100ms;
+inline constexpr Duration kSlowIteration = 100ms;
 
 // Logs slow event loop iterations, at most one line per second, with their
 // number and the longest duration since the previous line.
-class SlowTurns {
+class SlowIterationLog {
  public:
-  void OnSlowTurn(Duration took, Instant now);
+  void OnSlowIteration(Duration took, Instant now);
 
  private:
-  Instant m_next_line{};
-  uint64_t m_turns = 0;  // since the previous log line
+  Instant m_next_log_time{};
+  uint64_t m_iterations = 0;  // since the previous log line
   Duration m_longest{};
 };
 
--- a/src/dotterelshift/app/directory_exchange.h
+++ b/src/dotterelshift/app/directory_exchange.h
@@ -19,7 +19,7 @@
   struct Callbacks {
     // Called when the offers of endpoints or the set of usable endpoints
     // change.
-    std::function<void()> on_offer;
+    std::function<void()> on_offer_changed;
     std::function<void(const std::vector<wire::CacheEventT>&)> on_cache_events;
   };
   DirectoryExchange(loop::Loop& loop, const HostId& self, Callbacks callbacks);
@@ -51,7 +51,7 @@
   peers::Hub* m_hub = nullptr;
   directory::Directory m_directory;
   directory::Spread m_spread;
-  uint64_t m_generation = 0;  // as of the last call of on_offer
+  uint64_t m_generation = 0;  // as of the last call of on_offer_changed
   loop::Timer m_timer;
 };
 
--- a/src/dotterelshift/app/entry.cc
+++ b/src/dotterelshift/app/entry.cc
@@ -20,10 +20,10 @@
 // checked.
 constexpr Duration kTick = 50ms;
 // How long a drained entry waits until control has taken back its grants.
-constexpr Duration kReturnPatience = 10s;
+constexpr Duration kGrantReturnTimeout = 10s;
 // Interval at which the router adopts the load that endpoints report. The
 // reports themselves lag.
-constexpr Duration kLoadRefreshEvery = 500ms;
+constexpr Duration kLoadRefreshInterval = 500ms;
 
 // The request core numbers its own commands from 1.
 constexpr uint64_t kRegistrationSequence = 0;
@@ -260,7 +260,7 @@
   }
   for (const wire::CommandAnswerT& answer : m_link.TakeAnswers()) {
     // Commands of a superseded incarnation are refused, so it stops serving.
-    if (m_registration->OnAnswer(answer) == RunStanding::kSuperseded)
+    if (m_registration->OnAnswer(answer) == IncarnationStatus::kSuperseded)
       Shutdown();
     m_core->OnAnswer(answer, now);
   }
@@ -293,7 +293,7 @@
   }
   m_link.SetHoldings(std::move(holdings));
   if (now >= m_next_load_refresh) {
-    m_next_load_refresh = now + kLoadRefreshEvery;
+    m_next_load_refresh = now + kLoadRefreshInterval;
     m_router->Refresh(m_directory.GetDirectory(), m_link.GetConfiguration(),
                       now);
   }
@@ -352,14 +352,15 @@
 }
 
 void Entry::CheckDrained() {
-  if (!m_draining || !m_core->Drained() || m_traffic->OpenAnswers() > 0) return;
+  if (!m_draining || !m_core->Drained() || m_traffic->OpenResponses() > 0)
+    return;
   const Instant now = m_loop.Now();
   if (!m_drained_since.has_value()) m_drained_since = now;
   // Settlements are committed or spooled by now. Grants are returned as soon as
-  // control can be reached; after kReturnPatience they are left to the next
+  // control can be reached; after kGrantReturnTimeout they are left to the next
   // incarnation.
   const bool returned = m_reach == ControlReach::kConnected && m_link.Idle();
-  if (!returned && now - *m_drained_since < kReturnPatience) return;
+  if (!returned && now - *m_drained_since < kGrantReturnTimeout) return;
   telemetry::Log(telemetry::LogLevel::kInfo, "shutdown_done",
                  {{"grants_returned", returned ? "yes" : "no"}});
   m_loop.Stop();
--- a/src/dotterelshift/app/gateway_options.cc
+++ b/src/dotterelshift/app/gateway_options.cc
@@ -68,7 +68,7 @@
   return options;
 }
 
-gateway::LoadUpdatePacerOptions NotePacerOptionsOf(
+gateway::LoadUpdatePacerOptions LoadUpdatePacerOptionsOf(
     const settings::Settings& settings) {
   gateway::LoadUpdatePacerOptions options;
   options.bytes_per_second = settings.link_mbit * kBytesPerMegabit;
--- a/src/dotterelshift/app/gateway_traffic.h
+++ b/src/dotterelshift/app/gateway_traffic.h
@@ -39,12 +39,14 @@
   // Without a policy, all callers may keep theirs.
   using KeepPolicy = std::function<bool(size_t silent)>;
   void SetKeepPolicy(KeepPolicy policy) { m_may_keep = std::move(policy); }
-  size_t OpenAnswers() const { return m_open.size(); }
+  size_t OpenResponses() const { return m_open.size(); }
 
   // Bytes sent to endpoints, and bytes of their responses relayed to callers.
   gateway::LinkBytes Bytes() const;
   // All bytes sent to callers, including responses that the entry itself made.
-  uint64_t BytesToCallers() const { return m_answer_bytes + m_own_bytes; }
+  uint64_t BytesToCallers() const {
+    return m_response_bytes + m_own_response_bytes;
+  }
 
  private:
   // A caller's request and the state of its response.
@@ -57,7 +59,7 @@
     bool handed_over = false;  // its bytes were handed to a connection
   };
   // How the request of an attempt was sent from this host, for the log.
-  struct WayOut {
+  struct SendRecord {
     std::optional<http::HandOver> handed_over;
     Instant handed_over_at{};
     Duration wait{};  // expected wait for the outbound link at that time
@@ -73,7 +75,7 @@
     std::string body;
     bool streamed = false;
     bool first = false;  // the first attempt of its request
-    WayOut way_out;
+    SendRecord send_record;
   };
   using LogInputs = std::vector<std::pair<std::string_view, std::string>>;
 
@@ -85,22 +87,23 @@
   void OnHandedOver(AttemptId attempt, const http::HandOver& what);
   SendKind NextSendOf(const Transfer& transfer);
   // Keeps the send record of an attempt that has ended, for its last log lines.
-  void KeepWayOut(AttemptId attempt, const Transfer& transfer);
-  void AddWayOut(AttemptId attempt, LogInputs& inputs) const;
+  void KeepSendRecord(AttemptId attempt, const Transfer& transfer);
+  void AddSendRecord(AttemptId attempt, LogInputs& inputs) const;
 
-  void CarryOut(const gateway::StartAttempt& start);
-  void CarryOut(const gateway::CancelAttempt& cancel);
-  void CarryOut(const gateway::WithdrawAttempt& withdraw);
-  void CarryOut(const gateway::Refuse& refuse);
-  void CarryOut(const gateway::RelayResponse& relay);
-  void CarryOut(const gateway::RelayHead& relay);
-  void CarryOut(const gateway::RelayChunk& relay);
-  void CarryOut(const gateway::FinishStream& finish);
-  void CarryOut(const gateway::AbortStream& abort);
-  void CarryOut(const gateway::Decision& decision) const;
+  void Execute(const gateway::StartAttempt& start);
+  void Execute(const gateway::CancelAttempt& cancel);
+  void Execute(const gateway::WithdrawAttempt& withdraw);
+  void Execute(const gateway::Refuse& refuse);
+  void Execute(const gateway::RelayResponse& relay);
+  void Execute(const gateway::RelayHead& relay);
+  void Execute(const gateway::RelayChunk& relay);
+  void Execute(const gateway::FinishStream& finish);
+  void Execute(const gateway::AbortStream& abort);
+  void Execute(const gateway::Decision& decision) const;
 
   // Headers of a relayed response; `keeps`: the connection stays open.
-  static http::Headers AnswerHeaders(const http::Headers& headers, bool keeps);
+  static http::Headers ResponseHeaders(const http::Headers& headers,
+                                       bool keeps);
   bool MayKeep() const;
   // Called when the response of a request has ended or its caller has left.
   void Forget(RequestId request);
@@ -116,12 +119,12 @@
   std::unordered_map<RequestId, Open> m_open;
   std::unordered_map<AttemptId, Transfer> m_transfers;
   // Of attempts that ended during the batch of actions being executed.
-  std::unordered_map<AttemptId, WayOut> m_ended_ways;
+  std::unordered_map<AttemptId, SendRecord> m_ended_sends;
   RequestId m_last_request = 0;
   KeepPolicy m_may_keep;
   size_t m_kept_streams = 0;
-  uint64_t m_answer_bytes = 0;
-  uint64_t m_own_bytes = 0;  // of responses that the entry itself made
+  uint64_t m_response_bytes = 0;
+  uint64_t m_own_response_bytes = 0;  // of responses that the entry itself made
   bool m_pumping = false;
   loop::Timer m_timer;
 };
--- a/src/dotterelshift/app/gateway_traffic_test.cc
+++ b/src/dotterelshift/app/gateway_traffic_test.cc
@@ -120,15 +120,15 @@
 class GatewayTrafficTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayTrafficTest);
   CPPUNIT_TEST(LeavesBeforeItsAttemptConnects);
-  CPPUNIT_TEST(LeavesBeforeItsEndpointTakesTheConnection);
+  CPPUNIT_TEST(LeavesBeforeItsEndpointAcceptsTheConnection);
   CPPUNIT_TEST(LeavesWhileItsRequestIsPartlySent);
-  CPPUNIT_TEST(LeavesWhileItsRequestLiesInTheKernel);
+  CPPUNIT_TEST(LeavesWhileItsRequestIsInTheKernelBuffer);
   CPPUNIT_TEST(LeavesWhileItsRequestRuns);
-  CPPUNIT_TEST(LeavesOnAConnectionThatWasUsedBefore);
+  CPPUNIT_TEST(LeavesOnAReusedConnection);
   CPPUNIT_TEST(LeavesBetweenTwoAttempts);
   CPPUNIT_TEST(LeavesWhileItsStreamRuns);
-  CPPUNIT_TEST(LeavesWhileItsStreamIsPausedAndBytesAreHeld);
-  CPPUNIT_TEST(AnAnswerToAnotherRequestDropsWhatIsHeld);
+  CPPUNIT_TEST(LeavesWhileItsStreamIsPausedWithHeldBytes);
+  CPPUNIT_TEST(ResponseToAnotherRequestDropsHeldBytes);
   CPPUNIT_TEST(LeavesAtARealServer);
   CPPUNIT_TEST_SUITE_END();
 
@@ -179,7 +179,7 @@
     ExpectNothingOpen();
   }
 
-  void LeavesBeforeItsEndpointTakesTheConnection() {
+  void LeavesBeforeItsEndpointAcceptsTheConnection() {
     http::TestListener endpoint(0);
     endpoint.Fill();
     Announce(endpoint);
@@ -204,7 +204,7 @@
     ExpectResetBefore(peer, kLongBody);
   }
 
-  void LeavesWhileItsRequestLiesInTheKernel() {
+  void LeavesWhileItsRequestIsInTheKernelBuffer() {
     const http::TestListener endpoint(1, kSmallBuffer);
     Announce(endpoint);
     const auto caller = Ask("/once/x", kHeldBody);
@@ -224,7 +224,7 @@
     ExpectNothingOpen();
   }
 
-  void LeavesOnAConnectionThatWasUsedBefore() {
+  void LeavesOnAReusedConnection() {
     const http::TestListener endpoint(1, kSmallBuffer);
     Announce(endpoint);
     const auto first = Ask("/once/x", 1);
@@ -274,7 +274,7 @@
   }
 
   // An endpoint may answer before it has read the whole request.
-  void LeavesWhileItsStreamIsPausedAndBytesAreHeld() {
+  void LeavesWhileItsStreamIsPausedWithHeldBytes() {
     const http::TestListener endpoint(1, kSmallBuffer);
     Announce(endpoint);
     const auto caller = Ask("/stream/x", kHeldBody);
@@ -289,7 +289,7 @@
   }
 
   // The attempt is cancelled while its response is being read.
-  void AnAnswerToAnotherRequestDropsWhatIsHeld() {
+  void ResponseToAnotherRequestDropsHeldBytes() {
     const http::TestListener endpoint(1, kSmallBuffer);
     Announce(endpoint);
     const auto caller = Ask("/once/x", kHeldBody);
@@ -354,7 +354,7 @@
 
   void ExpectNothingOpen() {
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
-    CPPUNIT_ASSERT_EQUAL(size_t{0}, m_traffic->OpenAnswers());
+    CPPUNIT_ASSERT_EQUAL(size_t{0}, m_traffic->OpenResponses());
   }
 
   static size_t OpenDescriptors() {
--- a/src/dotterelshift/app/link_guard.cc
+++ b/src/dotterelshift/app/link_guard.cc
@@ -12,13 +12,13 @@
 namespace {
 
 // Minimum time between two summary lines in the log.
-constexpr Duration kSummaryEvery = 1s;
+constexpr Duration kSummaryInterval = 1s;
 
 // No summary is logged while link utilization is lower, unless a wait was long.
-constexpr double kWorthALine = 0.5;
+constexpr double kMinLoggedUtilization = 0.5;
 
 // A wait for the outbound link from which on a summary is logged in any case.
-constexpr Duration kWaitWorthALine = 100ms;
+constexpr Duration kMinLoggedQueueWait = 100ms;
 
 // Size of the listen backlog, as the link time of the first bytes of its
 // connections: callers in the backlog have already sent these.
@@ -26,17 +26,18 @@
 
 // Callers are asked to close their connections until this long after
 // connections were last not accepted.
-constexpr Duration kFullFor = 1s;
+constexpr Duration kFullHoldTime = 1s;
 
 // Minimum time between two closings of idle connections.
-constexpr Duration kIdleClosedEvery = 200ms;
+constexpr Duration kIdleCloseInterval = 200ms;
 
 std::string Ms(Duration duration) { return std::to_string(ToMs(duration)); }
 
 // The kind of frame that used the most bytes since an earlier count, and the
 // number of these bytes.
-std::string MostOf(const std::map<wire::FrameBody, uint64_t>& bytes,
-                   const std::map<wire::FrameBody, uint64_t>& earlier) {
+std::string LargestFrameKind(
+    const std::map<wire::FrameBody, uint64_t>& bytes,
+    const std::map<wire::FrameBody, uint64_t>& earlier) {
   uint64_t most = 0;
   std::string name = "none";
   for (const auto& [body, count] : bytes) {
@@ -61,7 +62,7 @@
     : m_bytes_per_second(AdmissionOptionsOf(settings).bytes_per_second),
       m_admission(AdmissionOptionsOf(settings)),
       m_shedder(LinkOptionsOf(settings)),
-      m_wait_out(m_bytes_per_second) {}
+      m_outbound_wait(m_bytes_per_second) {}
 
 void LinkGuard::SetOptions(http::ServerOptions& options) {
   if (m_admission.IsBounded()) {
@@ -98,7 +99,7 @@
 
 void LinkGuard::OnHandedOver(const http::HandOver& what, SendKind kind,
                              Instant now) {
-  const Duration wait = m_wait_out.Wait(now);
+  const Duration wait = m_outbound_wait.Wait(now);
   ++m_summary.handed_over;
   if (wait > 100ms) ++m_summary.over_100ms;
   if (wait > 300ms) ++m_summary.over_300ms;
@@ -106,16 +107,16 @@
   m_summary.handed_bytes[kind] += what.bytes;
   if (what.new_connection) {
     ++m_summary.connects;
-    m_summary.longest_connect =
-        std::max(m_summary.longest_connect, what.connected_in);
+    m_summary.max_connect_time =
+        std::max(m_summary.max_connect_time, what.connected_in);
   }
-  m_wait_out.OnBytes(what.bytes, now);
+  m_outbound_wait.OnBytes(what.bytes, now);
   m_handed_over += what.bytes;
 }
 
-void LinkGuard::OnControlTrip(Duration trip) {
-  m_summary.longest_control_trip =
-      std::max(m_summary.longest_control_trip, trip);
+void LinkGuard::OnControlRoundTrip(Duration trip) {
+  m_summary.max_control_round_trip =
+      std::max(m_summary.max_control_round_trip, trip);
 }
 
 void LinkGuard::Adjust(http::Server& server, const Traffic& traffic,
@@ -128,37 +129,37 @@
   const gateway::LinkBytes fresh =
       traffic.endpoints - last.endpoints + peers + requests;
   m_admission.OnBytes(fresh, now);
-  m_admission.SetQueuedOutbound(traffic.held_out);
+  m_admission.SetQueuedOutbound(traffic.queued_bytes);
   m_summary.peer_bytes = m_summary.peer_bytes + peers;
   m_summary.bytes = m_summary.bytes + fresh;
   // `fresh` includes the bytes reported by OnHandedOver(), which are already
   // counted as waiting.
   const uint64_t waits = std::exchange(m_handed_over, 0);
-  m_wait_out.OnBytes(fresh.out - std::min(fresh.out, waits), now);
+  m_outbound_wait.OnBytes(fresh.out - std::min(fresh.out, waits), now);
   m_summary.max_busy_time =
       std::max(m_summary.max_busy_time, m_admission.BusyFor());
   m_shedder.OnBytes(std::max(fresh.in, fresh.out), now);
-  const gateway::AdmissionDecision entrance = m_admission.Decide(now);
-  if (entrance != gateway::AdmissionDecision::kAccept) m_last_paused = now;
-  if (entrance != m_entrance) Enter(entrance, server, now);
+  const gateway::AdmissionDecision decision = m_admission.Decide(now);
+  if (decision != gateway::AdmissionDecision::kAccept) m_last_paused = now;
+  if (decision != m_admission_state) ApplyDecision(decision, server, now);
 }
 
-void LinkGuard::Enter(gateway::AdmissionDecision entrance, http::Server& server,
-                      Instant now) {
-  const bool listens = entrance != gateway::AdmissionDecision::kStopAccepting;
+void LinkGuard::ApplyDecision(gateway::AdmissionDecision decision,
+                              http::Server& server, Instant now) {
+  const bool listens = decision != gateway::AdmissionDecision::kStopAccepting;
   const bool listened =
-      m_entrance != gateway::AdmissionDecision::kStopAccepting;
+      m_admission_state != gateway::AdmissionDecision::kStopAccepting;
   if (listens && !listened && !Listen(server, now)) return;
   if (!listens) StopListening(server, now);
-  server.SetRejectConnections(entrance == gateway::AdmissionDecision::kReject);
-  m_entrance = entrance;
+  server.SetRejectConnections(decision == gateway::AdmissionDecision::kReject);
+  m_admission_state = decision;
 }
 
 void LinkGuard::StopListening(http::Server& server, Instant now) {
   server.StopAccepting();
   m_summary.shut_counted_to = now;
   ++m_summary.shuts;
-  ++m_shuts;
+  ++m_times_stopped;
 }
 
 // A failure is retried at the next event loop iteration and logged only once.
@@ -172,7 +173,7 @@
 }
 
 bool LinkGuard::IsFull(Instant now) const {
-  return m_last_paused != Instant{} && now - m_last_paused < kFullFor;
+  return m_last_paused != Instant{} && now - m_last_paused < kFullHoldTime;
 }
 
 bool LinkGuard::MayKeep(const http::Server& server, size_t silent,
@@ -186,11 +187,11 @@
                       Instant now) {
   WatchShedding(now);
   if (m_admission.IsDrainingQueue() &&
-      now - m_idle_closed >= kIdleClosedEvery) {
-    m_idle_closed = now;
+      now - m_idle_closed_at >= kIdleCloseInterval) {
+    m_idle_closed_at = now;
     server.CloseIdle();
   }
-  if (now - m_summary.since >= kSummaryEvery) LogSummary(server, peers, now);
+  if (now - m_summary.since >= kSummaryInterval) LogSummary(server, peers, now);
 }
 
 void LinkGuard::SetMetrics(telemetry::Metrics& metrics) const {
@@ -199,11 +200,11 @@
                      static_cast<double>(m_turned_away));
   metrics.SetCounter("dotterelshift_listening_stopped_total",
                      "Times that no connection was taken, for the same reason",
-                     static_cast<double>(m_shuts));
+                     static_cast<double>(m_times_stopped));
 }
 
 void LinkGuard::WatchShedding(Instant now) {
-  if (m_entrance != gateway::AdmissionDecision::kAccept)
+  if (m_admission_state != gateway::AdmissionDecision::kAccept)
     m_shedder.OnRejected(now);
   if (m_shedder.IsShedding(now) == m_shedding) return;
   m_shedding = !m_shedding;
@@ -215,7 +216,7 @@
 
 void LinkGuard::LogSummary(const http::Server& server,
                            const peers::HubCounters& peers, Instant now) {
-  if (m_entrance == gateway::AdmissionDecision::kStopAccepting)
+  if (m_admission_state == gateway::AdmissionDecision::kStopAccepting)
     m_summary.shut += now - m_summary.shut_counted_to;
   Summary last = std::exchange(m_summary, {});
   m_summary.since = now;
@@ -226,9 +227,9 @@
                       std::chrono::duration<double>(now - last.since).count();
   const auto filled =
       static_cast<double>(std::max(last.bytes.in, last.bytes.out));
-  const Duration max_wait = m_wait_out.TakeMaxWait();
-  const bool waited = max_wait >= kWaitWorthALine;
-  if (most <= 0 || (filled < most * kWorthALine && !waited)) return;
+  const Duration max_wait = m_outbound_wait.TakeMaxWait();
+  const bool waited = max_wait >= kMinLoggedQueueWait;
+  if (most <= 0 || (filled < most * kMinLoggedUtilization && !waited)) return;
   telemetry::Log(
       telemetry::LogLevel::kInfo, "link_load",
       {{"filled_percent", std::to_string(std::lround(100 * filled / most))},
@@ -236,7 +237,7 @@
        {"bytes_out", std::to_string(last.bytes.out)},
        {"peer_bytes_in", std::to_string(last.peer_bytes.in)},
        {"peer_bytes_out", std::to_string(last.peer_bytes.out)},
-       {"frames_out", MostOf(peers.bytes_out_by_body, frames_before)},
+       {"frames_out", LargestFrameKind(peers.bytes_out_by_body, frames_before)},
        {"requests", std::to_string(last.requests)},
        {"on_kept_connections", std::to_string(last.kept_requests)},
        {"accepted", std::to_string(last.accepted)},
@@ -245,7 +246,7 @@
        {"busy_in_ms", Ms(last.max_busy_time)},
        {"shuts", std::to_string(last.shuts)},
        {"shut_ms", Ms(last.shut)},
-       {"wait_out_ms", Ms(WaitOut(now))},
+       {"wait_out_ms", Ms(OutboundWait(now))},
        {"longest_wait_out_ms", Ms(max_wait)},
        {"handed_over", std::to_string(last.handed_over)},
        {"behind_100ms", std::to_string(last.over_100ms)},
@@ -253,11 +254,11 @@
        {"behind_500ms", std::to_string(last.over_500ms)},
        {"first_bytes", std::to_string(last.handed_bytes[SendKind::kFirst])},
        {"held_back_bytes",
-        std::to_string(last.handed_bytes[SendKind::kHeldBack])},
-       {"repeated_bytes", std::to_string(last.handed_bytes[SendKind::kRepeat])},
+        std::to_string(last.handed_bytes[SendKind::kDelayed])},
+       {"repeated_bytes", std::to_string(last.handed_bytes[SendKind::kRetry])},
        {"connects", std::to_string(last.connects)},
-       {"longest_connect_ms", Ms(last.longest_connect)},
-       {"longest_control_trip_ms", Ms(last.longest_control_trip)},
+       {"longest_connect_ms", Ms(last.max_connect_time)},
+       {"longest_control_trip_ms", Ms(last.max_control_round_trip)},
        {"connections", std::to_string(server.OpenConnections())},
        {"open", std::to_string(server.OpenExchanges())}});
 }
--- a/src/dotterelshift/app/link_guard_test.cc
+++ b/src/dotterelshift/app/link_guard_test.cc
@@ -38,16 +38,16 @@
 
 class LinkGuardTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LinkGuardTest);
-  CPPUNIT_TEST(CallersAreTurnedAwayThenNotListenedToThenTakenAgain);
-  CPPUNIT_TEST(IdleConnectionsEndWhileNobodyIsTaken);
-  CPPUNIT_TEST(AnAddressThatCannotBeBoundIsTriedAgain);
-  CPPUNIT_TEST(NotesToOtherDaemonsFillTheLinkAsPromptsDo);
-  CPPUNIT_TEST(WhatIsHandedOverWaitsOnce);
-  CPPUNIT_TEST(NoMoreConnectionsAreKeptThanTheLinkBearsAtOnce);
-  CPPUNIT_TEST(AnswersOfOneTurnDoNotAllKeepTheirConnections);
-  CPPUNIT_TEST(AFastLinkKeepsAllThatTheServerTakes);
-  CPPUNIT_TEST(CallersTurnedAwayFillTheLinkToo);
-  CPPUNIT_TEST(NothingIsDoneWithoutAKnownLink);
+  CPPUNIT_TEST(FullLinkRejectsThenStopsListeningThenRecovers);
+  CPPUNIT_TEST(IdleConnectionsAreClosedWhileNoneAreAccepted);
+  CPPUNIT_TEST(FailedListenIsRetried);
+  CPPUNIT_TEST(PeerTrafficCountsTowardsTheLinkLoad);
+  CPPUNIT_TEST(HandedOverBytesAreCountedOnce);
+  CPPUNIT_TEST(KeptConnectionsAreBoundedByTheLink);
+  CPPUNIT_TEST(ResponsesOfOneIterationDoNotAllKeepTheirConnections);
+  CPPUNIT_TEST(FastLinkKeepsAllConnections);
+  CPPUNIT_TEST(RejectedCallersCountTowardsTheLinkLoad);
+  CPPUNIT_TEST(UnknownLinkRateDisablesTheGuard);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -71,7 +71,7 @@
   }
 
   // Receives requests on kept connections that take this much link time.
-  void Bring(Duration time) {
+  void ReceiveRequests(Duration time) {
     const double bytes =
         kLinkMbit * 1e6 / 8 * std::chrono::duration<double>(time).count();
     http::Request request;
@@ -84,12 +84,12 @@
   }
 
   // Guards against a queue of callers that grows without bound.
-  void CallersAreTurnedAwayThenNotListenedToThenTakenAgain() {
-    Bring(200ms);
+  void FullLinkRejectsThenStopsListeningThenRecovers() {
+    ReceiveRequests(200ms);
     Pass(1ms);
     CPPUNIT_ASSERT(m_server.turns_away && m_server.listens);
     CPPUNIT_ASSERT(m_guard->IsFull(m_now));
-    Bring(300ms);
+    ReceiveRequests(300ms);
     Pass(1ms);
     CPPUNIT_ASSERT(!m_server.turns_away && !m_server.listens);
     Pass(1s);
@@ -98,19 +98,19 @@
     CPPUNIT_ASSERT(!m_guard->IsFull(m_now));
   }
 
-  void IdleConnectionsEndWhileNobodyIsTaken() {
-    Bring(600ms);
+  void IdleConnectionsAreClosedWhileNoneAreAccepted() {
+    ReceiveRequests(600ms);
     Pass(1ms);
     CPPUNIT_ASSERT_EQUAL(0, m_server.idle_closed);
     for (int i = 0; i < 10; ++i) {
-      Bring(50ms);
+      ReceiveRequests(50ms);
       Pass(50ms);
     }
     CPPUNIT_ASSERT(m_server.idle_closed > 0);
   }
 
-  void AnAddressThatCannotBeBoundIsTriedAgain() {
-    Bring(600ms);
+  void FailedListenIsRetried() {
+    ReceiveRequests(600ms);
     Pass(1ms);
     m_server.may_listen = false;
     Pass(1s);
@@ -122,7 +122,7 @@
     CPPUNIT_ASSERT(m_server.listens);
   }
 
-  void NotesToOtherDaemonsFillTheLinkAsPromptsDo() {
+  void PeerTrafficCountsTowardsTheLinkLoad() {
     m_traffic.peers.out += 1'250'000;
     Pass(1ms);
     CPPUNIT_ASSERT(!m_server.listens);
@@ -130,20 +130,20 @@
   }
 
   // Handed-over bytes appear again in the count of all outbound bytes.
-  void WhatIsHandedOverWaitsOnce() {
+  void HandedOverBytesAreCountedOnce() {
     m_guard->OnHandedOver({125'000, false, 0s}, SendKind::kFirst, m_now);
-    CPPUNIT_ASSERT(m_guard->WaitOut(m_now) == 100ms);
+    CPPUNIT_ASSERT(m_guard->OutboundWait(m_now) == 100ms);
     m_traffic.endpoints.out += 125'000;
     m_traffic.peers.out += 125'000;
     m_guard->Adjust(m_server, m_traffic, m_now);
-    CPPUNIT_ASSERT(m_guard->WaitOut(m_now) == 200ms);
+    CPPUNIT_ASSERT(m_guard->OutboundWait(m_now) == 200ms);
     Pass(150ms);
-    CPPUNIT_ASSERT(m_guard->WaitOut(m_now) == 50ms);
+    CPPUNIT_ASSERT(m_guard->OutboundWait(m_now) == 50ms);
   }
 
   // Guards against overload when all callers send at once on kept connections.
-  void NoMoreConnectionsAreKeptThanTheLinkBearsAtOnce() {
-    Bring(50ms);
+  void KeptConnectionsAreBoundedByTheLink() {
+    ReceiveRequests(50ms);
     Pass(1s);
     m_server.connections = 10;
     CPPUNIT_ASSERT(m_guard->MayKeep(m_server, 0, m_now));
@@ -155,8 +155,8 @@
 
   // Guards against 200 callers that are refused in one event loop iteration, as
   // happens to prompts queued for the link, and all retry on kept connections.
-  void AnswersOfOneTurnDoNotAllKeepTheirConnections() {
-    Bring(50ms);
+  void ResponsesOfOneIterationDoNotAllKeepTheirConnections() {
+    ReceiveRequests(50ms);
     Pass(1s);
     m_server.connections = 200;
     size_t kept = 0;
@@ -167,17 +167,17 @@
   }
 
   // Guards against closing connections when the link is not the bottleneck.
-  void AFastLinkKeepsAllThatTheServerTakes() {
+  void FastLinkKeepsAllConnections() {
     Make(1'000);
-    Bring(50ms);
+    ReceiveRequests(50ms);
     Pass(1s);
     m_server.connections = http::ServerOptions().max_connections;
     CPPUNIT_ASSERT(m_guard->MayKeep(m_server, 0, m_now));
   }
 
   // A rejected caller has already sent its prompt.
-  void CallersTurnedAwayFillTheLinkToo() {
-    Bring(150ms);
+  void RejectedCallersCountTowardsTheLinkLoad() {
+    ReceiveRequests(150ms);
     Pass(1ms);
     CPPUNIT_ASSERT(m_server.turns_away);
     http::ServerOptions options;
@@ -187,9 +187,9 @@
     CPPUNIT_ASSERT(!m_server.listens);
   }
 
-  void NothingIsDoneWithoutAKnownLink() {
+  void UnknownLinkRateDisablesTheGuard() {
     Make(0);
-    Bring(10s);
+    ReceiveRequests(10s);
     Pass(1ms);
     CPPUNIT_ASSERT(m_server.listens && !m_server.turns_away);
     CPPUNIT_ASSERT(!m_guard->IsShedding() && !m_guard->IsFull(m_now));
--- a/src/dotterelshift/app/other_entries.h
+++ b/src/dotterelshift/app/other_entries.h
@@ -22,19 +22,19 @@
   // Sends changes of the endpoints' load to all of them, once the pacer permits
   // it. Called in each event loop iteration; if it must wait, a timer causes
   // another iteration.
-  void SendNotes(gateway::FleetLoad& load, Instant now);
+  void SendLoadUpdates(gateway::FleetLoad& load, Instant now);
   // Sends a request to lend to a few entries, to different ones each time. Each
   // receiver lends what it can, so that asking more entries would yield many
   // times the tokens needed.
-  void SendToSome(const wire::FrameT& frame);
+  void SendToNextFew(const wire::FrameT& frame);
 
  private:
   std::vector<HostId> Hosts() const;
 
   peers::Hub& m_hub;
-  gateway::LoadUpdatePacer m_note_pacer;
-  loop::Timer m_note_timer;
-  size_t m_next_asked = 0;
+  gateway::LoadUpdatePacer m_load_update_pacer;
+  loop::Timer m_load_update_timer;
+  size_t m_next_receiver = 0;
 };
 
 }  // namespace dotterelshift::app
--- a/src/dotterelshift/app/registration.h
+++ b/src/dotterelshift/app/registration.h
@@ -10,7 +10,7 @@
 namespace dotterelshift::app {
 
 // Status of an incarnation according to control's answer to its command.
-enum class RunStanding {
+enum class IncarnationStatus {
   kUnchanged,   // no new information
   kRegistered,  // this incarnation is the newest of its host
   kRaised,      // a newer one is known: Command() must be sent again
@@ -44,10 +44,10 @@
 
   // Evaluates an answer to any command of this incarnation. Logs that the
   // incarnation was raised and, once only, that it is superseded.
-  RunStanding OnAnswer(const wire::CommandAnswerT& answer);
+  IncarnationStatus OnAnswer(const wire::CommandAnswerT& answer);
 
  private:
-  RunStanding OnStale(Incarnation newest);
+  IncarnationStatus OnStale(Incarnation newest);
 
   RegistrationOptions m_options;
   uint64_t m_sequence = 0;  // of the registration command
