--- a/include/dotterelshift/app/control_link.h
+++ b/include/dotterelshift/app/control_link.h
@@ -23,19 +23,20 @@
 
 struct ControlLinkOptions {
   HostRun self;
-  Duration beat = 1s;            // heartbeat interval, to each control host
-  Duration search_beat = 100ms;  // heartbeat interval while no leader is known
+  Duration beat = 1s;  // heartbeat interval, to each control host
+  Duration search_heartbeat_interval =
+      100ms;  // heartbeat interval while no leader is known
   Duration cut_off_after =
       3s;  // since the newest heartbeat that a leader answered was sent
   Duration resend_after =
       1s;  // an unanswered command is sent again, with the same id
   // Limit of the resend timeout, which doubles at each resend to the same
   // leader so that resends do not add load to a leader that is behind.
-  Duration resend_most = 8s;
+  Duration max_resend_timeout = 8s;
   size_t commands_per_frame = 512;
   // Reports the sequence below which all answers have arrived, so that control
   // can drop them. Valid only if commands are proposed in sequence order.
-  bool names_answered = false;
+  bool reports_answered_below = false;
   size_t spool_copies = 2;
 };
 
@@ -54,7 +55,7 @@
   // Handles a frame from a control host. Frames of other kinds are ignored.
   void OnFrame(const HostId& from, const wire::FrameT& frame, Instant now);
   void OnTimer(Instant now);
-  Instant NextTimer() const { return m_next_beat; }
+  Instant NextTimer() const { return m_next_heartbeat; }
 
   // Sends a command repeatedly until it is answered. TakeAnswers() returns the
   // answer exactly once.
@@ -79,7 +80,9 @@
   // The longest time from sending a heartbeat to its answer since the last
   // call: the round trip and the confirmation by a quorum. 0: none was
   // answered.
-  Duration TakeLongestBeat() { return std::exchange(m_longest_beat, {}); }
+  Duration TakeMaxHeartbeatTime() {
+    return std::exchange(m_max_heartbeat_time, {});
+  }
   // Addresses of control replicas and of entries, as last sent by control.
   const std::vector<std::string>& ControlAddresses() const {
     return m_control_addresses;
@@ -90,10 +93,12 @@
   // Number of entries in the fleet, including this one.
   size_t EntryCount() const { return m_entry_count; }
   // Index of this entry among them.
-  size_t EntryPlace() const { return m_entry_place; }
+  size_t EntryIndex() const { return m_entry_index; }
   size_t Unanswered() const { return m_unanswered.size(); }
   // True if no command and no spooled settlement awaits an answer.
-  bool Idle() const { return m_unanswered.empty() && m_spooling.empty(); }
+  bool Idle() const {
+    return m_unanswered.empty() && m_unstored_spools.empty();
+  }
 
   std::vector<std::pair<HostId, wire::FrameT>> TakeFrames(Instant now);
   std::vector<wire::CommandAnswerT> TakeAnswers() {
@@ -115,19 +120,19 @@
     Instant sent{};    // the epoch: not sent
     Duration timeout;  // from `sent` until it is sent again
   };
-  void OnLeaderBeat(const HostId& from, const wire::LeaderBeatT& beat,
-                    Instant now);
+  void OnLeaderHeartbeat(const HostId& from, const wire::LeaderBeatT& beat,
+                         Instant now);
   void OnAnswers(const wire::ProposeAnswersT& answers);
   void OnSpoolStored(const wire::SpoolStoredT& stored);
   void OnConfiguration(const wire::ConfigurationPushT& push);
   void OnRoutes(const wire::RoutesPushT& push, Instant now);
-  bool TakeStep(const wire::RoutesStepT& step);
+  bool ApplyRoutesDelta(const wire::RoutesStepT& step);
   void ForgetLeader(Instant now);
   void UpdateReach(Instant now);
-  void SendBeats(Instant now);
+  void SendHeartbeats(Instant now);
   using Commands = std::map<uint64_t, PendingCommand>;  // by the id's sequence
   void MarkOverdue(Instant now);
-  void MarkOverdueOf(Commands& commands, std::vector<uint64_t>* unsent,
+  void MarkOverdueIn(Commands& commands, std::vector<uint64_t>* unsent,
                      Instant now) const;
   void SendCommands(Instant now);
   uint64_t AnsweredBelow() const;
@@ -137,27 +142,30 @@
   std::vector<HostId> m_hosts;  // connected control hosts
   HostId m_leader;              // empty: unknown
   uint64_t m_term = 0;
-  uint64_t m_beat_sequence = 0;
+  uint64_t m_heartbeat_sequence = 0;
   std::map<uint64_t, Instant>
-      m_beats_sent;  // by sequence, from the newest answered one
-  Instant m_next_beat{};
-  Duration m_longest_beat{};
+      m_heartbeats_sent;  // by sequence, from the newest answered one
+  Instant m_next_heartbeat{};
+  Duration m_max_heartbeat_time{};
   // When the newest answered heartbeat was sent.
   std::optional<Instant> m_confirmed;
   serving::ControlReach m_reach = serving::ControlReach::kNever;
   state::Configuration m_configuration;
-  uint64_t m_wanted_version = 0;  // of the leader, by its last heartbeat
-  bool m_knows_wanted_version = false;
-  uint64_t m_wanted_routes = 0;  // version of the leader's published routes
+  uint64_t m_leader_configuration_version =
+      0;  // of the leader, by its last heartbeat
+  bool m_knows_leader_version = false;
+  uint64_t m_leader_routes_version =
+      0;  // version of the leader's published routes
   uint64_t m_routes_version = 0;
   std::string m_routes_document;
-  bool m_wants_routes = false;  // a delta did not apply to the held version
+  bool m_needs_full_routes =
+      false;  // a delta did not apply to the held version
   std::vector<std::string> m_control_addresses;
   std::vector<std::string> m_entry_addresses;
   size_t m_entry_count = 1;
-  size_t m_entry_place = 0;
+  size_t m_entry_index = 0;
   Commands m_unanswered;
-  Commands m_spooling;
+  Commands m_unstored_spools;
   bool m_has_spooled = false;      // a command was ever sent to a spool
   std::vector<uint64_t> m_unsent;  // sequences to send or resend
   std::vector<uint64_t> m_unsent_spools;
--- a/include/dotterelshift/app/control_replica.h
+++ b/include/dotterelshift/app/control_replica.h
@@ -43,10 +43,10 @@
 
 // Pending work and stored bytes of a replica.
 struct ReplicaLoad {
-  size_t waiting_commands = 0;  // not yet in a batch
-  size_t pending_commands = 0;  // in batches that are not committed
-  size_t waiting_reads = 0;     // awaiting confirmation by a quorum
-  uint64_t log_bytes = 0;       // in memory, since the last snapshot
+  size_t unbatched_commands = 0;  // not yet in a batch
+  size_t pending_commands = 0;    // in batches that are not committed
+  size_t unconfirmed_reads = 0;   // awaiting confirmation by a quorum
+  uint64_t log_bytes = 0;         // in memory, since the last snapshot
   uint64_t snapshot_bytes = 0;
   uint64_t unapplied_entries = 0;  // committed, not yet applied to the state
   uint64_t hellos = 0;  // received from other replicas since the start
@@ -62,7 +62,7 @@
                        ProposalCallback callback) = 0;
   // Calls back with kNone once a quorum has confirmed that this replica leads
   // and all entries committed before the call are applied. Otherwise calls back
-  // with kNotLeader, kNoQuorum or the storage error of Trouble().
+  // with kNotLeader, kNoQuorum or the storage error of StorageError().
   virtual void ConfirmedRead(std::function<void(ErrorKind)> callback) = 0;
   // Stores a settlement from an entry that cannot reach the leader; it is
   // durable when this returns. It is proposed once a leader is known and
@@ -79,7 +79,7 @@
   // The storage error that keeps this replica out of the group: kStorageFull
   // (retried each second), kStorageFailed or kStorageDamaged (both last until a
   // restart). kNone if it takes part.
-  virtual ErrorKind Trouble() const { return ErrorKind::kNone; }
+  virtual ErrorKind StorageError() const { return ErrorKind::kNone; }
 
   // Handles a frame received from another replica, or ProposeAnswers to
   // commands that this replica proposed from its spool.
@@ -101,7 +101,7 @@
   // no leader sends them hellos. Only used with self_healing.
   std::function<std::vector<HostId>()> control_hosts;
   // Called with the addresses of the group's replicas that a hello contained.
-  std::function<void(const std::vector<std::string>&)> on_members_heard;
+  std::function<void(const std::vector<std::string>&)> on_members_received;
 };
 
 std::unique_ptr<ControlReplica> MakeControlReplica(
--- a/src/dotterelshift/app/entry.cc
+++ b/src/dotterelshift/app/entry.cc
@@ -250,7 +250,7 @@
 
 void Entry::TakeFromLink() {
   const Instant now = m_loop.Now();
-  m_core->OnEntriesChanged(m_link.EntryPlace(), m_link.EntryCount());
+  m_core->OnEntriesChanged(m_link.EntryIndex(), m_link.EntryCount());
   if (m_link.GetConfiguration().Version() != m_version) Refresh();
   if (m_link.Reach() != m_reach) {
     m_reach = m_link.Reach();
--- a/src/dotterelshift/app/entry_pushes.h
+++ b/src/dotterelshift/app/entry_pushes.h
@@ -32,61 +32,61 @@
                    Instant now);
 
   // Answers a heartbeat; to be called once a quorum has confirmed that this
-  // replica leads. Missing versions are sent by PushSome().
-  void AnswerBeat(const HostId& entry, uint64_t sequence, WallMs stamp);
+  // replica leads. Missing versions are sent by PushPending().
+  void AnswerHeartbeat(const HostId& entry, uint64_t sequence, WallMs stamp);
   // Sends missing versions to the entries in round-robin order, up to the byte
   // limit of one loop iteration. Returns true if entries remain.
-  bool PushSome(Instant now);
+  bool PushPending(Instant now);
   void PushQuarantine(const HostId& entry, WallMs now);
   void PushQuarantineToAll(WallMs now);
 
   size_t Entries() const { return m_entries.size(); }
   // Totals of published routes sent since the start.
-  struct RoutesSent {
+  struct RoutesSentTotals {
     uint64_t wholes = 0;  // pushes of a full document
     uint64_t steps = 0;   // pushes of deltas from the version held
     uint64_t bytes = 0;
   };
-  const RoutesSent& Sent() const { return m_sent; }
+  const RoutesSentTotals& Sent() const { return m_sent; }
 
  private:
   // The version that an entry holds or that is in transit to it.
-  struct Pushed {
+  struct PushedVersion {
     uint64_t version = 0;
     Instant at{};  // when it was sent
     bool whole = false;
   };
   struct Entry {
     peers::PeerInfo info;
-    Pushed configuration;
-    Pushed routes;
+    PushedVersion configuration;
+    PushedVersion routes;
   };
   // Progress of one routes version to the entries, for the log.
-  struct Spread {
+  struct Rollout {
     uint64_t version = 0;
-    Instant begun{};
-    RoutesSent sent_before;
-    bool told = true;
+    Instant started_at{};
+    RoutesSentTotals sent_before;
+    bool logged = true;
   };
-  // `wants_whole`: the entry could not apply the delta that was sent.
-  static void OnHas(Pushed& pushed, uint64_t version, bool wants_whole,
-                    Instant now);
+  // `wants_full`: the entry could not apply the delta that was sent.
+  static void OnReportedVersion(PushedVersion& pushed, uint64_t version,
+                                bool wants_full, Instant now);
   // Return the approximate number of bytes sent.
   size_t Push(Entry& entry, Instant now);
   size_t PushConfiguration(Entry& entry, Instant now);
   size_t PushRoutes(Entry& entry, Instant now);
   // The full document as a step; packed once for all entries that need it.
-  const wire::RoutesStepT& WholeRoutes(const state::PublishedRoutes& published);
-  void WatchSpread(Instant now);
-  void LogSpread(Instant now);
+  const wire::RoutesStepT& FullRoutes(const state::PublishedRoutes& published);
+  void TrackRollout(Instant now);
+  void LogRollout(Instant now);
 
   peers::Hub& m_hub;
   const ControlReplica& m_replica;
   std::map<HostId, Entry> m_entries;
-  HostId m_pushed_last;
-  wire::RoutesStepT m_whole_routes;
-  RoutesSent m_sent;
-  Spread m_spread;
+  HostId m_last_pushed;
+  wire::RoutesStepT m_full_routes;
+  RoutesSentTotals m_sent;
+  Rollout m_rollout;
 };
 
 }  // namespace dotterelshift::app
--- a/src/dotterelshift/app/gateway_entry.cc
+++ b/src/dotterelshift/app/gateway_entry.cc
@@ -317,7 +317,7 @@
 
 void GatewayEntry::OnTick() {
   const Instant now = m_loop.Now();
-  m_link_guard.OnControlRoundTrip(m_link.TakeLongestBeat());
+  m_link_guard.OnControlRoundTrip(m_link.TakeMaxHeartbeatTime());
   m_link_guard.Watch(*m_server, m_hub->Counters(), now);
   m_link.SetHoldings(m_budgets.Holdings(now));
   m_link.OnTimer(now);
--- a/src/dotterelshift/app/gateway_options.cc
+++ b/src/dotterelshift/app/gateway_options.cc
@@ -36,7 +36,7 @@
 ControlLinkOptions ControlLinkOptionsOf(const HostRun& self) {
   ControlLinkOptions options;
   options.self = self;
-  options.names_answered = true;
+  options.reports_answered_below = true;
   return options;
 }
 
--- a/src/dotterelshift/app/gauges.h
+++ b/src/dotterelshift/app/gauges.h
@@ -33,7 +33,7 @@
 
 // Counters of the published routes that a control daemon has sent.
 void SetRoutesSentCounters(telemetry::Metrics& metrics,
-                           const EntryPushes::RoutesSent& sent);
+                           const EntryPushes::RoutesSentTotals& sent);
 
 // Gauges of a control replica; `entries` is the number connected to it.
 void SetReplicaGauges(telemetry::Metrics& metrics,
--- a/src/dotterelshift/app/member_changes.h
+++ b/src/dotterelshift/app/member_changes.h
@@ -32,7 +32,7 @@
                  const state::State& state, uint64_t version_before);
 
   // Drops the changes that a committed membership already contains.
-  void OnMembers(const wire::MembershipT& members);
+  void OnMembershipCommitted(const wire::MembershipT& members);
 
   // The change to propose next; empty if there is none.
   std::optional<MemberChange> Next() const;
@@ -41,10 +41,10 @@
   void AppendTo(std::string& snapshot) const;
   // Restores the pending changes from a snapshot and returns the bytes of the
   // state. Throws Error(kStorageDamaged) on malformed bytes.
-  std::string_view TakeFrom(std::string_view snapshot);
+  std::string_view RestoreFrom(std::string_view snapshot);
 
  private:
-  std::deque<MemberChange> m_wanted;
+  std::deque<MemberChange> m_pending_changes;
   wire::MembershipT m_members;  // the newest committed one
 };
 
--- a/src/dotterelshift/app/proposals.h
+++ b/src/dotterelshift/app/proposals.h
@@ -25,17 +25,18 @@
   // A batch with the callbacks of the proposals that its commands belong to.
   struct Batch {
     wire::CommandBatchT content;
-    std::vector<std::pair<size_t, ProposalCallback>> parts;  // command counts
+    std::vector<std::pair<size_t, ProposalCallback>>
+        callbacks;  // command counts
   };
 
   void Add(std::vector<wire::CommandT> commands, ProposalCallback callback);
-  bool HasWaiting() const { return !m_waiting.empty(); }
-  size_t CountWaiting() const;  // commands not yet in a batch
-  size_t CountPending() const;  // commands in uncommitted batches
+  bool HasUnbatched() const { return !m_waiting.empty(); }
+  size_t CountUnbatched() const;  // commands not yet in a batch
+  size_t CountPending() const;    // commands in uncommitted batches
 
-  // Takes all waiting proposals in batches of at most `most_commands` commands.
+  // Takes all waiting proposals in batches of at most `max_commands` commands.
   // A proposal is never split, so a larger one makes a larger batch of its own.
-  std::vector<Batch> TakeWaiting(size_t most_commands);
+  std::vector<Batch> TakeUnbatched(size_t max_commands);
 
   // Records that a batch was appended to the log.
   void OnProposed(uint64_t index, uint64_t term, Batch batch);
--- a/src/dotterelshift/app/replica_group.h
+++ b/src/dotterelshift/app/replica_group.h
@@ -75,14 +75,15 @@
   // Runs the loop until the condition holds. Throws after 30 s, far more than
   // any test needs.
   void RunUntil(const std::function<bool()>& condition) {
-    bool late = false;
+    bool timed_out = false;
     loop::Timer guard(m_loop, [&] {
-      late = true;
+      timed_out = true;
       m_loop.Stop();
     });
     guard.ArmIn(30s);
     while (!condition()) {
-      if (late) throw std::runtime_error("condition not reached within 30 s");
+      if (timed_out)
+        throw std::runtime_error("condition not reached within 30 s");
       ev_run(m_loop.Raw(), EVRUN_ONCE);
     }
   }
--- a/src/dotterelshift/app/replica_start_test.cc
+++ b/src/dotterelshift/app/replica_start_test.cc
@@ -30,21 +30,21 @@
 
 class ReplicaStartTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicaStartTest);
-  CPPUNIT_TEST(LeaderStaysWhileItsLogIsCarriedOut);
-  CPPUNIT_TEST(ALeaderActsOnceItsLogIsCarriedOut);
-  CPPUNIT_TEST(ALeaderChangesMembersOnceItsLogIsCarriedOut);
-  CPPUNIT_TEST(ALeaderStaysWhenManyEntriesReturnAtOnce);
-  CPPUNIT_TEST(ALeaderStaysWhileItSendsItsLogToLostHosts);
-  CPPUNIT_TEST(ALeaderStaysUnderSteadyWork);
-  CPPUNIT_TEST(ReadsComeSoonAfterAStartHoweverLongTheGroupRan);
-  CPPUNIT_TEST(WithoutALeaderHellosDoNotMultiply);
+  CPPUNIT_TEST(LeaderStaysWhileItAppliesItsLog);
+  CPPUNIT_TEST(LeaderActsOnceItsLogIsApplied);
+  CPPUNIT_TEST(LeaderChangesMembersOnceItsLogIsApplied);
+  CPPUNIT_TEST(LeaderStaysWhenManyEntriesReturnAtOnce);
+  CPPUNIT_TEST(LeaderStaysWhileItSendsItsLogToWipedHosts);
+  CPPUNIT_TEST(LeaderStaysUnderSteadyLoad);
+  CPPUNIT_TEST(ReadsAreConfirmedSoonAfterARestartForAnyLogLength);
+  CPPUNIT_TEST(HellosDoNotMultiplyWithoutALeader);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Members without a leader send hellos to each other. If each hello were
   // answered by another one, the exchange would go on until there is a leader
   // and take the processing time that an election needs.
-  void WithoutALeaderHellosDoNotMultiply() {
+  void HellosDoNotMultiplyWithoutALeader() {
     constexpr uint64_t kRunning = 4;  // too few for a leader
     constexpr uint64_t kSeconds = 20;
     ReplicaSimulation group(kHosts, WorkCosts{});
@@ -53,14 +53,14 @@
     group.RunFor(kSeconds * 1s);
     // Each sends a hello to every other one once a second; only a replica that
     // knows more answers.
-    constexpr uint64_t kMost = kRunning * (kRunning - 1) * (kSeconds + 1);
+    constexpr uint64_t kMaxHellos = kRunning * (kRunning - 1) * (kSeconds + 1);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(group.Hellos()) + " hellos",
-                           group.Hellos() <= kMost);
+                           group.Hellos() <= kMaxHellos);
   }
 
   // A leader that sends no heartbeats while it applies the log from its folder
   // is replaced by another one that does the same.
-  void LeaderStaysWhileItsLogIsCarriedOut() {
+  void LeaderStaysWhileItAppliesItsLog() {
     constexpr uint64_t kCommands = 300;  // 8 s of work
     ReplicaSimulation group(kHosts, SlowHost());
     group.FillLogs(kCommands);
@@ -72,7 +72,7 @@
   }
 
   // Before that it would send outdated routes and totals to the entries.
-  void ALeaderActsOnceItsLogIsCarriedOut() {
+  void LeaderActsOnceItsLogIsApplied() {
     constexpr uint64_t kCommands = 100;
     ReplicaSimulation group(kHosts, SlowHost());
     group.FillLogs(kCommands);
@@ -81,25 +81,25 @@
         group.RunUntil([&] { return !group.Leader().empty(); }, 20s));
     CPPUNIT_ASSERT_EQUAL(kCommands, group.CommandsAt(group.Leader()));
     group.RunFor(1s);
-    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, group.TimesToldToLead());
+    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, group.LeadershipNotifications());
   }
 
   // The log requests a member that a later entry adds and another one removes.
-  void ALeaderChangesMembersOnceItsLogIsCarriedOut() {
+  void LeaderChangesMembersOnceItsLogIsApplied() {
     ReplicaSimulation group(kHosts, SlowHost());
     group.LogConfirmedPlan();
     group.FillLogs(100);
-    group.LogNewcomerCameAndWent();
+    group.LogReplicaAddedAndRemoved();
     RestartAll(group);
     CPPUNIT_ASSERT(
-        !group.RunUntil([&] { return group.NewcomerIsMember(); }, 20s));
+        !group.RunUntil([&] { return group.AddedReplicaIsMember(); }, 20s));
     CPPUNIT_ASSERT(!group.Leader().empty());
   }
 
   // Entries that reconnect send all their pending commands at once. A single
   // batch of them would be applied in one loop iteration, however the apply
   // time of log entries is limited.
-  void ALeaderStaysWhenManyEntriesReturnAtOnce() {
+  void LeaderStaysWhenManyEntriesReturnAtOnce() {
     constexpr uint64_t kCommands = 1000;
     WorkCosts costs;
     costs.command = 1ms;
@@ -113,7 +113,7 @@
 
   // A host that has lost its folder is sent the whole log. Sent in one loop
   // iteration, that would block the leader in proportion to the log's length.
-  void ALeaderStaysWhileItSendsItsLogToLostHosts() {
+  void LeaderStaysWhileItSendsItsLogToWipedHosts() {
     constexpr uint64_t kCommands = 100;
     constexpr size_t kEntryBytes = 64 << 10;
     WorkCosts costs;
@@ -129,7 +129,7 @@
 
   // A fleet sends reports without a pause, so each loop iteration of the leader
   // begins and ends with a pending write.
-  void ALeaderStaysUnderSteadyWork() {
+  void LeaderStaysUnderSteadyLoad() {
     constexpr uint64_t kCommands = 2'000;
     for (const Duration gap : {1ms, 2ms, 4ms}) {
       WorkCosts costs;
@@ -137,21 +137,21 @@
       ReplicaSimulation group(kHosts, costs);
       group.StartAll();
       CPPUNIT_ASSERT(group.Accept(1, 10s));
-      CPPUNIT_ASSERT(group.AcceptEach(gap, kCommands, 60s));
+      CPPUNIT_ASSERT(group.AcceptPaced(gap, kCommands, 60s));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(ToMs(gap)), uint64_t{1},
                                    group.Elections());
     }
   }
 
   // At most 5 s from the start of all hosts to the first confirmed read.
-  void ReadsComeSoonAfterAStartHoweverLongTheGroupRan() {
+  void ReadsAreConfirmedSoonAfterARestartForAnyLogLength() {
     for (const uint64_t commands : {10, 100, 1000}) {
       ReplicaSimulation group(kHosts, SlowHost());
       group.StartAll();
       CPPUNIT_ASSERT(group.Accept(commands, 600s));
       RestartAll(group);
       CPPUNIT_ASSERT_MESSAGE(std::to_string(commands),
-                             group.TimeToRead(5s).has_value());
+                             group.TimeToConfirmedRead(5s).has_value());
     }
   }
 };
