--- a/include/dotterelshift/admission/fair_queue.h
+++ b/include/dotterelshift/admission/fair_queue.h
@@ -43,8 +43,8 @@
   virtual std::optional<Instant> NextDeadline() const = 0;
   virtual size_t Size() const = 0;
   virtual size_t SizeOf(const TeamId& team) const = 0;
-  // Cost that would be served before this request if it were pushed now; input
-  // of the wait estimator.
+  // The cost of the requests that would be served before this one if it were
+  // pushed now. The wait estimator uses it.
   virtual double CostAhead(const Waiting& waiting) const = 0;
 };
 
--- a/include/dotterelshift/budget/ledger.h
+++ b/include/dotterelshift/budget/ledger.h
@@ -23,7 +23,8 @@
   wire::GrantWay way = wire::GrantWay::Witnessed;
   // How long a cut-off entry should keep serving.
   Duration partition = 60s;
-  // Minimum holding while the budget is in use, whatever the measured demand.
+  // Minimum holding while the budget is in use, even if the measured demand is
+  // lower.
   Tokens least = 0;
 };
 
@@ -37,8 +38,8 @@
   // After the answer "nothing free", the leader is not asked again for this
   // long.
   Duration refusal_ttl = 500ms;
-  // Requests of teams with RefusalsFirst wait through a disconnection of this
-  // length.
+  // Requests of teams with RefusalsFirst wait, instead of being refused, during
+  // a disconnection shorter than this.
   Duration disconnect_grace = 2s;
   // More tokens are requested when less than this fraction of the target
   // holding is left.
@@ -110,9 +111,10 @@
   virtual bool MoveToPreauthorized(BudgetHandle budget, Tokens reserved,
                                    Instant now) = 0;
 
-  // Control refused the opening of an attempt: the reservation ends with
-  // nothing spent, and all unreserved tokens are returned, because control no
-  // longer counts them as held by this entry.
+  // Control refused the opening of an attempt because it counts fewer tokens
+  // for this entry than the entry itself. The reservation ends with nothing
+  // spent, and all unreserved tokens are returned, which brings both counts
+  // into agreement.
   virtual void OnOpeningRefused(BudgetHandle budget, Tokens reserved,
                                 Instant now) = 0;
 
--- a/include/dotterelshift/gateway/core.h
+++ b/include/dotterelshift/gateway/core.h
@@ -29,33 +29,36 @@
   // A request is sent this long before its prefill start, to cover the network
   // latency to the endpoint.
   Duration send_lead = 2ms;
-  // Time to a stream's first event besides waiting and prefill: the first
-  // decoding step and the network round trip. 15 to 30 ms without load.
+  // Part of the time to a stream's first event that is neither waiting nor
+  // prefill: the first decoding step and the network round trip. 15 to 30 ms
+  // without load.
   Duration first_event_overhead = 30ms;
   // How long a request may wait for tokens that were requested from control and
   // from the other entries: a few round trips and a commit.
   Duration budget_wait = 100ms;
-  // The same while control is reachable and has reported enough free tokens. A
-  // grant will come, but a saturated link or a busy leader can delay it by up
-  // to 600 ms in a fleet of 86 entries.
+  // Replaces `budget_wait` while control is reachable and has reported enough
+  // free tokens. A grant is then likely, but a saturated link or a busy leader
+  // can delay it by up to 600 ms in a fleet of 86 entries.
   Duration grant_wait = 600ms;
   // `grant_wait` is capped at the caller's timeout divided by this.
   int grant_wait_divisor = 8;
-  // How often the tokens are requested again meanwhile, each time from other
-  // entries.
+  // Interval at which a waiting request asks for the tokens again, each time
+  // from other entries.
   Duration budget_retry_interval = 20ms;
-  // A request whose first event would miss its target is still accepted when
-  // the event would come within this fraction of the caller's timeout.
+  // A request that has to wait for its prefill and whose first event would miss
+  // the target is still accepted if the event is expected within this fraction
+  // of the caller's timeout.
   double max_wait_fraction = 0.35;
   // Timeout of a caller that gives none.
   Duration default_caller_timeout = 60s;
   // Idle timeout of a response: an attempt is abandoned when its endpoint has
   // sent nothing for this long and the request may run again elsewhere.
   Duration response_idle_timeout = 1500ms;
-  // Minimum retry delay told to a caller when this entry's outbound link is
-  // saturated. Short, as the links of other entries are free.
+  // Minimum retry delay sent to a caller when this entry's outbound link is
+  // saturated. It is short, as the links of other entries have capacity.
   Duration min_link_retry_after = 50ms;
-  // Minimum retry delay told to a caller when the whole fleet is full.
+  // Minimum retry delay sent to a caller when no endpoint can run its request
+  // in time.
   Duration min_retry_after = 500ms;
   uint64_t seed = 1;  // of the split by weight and the jitter of retry delays
 };
@@ -73,14 +76,14 @@
 struct CancelAttempt {
   AttemptId attempt = 0;
 };
-// The endpoint is leaving. If no byte of the attempt has been handed to a
-// connection yet, the attempt is withdrawn and OnWithdrawn() is called; else it
-// continues.
+// Requested when the endpoint is leaving. If no byte of the attempt has been
+// handed to a connection, the attempt is withdrawn and OnWithdrawn() is called;
+// otherwise the attempt continues.
 struct WithdrawAttempt {
   AttemptId attempt = 0;
 };
-// Sends an error response of the gateway itself. A kind that says that the
-// request did not run is used only if it did not.
+// Sends an error response that the gateway generates itself. A kind that means
+// "the request did not run" is used only if no endpoint can have run it.
 struct Refuse {
   RequestId request = 0;
   ErrorKind kind = ErrorKind::kInternal;
@@ -103,11 +106,12 @@
 struct FinishStream {
   RequestId request = 0;
 };
-// Ends a stream early, such that the caller sees that it is incomplete.
+// Ends a stream early, in a way that lets the caller detect that it is
+// incomplete.
 struct AbortStream {
   RequestId request = 0;
 };
-// A log line: what was decided on a request, and from which inputs.
+// A log line: a decision about a request, and the inputs of the decision.
 struct Decision {
   std::string_view event;
   std::string caller_id;
@@ -120,9 +124,9 @@
                             Refuse, RelayResponse, RelayHead, RelayChunk,
                             FinishStream, AbortStream, Decision>;
 
-// Report to control, which counts over the whole fleet: an endpoint broke off
-// while it ran a content, or a content that was suspected before got a complete
-// response.
+// A report to control: an endpoint broke off while it ran a content, or a
+// content that was suspected got a complete response. Control counts the
+// reports of all entries.
 struct SuspectReport {
   uint64_t content_hash = 0;
   EndpointId endpoint;  // empty: the content is cleared of suspicion
@@ -134,7 +138,7 @@
 struct LinkQueue {
   size_t requests = 0;
   uint64_t bytes = 0;
-  uint64_t refused = 0;  // since the start, since they would wait too long
+  uint64_t refused = 0;  // since the start, for too long a wait
 };
 
 // Handles requests under the published routes from arrival to the last byte:
@@ -163,7 +167,7 @@
   virtual void OnChunk(AttemptId attempt, std::string_view bytes,
                        Instant now) = 0;
   virtual void OnEnd(AttemptId attempt, http::TransferEnd end, Instant now) = 0;
-  // No byte of the attempt has left this host or will leave it.
+  // The attempt was withdrawn: no byte of it was sent, and none will be.
   virtual void OnWithdrawn(AttemptId attempt, Instant now) = 0;
 
   // A team may have more tokens available.
--- a/include/dotterelshift/gateway/fleet_load.h
+++ b/include/dotterelshift/gateway/fleet_load.h
@@ -26,8 +26,8 @@
   // Endpoints in this data centre are cheaper to reach.
   DataCentreId data_centre;
   // Prompt tokens that an engine prefills per millisecond while it also serves
-  // streams. An engine that only prefills reaches 93; the rest is left to its
-  // streams.
+  // streams. An engine that only prefills reaches 93; the difference is used
+  // for generating the tokens of its streams.
   double prefill_tokens_per_ms = 75;
   // Cost in milliseconds per request that already runs at the endpoint, as each
   // slows token generation: a decoding step of 3.3 ms is shared by a batch.
@@ -35,7 +35,8 @@
   // Cost in milliseconds of leaving the data centre: the round trip and the
   // bytes.
   double other_data_centre_ms = 6;
-  // The same in a fleet so large that load updates stay within a data centre,
+  // Replaces `other_data_centre_ms` in a fleet of more than
+  // `max_observed_fleet` entries. Load updates then stay within a data centre,
   // so that the load of other entries on remote endpoints is not known.
   double unobserved_data_centre_ms = 120;
   size_t max_observed_fleet = 16;  // entries
@@ -70,12 +71,11 @@
   DataCentreId data_centre;
 };
 
-// Load of all endpoints as caused by the whole fleet: the requests of this
-// entry, and those of the other entries, which report theirs within
-// milliseconds by load updates. An engine that prefills two long prompts at
-// once delays their first tokens and stalls all its streams for longer than
-// callers tolerate. Each request is therefore queued for prefill behind the
-// earlier ones.
+// The load of all endpoints by the requests of all entries. Other entries
+// report their requests within milliseconds by load updates. An engine that
+// prefills two long prompts at once delays their first tokens and stalls all
+// its streams for longer than callers tolerate. Each request is therefore
+// queued for prefill behind the earlier ones.
 class FleetLoad {
  public:
   static constexpr size_t kAllUpdates = std::numeric_limits<size_t>::max();
@@ -98,8 +98,9 @@
   // Whether any endpoint of the service is usable.
   bool HasEndpoint(const ServiceName& service, Instant now) const;
 
-  // A request was assigned to an endpoint and its prompt queued for prefill;
-  // its prefill ended; the request ended, for whatever reason.
+  // Record, in this order: a request was assigned to an endpoint and its prompt
+  // queued for prefill; its prefill ended; the request ended, with or without a
+  // response.
   void OnAssigned(const Placement& placement, const Prompt& prompt,
                   Instant now);
   void OnPrefilled(EndpointKey endpoint, Instant now);
@@ -112,9 +113,9 @@
   void OnOverloaded(EndpointKey endpoint, Instant now);
 
   // Load updates for the other entries since the last call. Beyond the
-  // given number the oldest prompt segments are dropped: without them other
-  // entries only choose worse, but without the sums their counts would stay
-  // wrong.
+  // given number the oldest prompt segments are dropped, but no sums: a missing
+  // segment only makes other entries choose worse, while a missing sum would
+  // leave their counts wrong.
   std::vector<wire::LoadNote> TakeLoadUpdates(size_t most = kAllUpdates);
   bool HasLoadUpdates() const {
     return !m_changes.empty() || !m_segment_updates.empty();
@@ -163,8 +164,8 @@
   std::unordered_map<EndpointKey, Load> m_loads;
   std::unordered_map<ServiceName, std::vector<EndpointKey>> m_by_service;
   std::unordered_map<ServiceName, EngineCapacity> m_engines;
-  // Not yet sent to the other entries: sums per endpoint, and prompt segments
-  // that are now cached there.
+  // Changes to send to the other entries: sums per endpoint, and prompt
+  // segments that are now cached there.
   struct Change {
     int32_t prompt_tokens = 0;
     int32_t requests = 0;
--- a/include/dotterelshift/gateway/held_grants.h
+++ b/include/dotterelshift/gateway/held_grants.h
@@ -23,11 +23,11 @@
   // Interval of spend reports. It is short, as whatever has not been reported
   // counts as fully spent if this process dies.
   Duration report_every = 250ms;
-  // How long an entry without control should be able to serve each team. All
-  // tokens held for this are lost if the process dies.
+  // How long an entry that is cut off from control should be able to serve each
+  // team. All tokens held for this are lost if the process dies.
   Duration partition = 9s;
   // Fraction of a total that all entries hold together before demand is known,
-  // so that a partition soon after the start can be survived as well.
+  // so that they can also serve through a partition soon after the start.
   double initial_fraction = 0.35;
   // A team's demand counts as known this long after its first request.
   Duration demand_warmup = 10s;
@@ -42,8 +42,8 @@
   // for the rest of the day.
   double trickle_threshold = 0.03;
   Duration trickle_duration = 20s;
-  // Limit on the tokens that accumulate, as time at the release rate; a small
-  // request may have to wait this long.
+  // Limit on the released tokens that accumulate, as time at the release rate.
+  // A request of that size may have to wait this long.
   Duration trickle_burst = 10s;
   // Maximum age at which control's figure for the remainder is used for
   // rationing and for predicting grants.
@@ -63,8 +63,9 @@
 
 // Reserves tokens for requests of teams with a published total, out of the
 // grants that control gave this entry, and reports what the requests consumed.
-// No request waits for a commit: grants are spent without a committed opening,
-// so that all but the reported part is lost if this process dies.
+// No request waits for a commit: grants are spent without a committed opening.
+// If this process dies, all tokens of its grants count as lost except those
+// that were reported as spent.
 class HeldGrants {
  public:
   using NextId = std::function<std::unique_ptr<wire::CommandIdT>()>;
@@ -80,8 +81,8 @@
   void Settle(const TeamId& team, Tokens reserved, Tokens spent, bool answered,
               Instant now);
 
-  // Handles another entry's request to borrow tokens. The returned tokens have
-  // already left this entry; 0 if none can be spared.
+  // Handles another entry's request to borrow tokens. Returns the number of
+  // tokens lent, which are already deducted here; 0 if none are idle.
   Tokens OnBorrow(const wire::TokenBorrowT& borrow, const HostRun& from,
                   Instant now);
   // Adds tokens that another entry has lent.
--- a/include/dotterelshift/gateway/link_admission.h
+++ b/include/dotterelshift/gateway/link_admission.h
@@ -14,8 +14,8 @@
   double bytes_per_second = 0;
   // Fraction of the link that may be in use continuously.
   double used_fraction = 0.92;
-  // The same while the link has been full for longer than `max_busy_time`, so
-  // that the queue in front of it shrinks.
+  // Replaces `used_fraction` once the link has been full for longer than
+  // `max_busy_time`, so that the queue in front of the link shrinks.
   double draining_fraction = 0.85;
   Duration max_busy_time = 300ms;
   // While the link stays full, the fraction falls by this much per second, down
@@ -23,14 +23,15 @@
   // estimated.
   double fraction_decay_per_second = 0.5;
   double min_fraction = 0.4;
-  // Burst allowed on top of that, as transmission time on the link.
+  // Burst allowed in addition, as transmission time on the link.
   Duration burst = 120ms;
   // No connection is accepted while more than this, as transmission time on the
   // link, is in transit inbound.
   Duration max_wait = 220ms;
-  // Limit on what idle kept-alive connections could send all at once. Links at
-  // least this fast (100 Mbit/s) carry all the connections that the server
-  // accepts, so that the limit does not apply.
+  // Limit on the bytes that idle kept-alive connections could send at the same
+  // time, as transmission time on the link. It does not apply to links of
+  // `fast_bytes_per_second` (100 Mbit/s) or more, which can carry all the
+  // connections that the server accepts.
   Duration keep_alive_burst = 120ms;
   double fast_bytes_per_second = 12.5e6;
   // An overrun counts at most this much, as transmission time, so that the link
@@ -79,8 +80,9 @@
 // callers have already sent their prompts: these are counted too, and no
 // connection is accepted while too much is in transit. Unsolicited requests on
 // kept-alive connections are bounded by limiting their number. Since the
-// counted bytes never exceed the link's rate, a standing queue is detected by
-// how long the link has had no gap; less is then admitted until a gap occurs.
+// counted bytes never exceed the link's rate, they do not show a queue. It is
+// detected by how long the link has been busy without a gap; less is then
+// admitted until a gap occurs.
 class LinkAdmission {
  public:
   explicit LinkAdmission(const LinkAdmissionOptions& options);
@@ -112,7 +114,7 @@
   // send a request at any moment.
   bool MayKeep(size_t connections) const;
 
-  // Whether a queue may be standing in front of the link, so that less is
+  // Whether there may be a lasting queue in front of the link, so that less is
   // admitted. Idle kept-alive connections should then be closed, as each may
   // add to the queue at any moment.
   bool IsDrainingQueue() const { return BusyFor() > m_options.max_busy_time; }
--- a/include/dotterelshift/orders/order_core.h
+++ b/include/dotterelshift/orders/order_core.h
@@ -14,7 +14,7 @@
 namespace dotterelshift::orders {
 
 struct OrderOptions {
-  // Limited by the weight store's bandwidth.
+  // Model loads at a time; the weight store's bandwidth is limited.
   int max_concurrent_loads = 2;
   // After this time a sent order can no longer arrive.
   Duration max_delivery_time = 10s;
--- a/include/dotterelshift/quarantine/suspects.h
+++ b/include/dotterelshift/quarantine/suspects.h
@@ -13,7 +13,7 @@
 struct SuspectOptions {
   // How long a suspect is kept after the last endpoint died running it.
   Duration retention = 600s;
-  size_t max_suspects = 4096;  // beyond it the oldest is removed
+  size_t max_suspects = 4096;  // above this the oldest is removed
 };
 
 // Contents whose attempts ended with the death of their endpoint, as seen by
--- a/include/dotterelshift/serving/request_core.h
+++ b/include/dotterelshift/serving/request_core.h
@@ -101,7 +101,8 @@
   // How long a claim, an opening or a report of a death may wait for its
   // commit.
   Duration commit_timeout = 1s;
-  // How long the last chunk waits for its bill; then the bill is spooled.
+  // How long the last chunk waits for the commit of its bill; after that the
+  // bill is spooled.
   Duration settle_timeout = 2s;
   // Setting: serve with pre-authorized tokens while cut off, or refuse.
   bool serve_when_cut_off = true;
--- a/include/dotterelshift/state/state.h
+++ b/include/dotterelshift/state/state.h
@@ -62,9 +62,10 @@
     50, 100, 200, 400, 700, 1000, 2000, 5000, 10000, 30000, 60000, 120000};
 
 struct StateOptions {
-  // The age from which bills and finished claims are only kept as daily totals.
+  // Bills and finished claims older than this are kept only as daily totals.
   WallMs bill_retention_ms = 3 * 24 * 3600 * 1000LL;
-  // Answers kept per incarnation, so that a resend gets its first answer.
+  // Answers kept per incarnation, so that a resent command gets the same answer
+  // as the first time.
   size_t max_kept_answers = 4096;
   // Distinct endpoints that died running a content before it is quarantined.
   uint32_t quarantine_after = 3;
@@ -74,12 +75,13 @@
   WallMs expired_key_retention_ms = 30 * 24 * 3600 * 1000LL;
   // How long a plan that is not confirmed is kept.
   WallMs unconfirmed_plan_retention_ms = 24 * 3600 * 1000LL;
-  // How long a repeated confirmation of a plan gets its first answer.
+  // How long a repeated confirmation of a plan gets the same answer as the
+  // first confirmation.
   WallMs confirmed_plan_retention_ms = 30 * 24 * 3600 * 1000LL;
   size_t max_kept_changes = 4096;  // of confirmed plans, for ChangesSince()
   WallMs lease_ms = 2'000;  // GrantWay::ClockLease: idle timeout after which
                             // unopened tokens may be granted to others
-  int64_t report_retention_days = 400;  // that reports reach back
+  int64_t report_retention_days = 400;  // older days are summed up
 };
 
 // Prefix of request keys that an entry generated; a caller's key may not start
--- a/src/dotterelshift/budget/ledger.cc
+++ b/src/dotterelshift/budget/ledger.cc
@@ -299,8 +299,8 @@
                                    : ReserveResult::kWait;
   }
 
-  // Teams with RefusalsFirst wait through a short disconnection instead of
-  // being refused.
+  // Whether requests of the team wait, instead of being refused, because the
+  // disconnection is still short. Only teams with RefusalsFirst do.
   bool WithinDisconnectGrace(const Position& position, Instant now) const {
     return !m_connected &&
            position.policy.policy == wire::TeamPolicy::RefusalsFirst &&
@@ -348,7 +348,8 @@
     return !idle && position.Idle() < enough;
   }
 
-  // The tokens above the target when the holding exceeds it by return_above.
+  // The tokens above the target when the holding exceeds it by
+  // return_above_factor.
   Tokens Surplus(const Position& position, Instant now) const {
     if (m_options.return_above_factor == 0) return 0;
     const Tokens target = Target(position, now);
--- a/src/dotterelshift/gateway/core_impl.h
+++ b/src/dotterelshift/gateway/core_impl.h
@@ -17,8 +17,8 @@
 namespace dotterelshift::gateway {
 
 // The implementation behind MakeCore(): arrival in core.cc, choice of the
-// endpoint and sending in core_place.cc, the queue for the outbound link in
-// core_link.cc, responses and retries in core_answer.cc.
+// endpoint and sending in core_placement.cc, the queue for the outbound link in
+// core_link.cc, responses and retries in core_response.cc.
 class CoreImpl final : public Core {
  public:
   CoreImpl(const CoreOptions& options, const CoreDependencies& parts)
@@ -64,7 +64,7 @@
   Duration BudgetWait(const ActiveRequest& active, Instant now) const;
   void FailForBudget(ActiveRequest& active, ErrorKind kind, Instant now);
 
-  // Choosing an endpoint and sending (core_place.cc).
+  // Choosing an endpoint and sending (core_placement.cc).
   void Place(ActiveRequest& active, Instant now);
   void WaitForEndpoint(ActiveRequest& active, Instant now);
   bool WouldRespondTooLate(const ActiveRequest& active,
@@ -83,7 +83,8 @@
   void RefuseOverdue(Instant now);
   void RefuseForLink(ActiveRequest& active, Instant now);
   Duration LinkWait(const ActiveRequest& active, Instant now) const;
-  // Until when an attempt that begins now may wait for the outbound link.
+  // The time until which an attempt that begins now may wait for the outbound
+  // link.
   static Instant LinkDeadline(const ActiveRequest& active, Instant now);
   // Whether an attempt that begins now could be sent by LinkDeadline().
   bool CanSendInTime(const ActiveRequest& active, Instant now) const;
@@ -93,7 +94,7 @@
   void OnNotSent(AttemptId attempt, Instant now);
   Instant NextLinkTimer() const;
 
-  // Responses (core_answer.cc).
+  // Responses (core_response.cc).
   ActiveRequest* FindByAttempt(AttemptId attempt);
   void OnCompleteResponse(ActiveRequest& active, Instant now);
   void OnEndpointRefusal(ActiveRequest& active, Instant now);
@@ -137,14 +138,14 @@
   std::set<std::pair<Instant, RequestId>> m_timers;
   std::map<LinkRank, uint64_t>
       m_waiting;  // queued for the link, with their bytes
-  // A request was queued ahead of others, which may miss their link_deadline
-  // now.
+  // A request was queued ahead of others, so that these may now miss their
+  // link deadline.
   bool m_recheck_link_waits = false;
   uint64_t m_link_refused = 0;
   std::vector<Action> m_actions;
   std::vector<serving::RequestSummary> m_finished;
   std::vector<SuspectReport> m_suspect_reports;
-  std::set<uint64_t> m_suspected;  // contents reported and not yet cleared
+  std::set<uint64_t> m_suspected;  // contents reported but not cleared
 };
 
 }  // namespace dotterelshift::gateway
--- a/src/dotterelshift/gateway/core_placement.cc
+++ b/src/dotterelshift/gateway/core_placement.cc
@@ -8,8 +8,8 @@
 // How often a request that found all endpoints full retries the choice.
 constexpr Duration kEndpointRetryInterval = 10ms;
 
-// A request may wait for a free endpoint for its target divided by this. If
-// that is not enough, its caller is better told to retry.
+// A request waits for a free endpoint for at most its target divided by this.
+// After that it is refused, so that its caller can retry.
 constexpr int kEndpointWaitDivisor = 8;
 
 std::string Ms(Duration duration) { return std::to_string(ToMs(duration)); }
@@ -128,7 +128,7 @@
 }
 
 // The attempt has reached no endpoint, so that the next one uses no retry
-// budget, but it counts towards kMostSends.
+// budget, but it counts towards kMaxSends.
 void CoreImpl::OnWithdrawn(AttemptId id, Instant now) {
   OnNotSent(id, now);
   ActiveRequest* active = FindByAttempt(id);
@@ -145,7 +145,7 @@
 }
 
 // Adds jitter, between one and two times the wait, so that callers that were
-// refused together do not return together. The result is at most a third of the
+// refused together do not retry together. The result is at most a third of the
 // time until the caller's deadline.
 Duration CoreImpl::RetryAfter(const ActiveRequest& active, Duration wait,
                               Instant now) {
--- a/src/dotterelshift/gateway/drain_test.cc
+++ b/src/dotterelshift/gateway/drain_test.cc
@@ -75,7 +75,7 @@
     info.timeout = 60s;
     m_core->OnRequest(kRequest, info, m_now);
     Collect();
-    // Its deadline, counted from its head, is before m_times.last_answer.
+    // Its deadline, counted from its head, is before m_times.response_deadline.
     CPPUNIT_ASSERT(Only<StartAttempt>().time_left == info.begun + 4s - m_now);
     info.begun = m_now - 1s;
     m_core->OnRequest(2, info, m_now);
--- a/src/dotterelshift/replication/member_keeper.h
+++ b/src/dotterelshift/replication/member_keeper.h
@@ -28,14 +28,14 @@
 // replica at a time:
 //
 //   - A waiting replica is added.
-//   - If a member's host waits with a new replica, because it lost its data
-//     folder, the old replica is removed first.
+//   - If a member's host has lost its data folder, it waits with a new replica;
+//     the old replica is then removed first.
 //   - A silent member is removed only if no replica waits and the group has an
 //     even number of voters greater than three, no learner, and no other silent
 //     member.
 //
 // A partition alone therefore never reduces the number of failures that a group
-// tolerates, and an entry that a majority holds stays on a majority.
+// tolerates, and a log entry that a majority holds stays on a majority.
 class MembershipRepair {
  public:
   explicit MembershipRepair(ReplicaId self,
--- a/src/dotterelshift/replication/membership_simulation.h
+++ b/src/dotterelshift/replication/membership_simulation.h
@@ -160,7 +160,7 @@
 
   void Crash(Host& host) {
     if (!host.node) return;
-    // Unsynced writes may have reached the disk nevertheless.
+    // Writes that were not synced may or may not have reached the disk.
     if (host.unsynced && Chance(30)) Persist(host, *host.unsynced);
     host.node.reset();
     host.unsynced.reset();
@@ -269,8 +269,9 @@
   void RecordLeader(const Host& host) {
     if (host.node->Role() != NodeRole::kLeader) return;
     const uint64_t term = host.node->Term();
-    // A group that was lost together with its first member before it had
-    // accepted anything may use the same term as the group that replaces it.
+    // If the first member of a group is lost before the group has accepted any
+    // entry, the group is lost too. The group that replaces it may use the same
+    // term.
     const wire::LogEntryT& first = host.disk.entries.front();
     const std::string group(first.payload.begin(), first.payload.end());
     const auto [leader, fresh] =
--- a/src/dotterelshift/replication/raft_simulation.h
+++ b/src/dotterelshift/replication/raft_simulation.h
@@ -234,7 +234,7 @@
   void Crash(Place& place) {
     if (!place.node) return;
     ++m_counts.crashes;
-    // Unsynced writes may have reached the disk nevertheless.
+    // Writes that were not synced may or may not have reached the disk.
     if (place.unsynced && Chance(30)) Persist(place, *place.unsynced);
     place.node.reset();
     place.unsynced.reset();
--- a/src/dotterelshift/state/apply_published.cc
+++ b/src/dotterelshift/state/apply_published.cc
@@ -108,8 +108,8 @@
 }
 
 // Tokens transferred to a dead incarnation are lost. A receiver that has not
-// registered yet may spend its tokens nevertheless: its grant is then below
-// zero, which the tokens still counted for the sender make up for.
+// registered may already spend its tokens. Its grant is then below zero, and
+// the tokens still counted for the sender compensate for that.
 void Apply(Context& context, const wire::MoveGrantT& command,
            wire::CommandAnswerT& answer) {
   Tables& tables = context.tables;
--- a/src/dotterelshift/state/grants.cc
+++ b/src/dotterelshift/state/grants.cc
@@ -44,7 +44,8 @@
   const auto found = Place(account, run);
   if (found == grants.end()) return account.DropGrantsIfEmpty();
   if (found->tokens != 0) return;
-  // A live holder still counts on its pre-authorized amount.
+  // The grant of a live holder is kept while it has openings or a
+  // pre-authorized amount.
   const bool remembered = !found->openings.empty() || found->standing > 0;
   if (found->dead || !remembered) grants.erase(found);
   account.DropGrantsIfEmpty();
--- a/src/dotterelshift/state/tables.h
+++ b/src/dotterelshift/state/tables.h
@@ -67,7 +67,7 @@
 struct HostIncarnation {
   HostRun id;
   bool dead = false;
-  bool retired = false;     // an operator freed what it had left
+  bool retired = false;     // by an operator, who freed its remaining tokens
   WallMs last_command = 0;  // stamp of its newest command
 };
 
@@ -144,13 +144,14 @@
   wire::PlanT plan;
   WallMs stored = 0;
   WallMs confirmed = 0;
-  uint64_t version = 0;  // that it created; 0: not confirmed
+  uint64_t version = 0;  // configuration that it created; 0: not confirmed
   bool has_body = true;  // its changes are still kept
 };
 
 inline constexpr WallMs kDayMs = 86'400'000;
 
-// The day number of the line that sums up all days older than reports reach.
+// The day number of the line that sums up all days that are too old for the
+// reports.
 inline constexpr int64_t kAggregatedDay = -1;
 
 // The routes document that an operator's program published, and how many tokens
