--- a/include/dotterelshift/gateway/spend_reports.h
+++ b/include/dotterelshift/gateway/spend_reports.h
@@ -15,9 +15,9 @@
 
 // Accumulates what an entry spends and lends until it can be reported to
 // control. One report is in flight at a time; later events are summed by team
-// and receiver. However long control is unreachable, the entry then has one
-// command to send instead of one per interval and loan, so that a restarting
-// control group is not overloaded by the backlog of a whole fleet.
+// and receiver. After control was unreachable for any length of time, the entry
+// has one command to send instead of one per interval and loan, so that a
+// restarting control group is not overloaded by the backlog of a whole fleet.
 class SpendReports {
  public:
   void OnSpent(const TeamId& team, Tokens spent, bool answered);
--- a/src/dotterelshift/budget/ledger.cc
+++ b/src/dotterelshift/budget/ledger.cc
@@ -150,7 +150,7 @@
     Position& position = m_positions[budget];
     position.reserved -= reserved;
     // Returning all idle tokens brings control's account and this ledger into
-    // agreement, whatever control counted.
+    // agreement, even though they counted different amounts.
     position.recalled = position.Idle();
     position.shortfall = std::max(position.shortfall, reserved);
     MarkDirty(budget);
--- a/src/dotterelshift/gateway/core.cc
+++ b/src/dotterelshift/gateway/core.cc
@@ -51,8 +51,8 @@
   Admit(active, now);
 }
 
-// Before the first routes are received requests are refused as not ready, not
-// as unknown paths.
+// Until the first routes are received, requests are refused as kNotReady and
+// not as unknown paths.
 ErrorKind CoreImpl::FindRoute(ActiveRequest& active) const {
   if (m_stopped) return ErrorKind::kDraining;
   if (active.routes == nullptr) return ErrorKind::kNotReady;
@@ -82,9 +82,9 @@
   ReserveBudget(active, now);
 }
 
-// After the notice period only requests are accepted whose own deadline is
-// before the end of the shutdown: the process's exit would truncate the
-// response of any other, which another entry can deliver completely.
+// Whether to refuse the request because the shutdown may end before its own
+// deadline. This applies after the notice period: the process's exit could
+// truncate the response, while another entry can deliver it completely.
 bool CoreImpl::OutlivesDrain(const ActiveRequest& active, Instant now) const {
   return m_drain && now > m_drain->notice_end &&
          active.deadline > m_drain->response_deadline;
--- a/src/dotterelshift/gateway/core_link.cc
+++ b/src/dotterelshift/gateway/core_link.cc
@@ -10,8 +10,8 @@
 // passed since its arrival. The rest of the target is left for running it.
 constexpr int kLinkWaitDivisor = 2;
 
-// Any attempt, also a late one, may wait at least for the target divided by
-// this.
+// Each attempt, including one that begins late, may wait for at least the
+// target divided by this.
 constexpr int kRetryLinkWaitDivisor = 4;
 
 std::string Ms(Duration duration) { return std::to_string(ToMs(duration)); }
@@ -68,7 +68,7 @@
 }
 
 // Refuses queued requests that can no longer be sent in time, because more
-// urgent requests or more response traffic came ahead of them.
+// urgent requests or response traffic used the link before them.
 void CoreImpl::RefuseOverdue(Instant now) {
   m_recheck_link_waits = false;
   uint64_t before = 0;
--- a/src/dotterelshift/gateway/core_link_test.cc
+++ b/src/dotterelshift/gateway/core_link_test.cc
@@ -219,7 +219,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
   }
 
-  // Guard against link capacity that stays taken by prompts that were not
+  // Guard against link capacity that stays reserved for prompts that were not
   // handed to any connection.
   void UnsentAttemptReleasesItsLinkCapacity() {
     PublishPlain(600ms);
--- a/src/dotterelshift/gateway/core_response.cc
+++ b/src/dotterelshift/gateway/core_response.cc
@@ -183,8 +183,8 @@
   Fail(active, ErrorKind::kEndpointRefused, RetryAfter(active, 0s, now), now);
 }
 
-// Handles an attempt that ended without a complete response. Unless it did not
-// reach the endpoint, the request may have run.
+// Handles an attempt that ended without a complete response. If it was sent,
+// the request may have run.
 void CoreImpl::OnAttemptFailed(ActiveRequest& active, http::TransferEnd end,
                                Instant now) {
   const EndpointKey endpoint = active.attempt.placement.endpoint;
@@ -300,8 +300,8 @@
   Finish(active, kind, false, now);
 }
 
-// The prompt counts once if an endpoint may have run the request; of the output
-// only what was passed on to the caller counts.
+// The prompt counts once if an endpoint may have run the request. Output counts
+// only as far as it was passed on to the caller.
 Tokens CoreImpl::TokensSpent(const ActiveRequest& active) const {
   if (!active.may_have_run) return 0;
   const Service* service = active.routes->FindService(active.service);
--- a/src/dotterelshift/gateway/drain.cc
+++ b/src/dotterelshift/gateway/drain.cc
@@ -10,10 +10,10 @@
 constexpr Duration kFinalReportTime = 500ms;
 
 // The limit is enforced from outside, counted from the sending of the signal.
-// The signal is handled and the exit performed up to one tick of 50 ms late
-// each; the rest is for hosts on which the event loop's turns take longer.
-// Without a margin processes were killed at the end of their shutdown, in each
-// of five runs with 86 entries.
+// The handling of the signal and the exit may each be late by one tick of
+// 50 ms; the rest is for hosts on which the event loop's turns take longer.
+// Without a margin, processes are killed at the end of their shutdown: this
+// happened in each of five runs with 86 entries.
 constexpr Duration kExitMargin = 250ms;
 
 // If the limit is too short for both times, they are capped at the limit
--- a/src/dotterelshift/gateway/fleet_load.cc
+++ b/src/dotterelshift/gateway/fleet_load.cc
@@ -224,8 +224,8 @@
   return notes;
 }
 
-// An endpoint that was forgotten for a while restarts at zero, so that more may
-// be subtracted than is counted.
+// The count of an endpoint that was removed and added again restarts at zero,
+// so that later changes may subtract more than was counted.
 void FleetLoad::ChangeOthers(Load& load, int change) {
   const int others = static_cast<int>(load.others) + change;
   load.others = static_cast<uint32_t>(std::max(0, others));
--- a/src/dotterelshift/gateway/link_admission_test.cc
+++ b/src/dotterelshift/gateway/link_admission_test.cc
@@ -49,7 +49,7 @@
     return true;
   }
 
-  // Callers that were admitted earlier send this much at once.
+  // A caller that was admitted earlier sends a prompt on its connection.
   void SendOnKeptConnection(size_t prompt_bytes) {
     SendPrompt(prompt_bytes, false);
   }
--- a/src/dotterelshift/replication/member_discovery.cc
+++ b/src/dotterelshift/replication/member_discovery.cc
@@ -42,7 +42,8 @@
 bool MemberDiscovery::OnHello(const HostId& from,
                               const wire::ReplicaHelloT& hello,
                               const GroupView& view) {
-  // A member that has no contact with a leader may have been removed meanwhile.
+  // A member that has no contact with a leader may have been removed without
+  // being notified.
   const bool waits = !hello.in_group || (m_options.self_healing && hello.lost);
   if (waits)
     m_waiting[from] = {hello.replica, ReplicaListedFor(from, *view.members)};
--- a/src/dotterelshift/replication/member_discovery_test.cc
+++ b/src/dotterelshift/replication/member_discovery_test.cc
@@ -100,7 +100,7 @@
     CPPUNIT_ASSERT_EQUAL(ReplicaId{4}, discovery.Waiting(later).at(0).id);
   }
 
-  // Two waiting replicas would otherwise answer each other forever.
+  // Guards against two waiting replicas that answer each other forever.
   void ReplicaWithoutGroupAnswersOnlyOnRequest() {
     MemberDiscovery discovery = Make(true);
     wire::ReplicaHelloT hello = HelloOf(2, false, true);
@@ -109,7 +109,7 @@
     CPPUNIT_ASSERT(discovery.OnHello("core-2", hello, Outside()));
   }
 
-  // Otherwise they would answer each other until there is a leader.
+  // Guards against two members that answer each other until there is a leader.
   void MembersWithoutALeaderDoNotAnswerEachOther() {
     MemberDiscovery discovery = Make(true);
     const GroupView lost = {true, false, &m_members};
--- a/src/dotterelshift/replication/membership_simulation_test.cc
+++ b/src/dotterelshift/replication/membership_simulation_test.cc
@@ -10,8 +10,8 @@
 // explore_membership runs many more schedules.
 constexpr uint64_t kSchedules = 1500;
 constexpr int kSteps = 1500;
-// Seeds above kSchedules that once failed: a replica never became a member if
-// its addition was lost together with the leader that had proposed it.
+// Seeds above kSchedules with which the addition of a replica is lost together
+// with the leader that proposed it. The replica must still become a member.
 constexpr uint64_t kRegressionSeeds[] = {7460, 9018, 14064};
 
 // Bootstraps a group without waiting for the other first members.
--- a/src/dotterelshift/replication/raft_election.h
+++ b/src/dotterelshift/replication/raft_election.h
@@ -154,7 +154,7 @@
 // A leader steps down once its oldest open round, which no majority has
 // acknowledged, is older than the minimum election timeout. If it has no open
 // round, for example because its own process was stalled, the silence of the
-// others means nothing.
+// others does not show that it is cut off.
 template <typename Rules>
 void Raft<Rules>::CheckQuorum(Instant now) {
   UpdateOldestUnconfirmedRound();
--- a/src/dotterelshift/replication/snapshot_policy_test.cc
+++ b/src/dotterelshift/replication/snapshot_policy_test.cc
@@ -41,7 +41,7 @@
     CPPUNIT_ASSERT(policy.IsDue(true));
   }
 
-  // Otherwise a large state would be written continually.
+  // Guards against a large state that is written continually.
   void LargeStateIsWrittenLessOften() {
     SnapshotPolicy policy({}, 4);
     policy.OnSnapshot(10 * kMiB, 500ms);
--- a/src/dotterelshift/routing/policy.cc
+++ b/src/dotterelshift/routing/policy.cc
@@ -21,9 +21,10 @@
 constexpr double kFirstTokenGuessMs = 100;
 
 // Weight of the entry's own requests relative to the reported requests of other
-// entries. The other entries send about as many, and what they sent since the
-// last report is missing in it. With a weight of one all entries follow the
-// same reports and herd to the same endpoints. See docs/decisions/routing.md.
+// entries. The other entries send about as many, and requests that they sent
+// since the last report are not included in it. With a weight of one, all
+// entries follow the same reports and choose the same endpoints. See
+// docs/decisions/routing.md.
 constexpr double kOwnWeight = 6;
 
 // An endpoint's own first-token time is used only if it exceeds the overall
--- a/src/dotterelshift/routing/router.cc
+++ b/src/dotterelshift/routing/router.cc
@@ -137,7 +137,8 @@
     EndpointState& state = m_endpoints[record.id];
     if (state.number == 0) state.number = ++m_last_number;
     if (state.incarnation != record.incarnation) {
-      // A new incarnation: what was learned about the previous one is void.
+      // A new incarnation: the cached prefixes, failures, latency samples,
+      // ejection and limit of the previous one do not apply to it.
       if (state.incarnation != 0) m_prefixes.Invalidate(state.number);
       state.failures = 0;
       state.samples = 0;
--- a/src/dotterelshift/serving/arrival.cc
+++ b/src/dotterelshift/serving/arrival.cc
@@ -10,7 +10,7 @@
 // Tokens per unit of cost in the fair queue.
 constexpr double kTokensPerUnit = 1024;
 
-// Requests that were started before go first within their team.
+// Priority of requests that had an attempt before: first within their team.
 constexpr int kRetryPriority = -100;
 
 // The value for Retry-After: whole seconds, rounded up, at least one.
@@ -153,8 +153,8 @@
   if (!m_suspects.IsSuspect(request.caller.content_hash))
     return ChooseFor(request, request.excluded, now);
   // If suspects of two entries ran on the same endpoint and it died, both would
-  // be blamed. Each entry therefore prefers its own share of the endpoints for
-  // suspects.
+  // be reported as its cause. Each entry therefore prefers its own share of the
+  // endpoints for suspects.
   const std::vector<EndpointId> occupied = m_suspects.Occupied();
   std::vector<EndpointId> avoided = EndpointsOfOtherEntries();
   avoided.insert(avoided.end(), request.excluded.begin(),
--- a/src/dotterelshift/serving/attempt_end.cc
+++ b/src/dotterelshift/serving/attempt_end.cc
@@ -142,8 +142,9 @@
   Settle(request, attempt, settlement, now);
   request->retry_wanted = retry;
   if (died && m_reach == ControlReach::kConnected) {
-    // Neither another endpoint nor the caller may try the content again before
-    // the report is committed, so that every entry can learn of this death.
+    // The request is neither retried nor failed until the report is committed
+    // or the wait for it times out, so that every entry can receive the report
+    // before the content runs again.
     request->stage = Stage::kReporting;
     request->awaited = report;
     SetDue(request,
--- a/src/dotterelshift/state/apply_request_grant.cc
+++ b/src/dotterelshift/state/apply_request_grant.cc
@@ -54,11 +54,11 @@
 // reserve.
 constexpr Tokens kReserveDivisor = 4;
 
-// Grants the minimum, which covers the requests that wait, and one second of
-// the holder's demand in any case, and more only while all holders together
-// stay below kMaxHeldPercent of the remainder. With the minimum alone, where
-// others hold that share and spend little, a holder would serve one request per
-// answer from control.
+// Grants the minimum, which covers the waiting requests, or one second of the
+// holder's demand if that is more. A larger grant is given only while all
+// holders together stay below kMaxHeldPercent of the remainder. If others hold
+// that share and spend little, a holder that got only the minimum would serve
+// one request per answer from control.
 Tokens PublishedGrantSize(const wire::RequestGrantT& command,
                           const BudgetAccount& amounts) {
   const Tokens free = amounts.Free();
--- a/src/dotterelshift/state/apply_suspect.cc
+++ b/src/dotterelshift/state/apply_suspect.cc
@@ -3,9 +3,9 @@
 namespace dotterelshift::state {
 namespace {
 
-// A content that was never the only request in flight when its endpoints died
-// is quarantined after this many times as many endpoints, because another
-// request may be the cause.
+// Factor on StateOptions::quarantine_after for a content that was never the
+// only request in flight when an endpoint died, because another request may be
+// the cause.
 constexpr uint32_t kSharedEndpointFactor = 2;
 
 // Contents beyond this number are not tracked, which bounds the memory under a
