--- a/include/dotterelshift/budget/recall_core.h
+++ b/include/dotterelshift/budget/recall_core.h
@@ -30,7 +30,7 @@
 // Runs on the leader and decides which holders must return idle tokens when a
 // grant request could not be satisfied. Each holder keeps its share of the
 // budget by demand. The largest surplus is recalled first; tokens within a
-// holder's share are recalled only for what a waiting request is missing. Soft
+// holder's share are recalled only as far as a waiting request needs them. Soft
 // state: a new leader starts empty and is filled by the entries' heartbeats.
 //
 // When many entries are short of many budgets at the same time, each shortage
--- a/include/dotterelshift/gateway/drain.h
+++ b/include/dotterelshift/gateway/drain.h
@@ -9,7 +9,7 @@
 // hold connections to the entry, and each may send one more request until the
 // process exits.
 struct DrainSchedule {
-  Instant begun{};       // when the signal came
+  Instant begun{};       // when the signal was received
   Instant notice_end{};  // until then the balancer may still send requests
   Instant response_deadline{};  // open requests are ended with an error
   Instant exit{};  // the process exits, even if its last reports are in flight
--- a/include/dotterelshift/routing/outliers.h
+++ b/include/dotterelshift/routing/outliers.h
@@ -8,10 +8,12 @@
 namespace dotterelshift::routing {
 
 struct OutlierOptions {
-  double slow_factor = 3;      // times the median first-token time of its peers
-  double slow_margin_ms = 50;  // and slower than it by at least this
-  int min_samples = 8;         // before a first-token time is judged
-  int failures = 3;            // in a row
+  // An endpoint is slow if its first-token time exceeds the median of the
+  // endpoints that serve the same target by both this factor and this margin.
+  double slow_factor = 3;
+  double slow_margin_ms = 50;
+  int min_samples = 8;           // before a first-token time is judged
+  int failures = 3;              // consecutive
   Duration first_ejection = 2s;  // doubled with each consecutive ejection
   Duration max_ejection = 60s;
   double max_ejected_fraction =
--- a/include/dotterelshift/serving/spend.h
+++ b/include/dotterelshift/serving/spend.h
@@ -21,8 +21,8 @@
 // reported usage and the entry's own count, limited to the reservation. Without
 // a usage report, the prompt counts with its upper bound. An attempt whose
 // connection broke or that timed out counts with its whole reservation, because
-// the engine may have generated all of it unseen. An attempt that no endpoint
-// ran consumes nothing.
+// the engine may have generated all of it without this entry receiving it. An
+// attempt that no endpoint ran consumes nothing.
 Spend SpendOf(const Request& request, const Attempt& attempt, AttemptEnd end);
 
 // The consumption of an attempt that this entry cancelled while its connection
--- a/include/dotterelshift/state/state.h
+++ b/include/dotterelshift/state/state.h
@@ -67,7 +67,8 @@
   // Answers kept per incarnation, so that a resent command gets the same answer
   // as the first time.
   size_t max_kept_answers = 4096;
-  // Distinct endpoints that died running a content before it is quarantined.
+  // A content is quarantined when this many distinct endpoints have died while
+  // running it; twice as many if other requests were in flight at each of them.
   uint32_t quarantine_after = 3;
   WallMs quarantine_duration_ms = 600'000;
   WallMs suspect_retention_ms = 3'600'000;
--- a/src/dotterelshift/replication/bootstrap.h
+++ b/src/dotterelshift/replication/bootstrap.h
@@ -12,9 +12,9 @@
 
 namespace dotterelshift::replication {
 
-// Composes the first membership of a new group. Only the first member whose
-// host name sorts first does so, and only if in one round every first member
-// reports that it is in no group and lists the same first members. A member
+// Composes the first membership of a new group. This is done only by the first
+// member whose host name sorts first, after a round in which every first member
+// reported that it is in no group and listed the same first members. A member
 // that loses its data folder later can therefore never bootstrap a second
 // group, since the others report that they are in one. See
 // docs/decisions/replicated-log.md.
--- a/src/dotterelshift/serving/suspects_test.cc
+++ b/src/dotterelshift/serving/suspects_test.cc
@@ -109,7 +109,7 @@
     CPPUNIT_ASSERT(entry.EndOf(1) == ErrorKind::kEndpointFailed);
   }
 
-  // One entry runs the content that crashes endpoints, the other an innocent
+  // One entry runs the content that crashes endpoints, the other a harmless
   // one that becomes suspect because both ran on the first endpoint.
   void SuspectsOfTwoEntriesRunOnSeparateEndpoints() {
     constexpr uint64_t kInnocent = 1;
--- a/src/dotterelshift/state/published_test.cc
+++ b/src/dotterelshift/state/published_test.cc
@@ -164,7 +164,7 @@
       return m_b->Send(grant_request, 1).body.AsGrantAnswer()->tokens;
     };
     CPPUNIT_ASSERT_EQUAL(Tokens{100}, granted());
-    // But no more than a quarter of the free tokens.
+    // The grant is limited to a quarter of the free tokens.
     grant_request.demand_per_second = 900;
     CPPUNIT_ASSERT_EQUAL(Tokens{112}, granted());
   }
--- a/src/dotterelshift/state/state_test.cc
+++ b/src/dotterelshift/state/state_test.cc
@@ -273,7 +273,7 @@
     CPPUNIT_ASSERT(second.detail.find("team team") != std::string::npos);
     const auto far = Confirm("far");
     CPPUNIT_ASSERT(Is(far, ErrorKind::kNone));
-    // Repeated confirmations get the first answer, whoever sends them.
+    // Repeated confirmations get the first answer, from any sender.
     CPPUNIT_ASSERT_EQUAL(base + 1, Confirm("one").body.AsPlanAnswer()->version);
     CPPUNIT_ASSERT_EQUAL(base + 2, Confirm("far").body.AsPlanAnswer()->version);
     m_operator.Send(PlanOf("three", base + 1, "cem", List(TeamChange("x"))),
