--- a/bench/entry_bench.cc
+++ b/bench/entry_bench.cc
@@ -154,7 +154,7 @@
     const Instant sent = m_fleet.GetLoop().Now();
     auto first = std::make_shared<bool>(true);
     http::TransferCallbacks callbacks;
-    callbacks.on_piece = [&, sent, first](std::string_view piece) {
+    callbacks.on_chunk = [&, sent, first](std::string_view piece) {
       if (std::exchange(*first, false)) {
         result.first_ms.push_back(std::chrono::duration<double, std::milli>(
                                       m_fleet.GetLoop().Now() - sent)
--- a/bench/http_bench.cc
+++ b/bench/http_bench.cc
@@ -82,9 +82,9 @@
     if (!m_started) return;
     for (Stream& stream : m_streams) {
       if (stream.left-- > 0) {
-        stream.exchange->SendPiece(kEvent);
+        stream.exchange->WriteChunk(kEvent);
       } else {
-        stream.exchange->SendPiece("data: [DONE]\n\n");
+        stream.exchange->WriteChunk("data: [DONE]\n\n");
         stream.exchange->Finish();
       }
     }
@@ -130,10 +130,10 @@
                 [this](AttemptId attempt, int status, std::string_view type) {
                   m_front->SendHead(attempt, status, type);
                 },
-            .on_piece =
+            .on_chunk =
                 [this](AttemptId attempt, const serving::Chunk&,
                        std::string_view bytes) {
-                  return m_front->SendPiece(attempt, bytes);
+                  return m_front->WriteChunk(attempt, bytes);
                 },
             .on_end =
                 [this](AttemptId attempt, serving::AttemptEnd end) {
@@ -200,7 +200,7 @@
           std::chrono::duration<double, std::milli>(m_loop.Now() - begin)
               .count());
     };
-    callbacks.on_piece = [this](std::string_view piece) {
+    callbacks.on_chunk = [this](std::string_view piece) {
       m_bytes += piece.size();
       return true;
     };
--- a/daemon/main.cc
+++ b/daemon/main.cc
@@ -13,10 +13,10 @@
 #include <utility>   // for move
 
 #include "dotterelshift/app/daemon.h"         // for MakeEntry
-#include "dotterelshift/app/slow_turns.h"     // for SlowTurns
+#include "dotterelshift/app/slow_turns.h"     // for SlowIterationLog
 #include "dotterelshift/base/error.h"         // for Error
 #include "dotterelshift/loop/loop.h"          // for Loop
-#include "dotterelshift/loop/turn_watch.h"    // for TurnWatch
+#include "dotterelshift/loop/turn_watch.h"    // for IterationWatcher
 #include "dotterelshift/settings/settings.h"  // for ReadSettings
 #include "dotterelshift/telemetry/log.h"      // for StartLog
 #include "platform/control_api.h"             // for MakeControlApi
@@ -117,10 +117,10 @@
   const loop::SignalWatcher on_interrupt(loop, SIGINT,
                                          [&] { daemon->Shutdown(); });
   const SettingsWatch watch(loop, path, *daemon);
-  app::SlowTurns slow_turns;
-  const loop::TurnWatch turn_watch(loop, app::kSlowTurn, [&](Duration took) {
-    slow_turns.OnSlowTurn(took, loop.Now());
-  });
+  app::SlowIterationLog slow_turns;
+  const loop::IterationWatcher turn_watch(
+      loop, app::kSlowIteration,
+      [&](Duration took) { slow_turns.OnSlowIteration(took, loop.Now()); });
   WritePorts(settings.port_file, *daemon);
   telemetry::Log(telemetry::LogLevel::kInfo, "started",
                  {{"peer_port", std::to_string(daemon->PeerPort())},
--- a/examples/streaming_client.cc
+++ b/examples/streaming_client.cc
@@ -58,7 +58,7 @@
   callbacks.on_head = [](int status, const Headers&) {
     if (status != 200) std::cerr << "status " << status << '\n';
   };
-  callbacks.on_piece = [&](std::string_view piece) {
+  callbacks.on_chunk = [&](std::string_view piece) {
     rest += piece;
     size_t end = rest.find('\n');
     while (end != std::string::npos) {
--- a/include/dotterelshift/app/control_link.h
+++ b/include/dotterelshift/app/control_link.h
@@ -23,19 +23,19 @@
 
 struct ControlLinkOptions {
   HostRun self;
-  Duration beat = 1s;            // to every control host in reach
-  Duration search_beat = 100ms;  // while no leader is known
+  Duration beat = 1s;                          // to every control host in reach
+  Duration search_heartbeat_interval = 100ms;  // while no leader is known
   Duration cut_off_after =
       3s;  // since the last beat that a leader answered was sent
   Duration resend_after =
       1s;  // a command without an answer is sent again, with the same id
   // Doubled at each resend to the same leader, up to this: a leader that is
   // behind must not get more to do for being late.
-  Duration resend_most = 8s;
+  Duration max_resend_timeout = 8s;
   size_t commands_per_frame = 512;
   // Tells control which answers it need not keep any more. Only where commands
   // are proposed in the order of their sequences.
-  bool names_answered = false;
+  bool reports_answered_below = false;
   size_t spool_copies = 2;
 };
 
@@ -53,7 +53,7 @@
   // A frame of a control host. Frames of other kinds are passed over.
   void OnFrame(const HostId& from, const wire::FrameT& frame, Instant now);
   void OnTimer(Instant now);
-  Instant NextTimer() const { return m_next_beat; }
+  Instant NextTimer() const { return m_next_heartbeat; }
 
   // Sends a command until it is answered; the answer is among TakeAnswers(),
   // once.
@@ -77,7 +77,9 @@
   const std::string& RoutesDocument() const { return m_routes_document; }
   // The longest that an answered beat has taken, there and back and for a
   // quorum, since the last call; 0: none was answered.
-  Duration TakeLongestBeat() { return std::exchange(m_longest_beat, {}); }
+  Duration TakeMaxHeartbeatTime() {
+    return std::exchange(m_max_heartbeat_time, {});
+  }
   // Addresses of control and of the entries, as the leader named them last.
   const std::vector<std::string>& ControlAddresses() const {
     return m_control_addresses;
@@ -88,10 +90,12 @@
   // Entries in the whole fleet, this one among them.
   size_t EntryCount() const { return m_entry_count; }
   // The place of this entry among them.
-  size_t EntryPlace() const { return m_entry_place; }
+  size_t EntryIndex() const { return m_entry_index; }
   size_t Unanswered() const { return m_unanswered.size(); }
   // True when nothing waits for an answer.
-  bool Idle() const { return m_unanswered.empty() && m_spooling.empty(); }
+  bool Idle() const {
+    return m_unanswered.empty() && m_unstored_spools.empty();
+  }
 
   std::vector<std::pair<HostId, wire::FrameT>> TakeFrames(Instant now);
   std::vector<wire::CommandAnswerT> TakeAnswers() {
@@ -113,19 +117,19 @@
     Instant sent{};    // the epoch: not yet
     Duration timeout;  // from then until it is sent again
   };
-  void OnLeaderBeat(const HostId& from, const wire::LeaderBeatT& beat,
-                    Instant now);
+  void OnLeaderHeartbeat(const HostId& from, const wire::LeaderBeatT& beat,
+                         Instant now);
   void OnAnswers(const wire::ProposeAnswersT& answers);
   void OnSpoolStored(const wire::SpoolStoredT& stored);
   void OnConfiguration(const wire::ConfigurationPushT& push);
   void OnRoutes(const wire::RoutesPushT& push, Instant now);
-  bool TakeStep(const wire::RoutesStepT& step);
+  bool ApplyRoutesDelta(const wire::RoutesStepT& step);
   void ForgetLeader(Instant now);
   void UpdateReach(Instant now);
-  void SendBeats(Instant now);
+  void SendHeartbeats(Instant now);
   using Commands = std::map<uint64_t, PendingCommand>;  // by the id's sequence
   void MarkOverdue(Instant now);
-  void MarkOverdueOf(Commands& commands, std::vector<uint64_t>* unsent,
+  void MarkOverdueIn(Commands& commands, std::vector<uint64_t>* unsent,
                      Instant now) const;
   void SendCommands(Instant now);
   uint64_t AnsweredBelow() const;
@@ -135,26 +139,28 @@
   std::vector<HostId> m_hosts;  // control hosts in reach
   HostId m_leader;              // empty: not known
   uint64_t m_term = 0;
-  uint64_t m_beat_sequence = 0;
+  uint64_t m_heartbeat_sequence = 0;
   std::map<uint64_t, Instant>
-      m_beats_sent;  // by sequence, those not older than the answered one
-  Instant m_next_beat{};
-  Duration m_longest_beat{};
+      m_heartbeats_sent;  // by sequence, those not older than the answered one
+  Instant m_next_heartbeat{};
+  Duration m_max_heartbeat_time{};
   std::optional<Instant> m_confirmed;  // when the newest answered beat was sent
   serving::ControlReach m_reach = serving::ControlReach::kNever;
   state::Configuration m_configuration;
-  uint64_t m_wanted_version = 0;  // the leader's, by its last beat
-  bool m_knows_wanted_version = false;
-  uint64_t m_wanted_routes = 0;  // version of the leader's published routes
+  uint64_t m_leader_configuration_version =
+      0;  // the leader's, by its last beat
+  bool m_knows_leader_version = false;
+  uint64_t m_leader_routes_version =
+      0;  // version of the leader's published routes
   uint64_t m_routes_version = 0;
   std::string m_routes_document;
-  bool m_wants_routes = false;  // steps did not lead on from what is held
+  bool m_needs_full_routes = false;  // steps did not lead on from what is held
   std::vector<std::string> m_control_addresses;
   std::vector<std::string> m_entry_addresses;
   size_t m_entry_count = 1;
-  size_t m_entry_place = 0;
+  size_t m_entry_index = 0;
   Commands m_unanswered;
-  Commands m_spooling;
+  Commands m_unstored_spools;
   bool m_has_spooled = false;      // once any command was handed to a spool
   std::vector<uint64_t> m_unsent;  // sequences to be sent, or sent again
   std::vector<uint64_t> m_unsent_spools;
--- a/include/dotterelshift/app/control_replica.h
+++ b/include/dotterelshift/app/control_replica.h
@@ -41,10 +41,10 @@
 
 // How much a replica has in hand.
 struct ReplicaLoad {
-  size_t waiting_commands = 0;  // not yet in a batch
-  size_t pending_commands = 0;  // in batches that are not committed
-  size_t waiting_reads = 0;     // for a quorum's word that this replica leads
-  uint64_t log_bytes = 0;       // in memory, since the last snapshot
+  size_t unbatched_commands = 0;  // not yet in a batch
+  size_t pending_commands = 0;    // in batches that are not committed
+  size_t unconfirmed_reads = 0;   // for a quorum's word that this replica leads
+  uint64_t log_bytes = 0;         // in memory, since the last snapshot
   uint64_t snapshot_bytes = 0;
   uint64_t unapplied_entries = 0;  // committed, not yet in the state
   uint64_t hellos = 0;  // from other replicas, since this one's start
@@ -77,7 +77,7 @@
   virtual std::vector<wire::ReplicaT> WaitingReplicas() const { return {}; }
   // Why this replica takes no part at present: kStorageFull (tried again each
   // second), kStorageFailed or kStorageDamaged (until a restart); else kNone.
-  virtual ErrorKind Trouble() const { return ErrorKind::kNone; }
+  virtual ErrorKind StorageError() const { return ErrorKind::kNone; }
 
   // A frame between replicas that came in by the hub, and ProposeAnswers to
   // what this replica proposed from its spool.
@@ -99,7 +99,7 @@
   // one that hears no leader, tells of itself. Only with self_healing.
   std::function<std::vector<HostId>()> control_hosts;
   // Addresses of the group's replicas, as another replica named them.
-  std::function<void(const std::vector<std::string>&)> on_members_heard;
+  std::function<void(const std::vector<std::string>&)> on_members_received;
 };
 
 std::unique_ptr<ControlReplica> MakeControlReplica(
--- a/include/dotterelshift/app/slow_turns.h
+++ b/include/dotterelshift/app/slow_turns.h
@@ -8,17 +8,17 @@
 namespace dotterelshift::app {
 
 // A turn of the loop from which on peers may notice the silence.
-inline constexpr Duration kSlowTurn = 100ms;
+inline constexpr Duration kSlowIteration = 100ms;
 
 // Writes a line for slow turns of the loop, at most one a second, with the
 // longest of those since the last line.
-class SlowTurns {
+class SlowIterationLog {
  public:
-  void OnSlowTurn(Duration took, Instant now);
+  void OnSlowIteration(Duration took, Instant now);
 
  private:
-  Instant m_next_line{};
-  uint64_t m_turns = 0;  // since the last line
+  Instant m_next_log_time{};
+  uint64_t m_iterations = 0;  // since the last line
   Duration m_longest{};
 };
 
--- a/include/dotterelshift/base/yaml_reader.h
+++ b/include/dotterelshift/base/yaml_reader.h
@@ -28,8 +28,8 @@
 
   [[noreturn]] void Refuse(const YAML::Node& at, const std::string& what,
                            const std::string& expected) const;
-  [[noreturn]] void RefuseLine(int line, const std::string& what,
-                               const std::string& expected) const;
+  [[noreturn]] void RefuseAtLine(int line, const std::string& what,
+                                 const std::string& expected) const;
 
   // Scalars, checked. `what` names the value in the refusal.
   std::string Text(const YAML::Node& node, const std::string& what) const;
--- a/include/dotterelshift/callers/front.h
+++ b/include/dotterelshift/callers/front.h
@@ -48,7 +48,7 @@
                         std::string_view content_type) = 0;
   // False when the caller's backlog is above the bound: pause the endpoint
   // until on_drained.
-  virtual bool SendPiece(RequestId request, std::string_view bytes) = 0;
+  virtual bool WriteChunk(RequestId request, std::string_view bytes) = 0;
   // Writes the end mark (for a stream) and ends the answer.
   virtual void Finish(RequestId request) = 0;
   virtual void Fail(RequestId request, ErrorKind kind, std::string_view detail,
--- a/include/dotterelshift/directory/directory.h
+++ b/include/dotterelshift/directory/directory.h
@@ -26,16 +26,16 @@
 // An endpoint as this daemon knows it.
 struct Endpoint {
   wire::EndpointRecordT record;
-  Instant last_news;        // newest announcement, minus its age on the way
-  Instant last_evidence;    // own successful answer or probe
-  Instant dead_until;       // a connection was refused: not used before this
-  bool heard_here = false;  // it announces itself to this daemon alone
-  bool usable = false;      // neither draining nor gone nor silent nor dead
+  Instant last_news;      // newest announcement, minus its age on the way
+  Instant last_evidence;  // own successful answer or probe
+  Instant dead_until;     // a connection was refused: not used before this
+  bool announced_here = false;  // it announces itself to this daemon alone
+  bool usable = false;          // neither draining nor gone nor silent nor dead
 };
 
 // What a piece of news changed.
-enum class News {
-  kOld,    // nothing: late, crossed or doubled
+enum class RecordUpdate {
+  kStale,  // nothing: late, crossed or doubled
   kLoad,   // its load, and that it lives
   kOffer,  // what it offers, or whether it may be used
 };
@@ -57,20 +57,20 @@
   explicit Directory(const DirectoryOptions& options = {})
       : m_options(options) {}
 
-  // News from an endpoint itself or from another daemon. True when it is newer
-  // than what was known; it is then part of the next delta.
+  // RecordUpdate from an endpoint itself or from another daemon. True when it
+  // is newer than what was known; it is then part of the next delta.
   bool OnRecord(const wire::EndpointRecordT& record, Instant now);
   // The same, telling what it changed.
-  News Take(const wire::EndpointRecordT& record, Instant now);
-  // A load report of a run that is known; kOld when it is not.
-  News TakeLoad(const EndpointId& endpoint, uint64_t incarnation,
-                const LoadReport& load, Instant now);
+  RecordUpdate Take(const wire::EndpointRecordT& record, Instant now);
+  // A load report of a run that is known; kStale when it is not.
+  RecordUpdate ApplyLoad(const EndpointId& endpoint, uint64_t incarnation,
+                         const LoadReport& load, Instant now);
   // Whether the endpoint announces itself to this daemon alone, so that its
   // silence here is its silence.
-  void SetHeardHere(const EndpointId& endpoint, bool heard_here);
+  void SetAnnouncedHere(const EndpointId& endpoint, bool announced_here);
   // How long the silence of an endpoint that others hear is borne: not less
   // than the options say.
-  void SetSilenceOfOthers(Duration silence);
+  void SetRemoteSilenceTimeout(Duration silence);
   // This daemon's own evidence: an answer came, or a connection was refused.
   void OnAlive(const EndpointId& endpoint, Instant now);
   void OnDead(const EndpointId& endpoint, uint64_t incarnation, Instant now);
@@ -80,7 +80,7 @@
   // What changed since the last call, to be spread; and everything, for a
   // daemon that has just come.
   wire::DirectoryDeltaT TakeDelta(Instant now);
-  wire::DirectoryDeltaT Everything(Instant now) const;
+  wire::DirectoryDeltaT AllRecords(Instant now) const;
 
   // The record with its age, as it is spread.
   wire::EndpointRecordT AgedRecord(const Endpoint& endpoint, Instant now) const;
@@ -103,18 +103,18 @@
   };
   // False when the record is older than what a tombstone remembers; else takes
   // over its sticky marks.
-  bool PassTombstone(wire::EndpointRecordT* record);
+  bool CheckTombstone(wire::EndpointRecordT* record);
   bool IsUsable(const Endpoint& endpoint, Instant now) const;
-  void Judge(Endpoint* endpoint, Instant now);
-  News Meet(wire::EndpointRecordT record, Instant now);
-  News Amend(Endpoint* endpoint, const wire::EndpointRecordT& late,
-             Instant now);
-  Duration SilenceOf(const Endpoint& endpoint) const;
+  void UpdateUsable(Endpoint* endpoint, Instant now);
+  RecordUpdate AddEndpoint(wire::EndpointRecordT record, Instant now);
+  RecordUpdate MergeStickyFlags(Endpoint* endpoint,
+                                const wire::EndpointRecordT& late, Instant now);
+  Duration SilenceTimeoutOf(const Endpoint& endpoint) const;
   DirectoryOptions m_options;
   std::unordered_map<EndpointId, Endpoint> m_endpoints;
   std::unordered_map<EndpointId, Tombstone> m_tombstones;
   std::unordered_set<EndpointId> m_changed;
-  Duration m_silence_of_others = 0s;
+  Duration m_remote_silence_timeout = 0s;
   uint64_t m_generation = 1;
 };
 
--- a/include/dotterelshift/directory/spread.h
+++ b/include/dotterelshift/directory/spread.h
@@ -18,10 +18,11 @@
 struct SpreadOptions {
   HostId self;
   size_t fan_out = 3;
-  Duration round = 100ms;      // what has gathered is sent on this often
-  Duration least_pulse = 1s;   // between two load reports of one endpoint
-  Duration digest_every = 3s;  // records are compared with the neighbours
-  Duration pull_again = 10s;   // at most one full transfer from one neighbour
+  Duration round = 100ms;            // what has gathered is sent on this often
+  Duration min_pulse_interval = 1s;  // between two load reports of one endpoint
+  Duration digest_interval = 3s;     // records are compared with the neighbours
+  Duration min_pull_interval =
+      10s;  // at most one full transfer from one neighbour
   // What all load reports may cost this daemon, sent and received together;
   // with more endpoints each is reported less often.
   double pulse_bytes_per_second = 12'000;
@@ -38,14 +39,14 @@
 
 // What of the directory is sent to which daemons, and when.
 //
-// News of what an endpoint offers, that it drains, is gone or silent goes out
-// in the next round as a whole record, and whoever learns it sends it on to its
-// neighbours. The load, which changes all the time, goes the same ways as a
-// small pulse, at a rate that keeps within a given number of bytes a second;
-// so does the sign of life. Silence is noticed where an endpoint was last
-// heard, and told as news. Neighbours compare digests of their records, and one
-// that lacks something asks for everything: that heals lost frames, partitions
-// and changes of the roster.
+// RecordUpdate of what an endpoint offers, that it drains, is gone or silent
+// goes out in the next round as a whole record, and whoever learns it sends it
+// on to its neighbours. The load, which changes all the time, goes the same
+// ways as a small pulse, at a rate that keeps within a given number of bytes a
+// second; so does the sign of life. Silence is noticed where an endpoint was
+// last heard, and told as news. Neighbours compare digests of their records,
+// and one that lacks something asks for everything: that heals lost frames,
+// partitions and changes of the roster.
 class Spread {
  public:
   Spread(const SpreadOptions& options, Directory* directory);
@@ -54,7 +55,7 @@
   void OnPeerDown(const HostId& host, Instant now);
 
   // An endpoint announced itself to this daemon.
-  News OnAnnounced(const wire::EndpointRecordT& record, Instant now);
+  RecordUpdate OnAnnounced(const wire::EndpointRecordT& record, Instant now);
   // A delta of another daemon. Its cache events are not looked at. True when
   // something in it was new.
   bool OnDelta(const HostId& from, const wire::DirectoryDeltaT& delta,
@@ -74,25 +75,26 @@
     bool whole = false;
     HostId from;
   };
-  struct Known {
+  struct TrackedEndpoint {
     uint64_t key = 0;
     Instant last_pulse{};
-    uint32_t heard_in_a_row = 0;  // announcements here, none newer elsewhere
+    uint32_t consecutive_announcements =
+        0;  // announcements here, none newer elsewhere
   };
   struct Neighbour {
     Instant pulled{};
-    bool wants_all = false;  // it asked for everything
-    bool ask_all = false;    // it is to be asked for everything
-    bool differed = false;   // at its last digest
+    bool full_requested = false;  // it asked for everything
+    bool request_full = false;    // it is to be asked for everything
+    bool differed = false;        // at its last digest
   };
 
   void ChooseNeighbours();
-  void Note(const EndpointId& endpoint, News news, const HostId& from,
-            Instant now);
-  void TakePulses(const HostId& from, const wire::DirectoryDeltaT& delta,
-                  Instant now, bool* any_news);
+  void QueueUpdate(const EndpointId& endpoint, RecordUpdate news,
+                   const HostId& from, Instant now);
+  void ApplyPulses(const HostId& from, const wire::DirectoryDeltaT& delta,
+                   Instant now, bool* any_news);
   void CompareDigest(const HostId& from, uint64_t digest, Instant now);
-  void TellSilence(Instant now);
+  void AnnounceSilence(Instant now);
   uint64_t Digest() const;
   wire::DirectoryDeltaT DeltaFor(const HostId& host, bool with_digest,
                                  Instant now) const;
@@ -102,7 +104,7 @@
   std::set<HostId> m_roster;
   std::vector<HostId> m_neighbours;
   std::map<HostId, Neighbour> m_peers;
-  std::unordered_map<EndpointId, Known> m_known;
+  std::unordered_map<EndpointId, TrackedEndpoint> m_known;
   std::unordered_map<uint64_t, EndpointId> m_by_key;
   std::map<EndpointId, Pending> m_pending;
   Instant m_next_round{};
--- a/include/dotterelshift/endpoints/attempt_runner.h
+++ b/include/dotterelshift/endpoints/attempt_runner.h
@@ -21,7 +21,7 @@
   // One piece whole by the protocol (for a stream: events without the end mark,
   // which is withheld). Returns false to pause the endpoint, until Resume().
   std::function<bool(AttemptId, const serving::Chunk&, std::string_view bytes)>
-      on_piece;
+      on_chunk;
   std::function<void(AttemptId, serving::AttemptEnd)> on_end;
 };
 
--- a/include/dotterelshift/http/client.h
+++ b/include/dotterelshift/http/client.h
@@ -19,11 +19,11 @@
 
 // How a transfer ended.
 enum class TransferEnd {
-  kWhole,          // the answer's own end mark was seen
-  kNotSent,        // no byte of the request left this host
-  kCutBeforeHead,  // some of the request left, no head came back
-  kCut,            // the answer broke off after its head
-  kTimedOut,       // the time given ran out
+  kWhole,             // the answer's own end mark was seen
+  kNotSent,           // no byte of the request left this host
+  kFailedBeforeHead,  // some of the request left, no head came back
+  kCut,               // the answer broke off after its head
+  kTimedOut,          // the time given ran out
 };
 
 struct ClientRequest {
@@ -51,7 +51,7 @@
   std::function<void(int status, const Headers& headers)> on_head;
   // Returns false to pause the transfer until Resume(); the piece is taken all
   // the same.
-  std::function<bool(std::string_view piece)> on_piece;
+  std::function<bool(std::string_view chunk)> on_chunk;
   std::function<void(TransferEnd end)> on_end;
 };
 
--- a/include/dotterelshift/http/event_bytes.h
+++ b/include/dotterelshift/http/event_bytes.h
@@ -8,7 +8,7 @@
 
 // End of the first server-sent event in the bytes, behind its empty line; npos
 // while the event is not whole.
-inline size_t EndOfEvent(std::string_view bytes) {
+inline size_t FindEventEnd(std::string_view bytes) {
   size_t line = 0;
   while (true) {
     const size_t end = bytes.find('\n', line);
--- a/include/dotterelshift/http/hop_headers.h
+++ b/include/dotterelshift/http/hop_headers.h
@@ -8,7 +8,7 @@
 // Headers without those that concern one connection only: the standard ones,
 // those that a Connection header names, and the framing of the body, which each
 // side writes for itself. Names are in lower case.
-Headers WithoutHopHeaders(const Headers& headers);
+Headers RemoveHopByHopHeaders(const Headers& headers);
 
 }  // namespace dotterelshift::http
 
--- a/include/dotterelshift/http/server.h
+++ b/include/dotterelshift/http/server.h
@@ -49,7 +49,7 @@
   // Answers piece by piece: the head, any number of pieces, then Finish() for a
   // proper end.
   virtual void SendHead(int status, const Headers& headers) = 0;
-  virtual void SendPiece(std::string_view piece) = 0;
+  virtual void WriteChunk(std::string_view chunk) = 0;
   virtual void Finish() = 0;
 
   // Ends the connection without the protocol's end mark, so that the caller
@@ -81,8 +81,8 @@
 // comes to the handler.
 struct ConnectionCallbacks {
   std::function<void()> on_accepted;
-  std::function<void()> on_turned_away;
-  std::function<void()> on_unused_end;  // ended without a request
+  std::function<void()> on_rejected;
+  std::function<void()> on_closed_unused;  // ended without a request
 };
 
 struct ServerOptions {
@@ -118,7 +118,7 @@
   virtual bool ResumeAccepting() = 0;
   // While on, closes connections as they come, unread, so that callers know
   // that nothing has run and may ask elsewhere at once.
-  virtual void TurnAway(bool on) = 0;
+  virtual void SetRejectConnections(bool on) = 0;
   // Ends connections that wait for their caller's next request.
   virtual void CloseIdle() = 0;
 };
--- a/include/dotterelshift/loop/turn_watch.h
+++ b/include/dotterelshift/loop/turn_watch.h
@@ -12,13 +12,13 @@
 
 // Calls back at the end of each turn of the loop that took at least `limit`:
 // for so long nothing was read and no timer was served.
-class TurnWatch {
+class IterationWatcher {
  public:
   using Callback = std::function<void(Duration took)>;
-  TurnWatch(Loop& loop, Duration limit, Callback callback);
-  ~TurnWatch();
-  TurnWatch(const TurnWatch&) = delete;
-  TurnWatch& operator=(const TurnWatch&) = delete;
+  IterationWatcher(Loop& loop, Duration limit, Callback callback);
+  ~IterationWatcher();
+  IterationWatcher(const IterationWatcher&) = delete;
+  IterationWatcher& operator=(const IterationWatcher&) = delete;
 
  private:
   static void OnBegin(struct ev_loop*, ev_check* watcher, int events);
--- a/include/dotterelshift/peers/hub.h
+++ b/include/dotterelshift/peers/hub.h
@@ -38,8 +38,9 @@
   size_t max_backlog_bytes =
       64 << 20;  // a peer that takes no more than this is cut off
   Duration hello_timeout = 5s;
-  Duration reconnect_least = 50ms;  // doubled with jitter after each failure
-  Duration reconnect_most = 2s;
+  Duration min_reconnect_delay =
+      50ms;  // doubled with jitter after each failure
+  Duration max_reconnect_delay = 2s;
   Duration silence_timeout =
       6s;             // a peer that has sent nothing for this long is cut off
   uint64_t seed = 0;  // of the jitter
--- a/src/dotterelshift/app/control.cc
+++ b/src/dotterelshift/app/control.cc
@@ -27,7 +27,7 @@
 
 constexpr Duration kTick = 100ms;
 // How often the leader lets old bills and claims age out.
-constexpr Duration kAgeOutEvery = 60s;
+constexpr Duration kAgeOutInterval = 60s;
 // Within the longest delivery that the order core waits out.
 constexpr Duration kOrderTimeout = 8s;
 
@@ -43,8 +43,8 @@
 
 // A leader's lease ends before any replica may stand for election.
 Duration LeaseOf(Duration election_timeout) {
-  constexpr int kParts = 6;
-  return election_timeout / kParts * (kParts - 1);
+  constexpr int kLeaseDivisor = 6;
+  return election_timeout / kLeaseDivisor * (kLeaseDivisor - 1);
 }
 
 // Under published routes entries only listen, so control tells each of them.
@@ -72,7 +72,7 @@
   void Reload(const settings::Settings& settings) override;
 
  private:
-  void DialMember(const std::string& address);
+  void DialMemberAddress(const std::string& address);
 
   http::ServerOptions ServerOptions() const;
   peers::HubCallbacks HubCallbacks();
@@ -87,13 +87,13 @@
   void SendHint(const HostId& host);
   void OnApplied(const wire::CommandBatchT& batch,
                  const std::vector<wire::CommandAnswerT>& answers);
-  void RecallFor(const wire::CommandIdT& asker,
+  void RecallFor(const wire::CommandIdT& requester,
                  const wire::RequestGrantT& request,
                  const wire::GrantAnswerT& answer);
   void SendOrders();
   void SendOrder(const orders::OrderAction& action);
   void SchedulePushes();
-  void PushSome();
+  void PushPending();
   void OnTick();
   std::unique_ptr<wire::CommandIdT> NextId();
   void UpdateGauges();
@@ -137,7 +137,7 @@
       m_client(http::MakeClient(loop)),
       m_orders(orders::MakeOrderCore()),
       m_tick(loop, [this] { OnTick(); }),
-      m_push(loop, [this] { PushSome(); }) {
+      m_push(loop, [this] { PushPending(); }) {
   m_server = http::MakeServer(loop, ServerOptions(),
                               [this](std::shared_ptr<http::Exchange> exchange) {
                                 OnExchange(std::move(exchange));
@@ -218,9 +218,10 @@
       if (peer.role == wire::HostRole::Control) hosts.push_back(peer.run.host);
     return hosts;
   };
-  callbacks.on_members_heard = [this](const std::vector<std::string>& members) {
-    for (const std::string& address : members) DialMember(address);
-  };
+  callbacks.on_members_received =
+      [this](const std::vector<std::string>& members) {
+        for (const std::string& address : members) DialMemberAddress(address);
+      };
   callbacks.on_leadership_changed = [this] {
     const bool leads = m_replica != nullptr && m_replica->Leads();
     m_orders->OnLeadership(leads, m_loop.Now());
@@ -335,7 +336,7 @@
       [this, host, sequence = beat.sequence](ErrorKind error) {
         if (error == ErrorKind::kNone) {
           SchedulePushes();
-          return m_pushes->AnswerBeat(host, sequence, m_loop.WallNow());
+          return m_pushes->AnswerHeartbeat(host, sequence, m_loop.WallNow());
         }
         // An entry that has just started knows the seeds alone, and none of
         // them may lead.
@@ -378,13 +379,13 @@
 }
 
 // Asks holders for what is idle when a request got less than it needs.
-void Control::RecallFor(const wire::CommandIdT& asker,
+void Control::RecallFor(const wire::CommandIdT& requester,
                         const wire::RequestGrantT& request,
                         const wire::GrantAnswerT& answer) {
   const bool enough = answer.tokens > 0 && answer.tokens >= request.minimum;
   if (enough || answer.elsewhere == 0) return;
   if (!m_recalls.IsDue(request, m_loop.Now())) return;
-  const HostRun run{asker.host, asker.incarnation};
+  const HostRun run{requester.host, requester.incarnation};
   auto recalls = m_recalls.OnShortage(
       run, request, m_replica->GetState().HoldingsOf(request.budget),
       m_loop.Now());
@@ -431,10 +432,10 @@
   m_push.ArmIn(0ms);
 }
 
-void Control::PushSome() {
+void Control::PushPending() {
   m_pushes_scheduled = false;
   if (!m_replica->Leads()) return;
-  if (m_pushes->PushSome(m_loop.Now())) SchedulePushes();
+  if (m_pushes->PushPending(m_loop.Now())) SchedulePushes();
 }
 
 void Control::OnTick() {
@@ -443,7 +444,7 @@
   // What waited for an entry's connection to empty.
   SchedulePushes();
   if (m_replica->Leads() && now >= m_next_age_out) {
-    m_next_age_out = now + kAgeOutEvery;
+    m_next_age_out = now + kAgeOutInterval;
     wire::CommandT command;
     command.body.Set(wire::AgeOutT());
     m_backend->Propose(std::move(command),
@@ -461,7 +462,7 @@
 }
 
 // A hub address that another daemon named; one that is none is passed over.
-void Control::DialMember(const std::string& address) {
+void Control::DialMemberAddress(const std::string& address) {
   if (ParseAddress(address)) m_hub->Dial(address);
 }
 
--- a/src/dotterelshift/app/control_link.cc
+++ b/src/dotterelshift/app/control_link.cc
@@ -28,7 +28,7 @@
 void ControlLink::OnPeerUp(const HostId& host, Instant now) {
   if (std::ranges::find(m_hosts, host) == m_hosts.end())
     m_hosts.push_back(host);
-  m_next_beat = now;
+  m_next_heartbeat = now;
 }
 
 void ControlLink::OnPeerDown(const HostId& host, Instant now) {
@@ -38,7 +38,7 @@
 
 void ControlLink::ForgetLeader(Instant now) {
   m_leader.clear();
-  m_next_beat = now;
+  m_next_heartbeat = now;
 }
 
 void ControlLink::OnFrame(const HostId& from, const wire::FrameT& frame,
@@ -46,7 +46,7 @@
   if (const auto* answers = frame.body.AsProposeAnswers()) {
     OnAnswers(*answers);
   } else if (const auto* beat = frame.body.AsLeaderBeat()) {
-    OnLeaderBeat(from, *beat, now);
+    OnLeaderHeartbeat(from, *beat, now);
   } else if (const auto* hint = frame.body.AsLeaderHint()) {
     if (m_leader.empty() || from == m_leader)
       m_control_addresses = hint->control;
@@ -65,22 +65,23 @@
   UpdateReach(now);
 }
 
-void ControlLink::OnLeaderBeat(const HostId& from,
-                               const wire::LeaderBeatT& beat, Instant now) {
+void ControlLink::OnLeaderHeartbeat(const HostId& from,
+                                    const wire::LeaderBeatT& beat,
+                                    Instant now) {
   if (beat.term < m_term) return;
-  const auto sent = m_beats_sent.find(beat.sequence);
-  if (sent == m_beats_sent.end()) return;
-  m_longest_beat = std::max(m_longest_beat, now - sent->second);
+  const auto sent = m_heartbeats_sent.find(beat.sequence);
+  if (sent == m_heartbeats_sent.end()) return;
+  m_max_heartbeat_time = std::max(m_max_heartbeat_time, now - sent->second);
   m_confirmed = std::max(m_confirmed.value_or(sent->second), sent->second);
   m_term = beat.term;
-  m_wanted_version = beat.configuration_version;
-  m_wanted_routes = beat.routes_version;
+  m_leader_configuration_version = beat.configuration_version;
+  m_leader_routes_version = beat.routes_version;
   m_control_addresses = beat.control;
   m_entry_addresses = beat.entries;
   m_entry_count = std::max<size_t>(1, beat.entry_count);
-  m_entry_place = beat.entry_place;
-  m_knows_wanted_version = true;
-  m_beats_sent.erase(m_beats_sent.begin(), sent);
+  m_entry_index = beat.entry_place;
+  m_knows_leader_version = true;
+  m_heartbeats_sent.erase(m_heartbeats_sent.begin(), sent);
   if (m_leader == from) return;
   // A new leader may not have what was on its way to the old one.
   m_leader = from;
@@ -101,7 +102,7 @@
 
 void ControlLink::OnSpoolStored(const wire::SpoolStoredT& stored) {
   for (const auto& id : stored.ids) {
-    if (id != nullptr && m_spooling.erase(id->sequence) > 0)
+    if (id != nullptr && m_unstored_spools.erase(id->sequence) > 0)
       m_spooled.push_back(*id);
   }
 }
@@ -124,14 +125,14 @@
 void ControlLink::OnRoutes(const wire::RoutesPushT& push, Instant now) {
   for (const auto& step : push.steps) {
     if (step == nullptr || step->version <= m_routes_version) continue;
-    m_wants_routes = !TakeStep(*step);
-    if (!m_wants_routes) continue;
-    m_next_beat = now;
+    m_needs_full_routes = !ApplyRoutesDelta(*step);
+    if (!m_needs_full_routes) continue;
+    m_next_heartbeat = now;
     return;
   }
 }
 
-bool ControlLink::TakeStep(const wire::RoutesStepT& step) {
+bool ControlLink::ApplyRoutesDelta(const wire::RoutesStepT& step) {
   if (step.base != 0 && step.base != m_routes_version) return false;
   try {
     m_routes_document = state::UnpackDocument(
@@ -148,9 +149,10 @@
 }
 
 void ControlLink::UpdateReach(Instant now) {
-  const bool current = m_knows_wanted_version &&
-                       m_configuration.Version() >= m_wanted_version &&
-                       m_routes_version >= m_wanted_routes;
+  const bool current =
+      m_knows_leader_version &&
+      m_configuration.Version() >= m_leader_configuration_version &&
+      m_routes_version >= m_leader_routes_version;
   const bool fresh =
       m_confirmed.has_value() && now - *m_confirmed < m_options.cut_off_after;
   if (m_reach == ControlReach::kNever) {
@@ -162,30 +164,31 @@
 
 void ControlLink::OnTimer(Instant now) {
   UpdateReach(now);
-  if (now < m_next_beat) return;
+  if (now < m_next_heartbeat) return;
   MarkOverdue(now);
-  SendBeats(now);
+  SendHeartbeats(now);
 }
 
-void ControlLink::SendBeats(Instant now) {
-  const uint64_t sequence = ++m_beat_sequence;
-  m_beats_sent[sequence] = now;
-  while (now - m_beats_sent.begin()->second > m_options.cut_off_after)
-    m_beats_sent.erase(m_beats_sent.begin());
+void ControlLink::SendHeartbeats(Instant now) {
+  const uint64_t sequence = ++m_heartbeat_sequence;
+  m_heartbeats_sent[sequence] = now;
+  while (now - m_heartbeats_sent.begin()->second > m_options.cut_off_after)
+    m_heartbeats_sent.erase(m_heartbeats_sent.begin());
   for (const HostId& host : m_hosts) {
     wire::EntryBeatT beat;
     beat.sequence = sequence;
     beat.configuration_version = m_configuration.Version();
     beat.routes_version = m_routes_version;
-    beat.wants_routes = m_wants_routes;
+    beat.wants_routes = m_needs_full_routes;
     if (host == m_leader) {
       for (const auto& holding : m_holdings)
         beat.held.push_back(std::make_unique<wire::BudgetHoldingT>(holding));
     }
     m_frames.emplace_back(host, MakeFrame(std::move(beat)));
   }
-  m_next_beat =
-      now + (m_leader.empty() ? m_options.search_beat : m_options.beat);
+  m_next_heartbeat =
+      now +
+      (m_leader.empty() ? m_options.search_heartbeat_interval : m_options.beat);
 }
 
 void ControlLink::Propose(wire::CommandT command) {
@@ -197,17 +200,18 @@
 void ControlLink::Spool(wire::CommandT command) {
   const uint64_t sequence = command.id->sequence;
   m_has_spooled = true;
-  m_spooling[sequence] = {std::move(command), {}, m_options.resend_after};
+  m_unstored_spools[sequence] = {
+      std::move(command), {}, m_options.resend_after};
   m_unsent_spools.push_back(sequence);
 }
 
 // Without a leader nothing is marked: the next one is sent all there is.
 void ControlLink::MarkOverdue(Instant now) {
-  if (!m_leader.empty()) MarkOverdueOf(m_unanswered, &m_unsent, now);
-  MarkOverdueOf(m_spooling, &m_unsent_spools, now);
+  if (!m_leader.empty()) MarkOverdueIn(m_unanswered, &m_unsent, now);
+  MarkOverdueIn(m_unstored_spools, &m_unsent_spools, now);
 }
 
-void ControlLink::MarkOverdueOf(Commands& commands,
+void ControlLink::MarkOverdueIn(Commands& commands,
                                 std::vector<uint64_t>* unsent,
                                 Instant now) const {
   for (auto& [sequence, waiting] : commands) {
@@ -216,7 +220,8 @@
     if (!overdue) continue;
     // Not marked once more before it has left.
     waiting.sent = {};
-    waiting.timeout = std::min(waiting.timeout * 2, m_options.resend_most);
+    waiting.timeout =
+        std::min(waiting.timeout * 2, m_options.max_resend_timeout);
     unsent->push_back(sequence);
   }
 }
@@ -224,8 +229,8 @@
 // What a replica keeps in its spool comes to the leader later, under its first
 // id: once anything went there, all answers are kept.
 uint64_t ControlLink::AnsweredBelow() const {
-  const bool known =
-      m_options.names_answered && !m_has_spooled && !m_unanswered.empty();
+  const bool known = m_options.reports_answered_below && !m_has_spooled &&
+                     !m_unanswered.empty();
   return known ? m_unanswered.begin()->first : 0;
 }
 
@@ -253,8 +258,8 @@
   if (m_hosts.empty()) return;
   wire::SpoolT spool;
   for (const uint64_t sequence : std::exchange(m_unsent_spools, {})) {
-    const auto waiting = m_spooling.find(sequence);
-    if (waiting == m_spooling.end()) continue;
+    const auto waiting = m_unstored_spools.find(sequence);
+    if (waiting == m_unstored_spools.end()) continue;
     waiting->second.sent = now;
     spool.commands.push_back(
         std::make_unique<wire::CommandT>(waiting->second.command));
--- a/src/dotterelshift/app/control_link_test.cc
+++ b/src/dotterelshift/app/control_link_test.cc
@@ -14,21 +14,21 @@
 // A link with a clock moved by hand and two control hosts, c1 and c2.
 class ControlLinkTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ControlLinkTest);
-  CPPUNIT_TEST(ReadyOnlyWithTheCurrentConfiguration);
-  CPPUNIT_TEST(CommandsFollowTheLeaderUnderTheirFirstId);
-  CPPUNIT_TEST(ALateLeaderIsSentACommandMoreAndMoreRarely);
-  CPPUNIT_TEST(WithoutALeaderNothingIsMarkedTwice);
-  CPPUNIT_TEST(EachAnswerComesOnce);
-  CPPUNIT_TEST(ControlIsToldWhichAnswersHaveCome);
-  CPPUNIT_TEST(CutOffCountsFromTheSendingOfABeat);
-  CPPUNIT_TEST(TheLongestBeatIsToldOnce);
-  CPPUNIT_TEST(VersionsNeverFall);
-  CPPUNIT_TEST(AnOlderTermDoesNotLead);
-  CPPUNIT_TEST(SpoolsGoToWhoIsInReach);
-  CPPUNIT_TEST(FollowersNameTheGroupToAnEntryThatHasStarted);
-  CPPUNIT_TEST(PublishedRoutesNeverFallAndAreNeeded);
-  CPPUNIT_TEST(StepsLeadFromTheVersionHeld);
-  CPPUNIT_TEST(AStepFromAnotherVersionIsAskedForWholeAtOnce);
+  CPPUNIT_TEST(ConnectedOnlyWithTheCurrentConfiguration);
+  CPPUNIT_TEST(CommandsAreResentToANewLeaderWithTheSameId);
+  CPPUNIT_TEST(ResendsToASlowLeaderBackOff);
+  CPPUNIT_TEST(WithoutALeaderCommandsAreNotMarkedTwice);
+  CPPUNIT_TEST(EachAnswerIsReturnedOnce);
+  CPPUNIT_TEST(CommandsReportWhichAnswersArrived);
+  CPPUNIT_TEST(CutOffCountsFromWhenTheHeartbeatWasSent);
+  CPPUNIT_TEST(MaxHeartbeatTimeIsReportedOnce);
+  CPPUNIT_TEST(ConfigurationVersionsNeverDecrease);
+  CPPUNIT_TEST(LeaderOfAnOlderTermIsIgnored);
+  CPPUNIT_TEST(SpoolsAreSentToReachableReplicas);
+  CPPUNIT_TEST(FollowersSendTheGroupAddressesToAStartedEntry);
+  CPPUNIT_TEST(RoutesVersionsNeverDecreaseAndAreRequiredToConnect);
+  CPPUNIT_TEST(DeltasApplyToTheHeldVersion);
+  CPPUNIT_TEST(DeltaFromAnotherVersionRequestsTheFullDocument);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -38,8 +38,8 @@
     m_link->OnPeerUp("c2", m_now);
   }
 
-  void ReadyOnlyWithTheCurrentConfiguration() {
-    AnswerBeat("c1", 1, 2);
+  void ConnectedOnlyWithTheCurrentConfiguration() {
+    AnswerHeartbeat("c1", 1, 2);
     CPPUNIT_ASSERT(m_link->Reach() == ControlReach::kNever);
     Push(0, 1);
     CPPUNIT_ASSERT(m_link->Reach() == ControlReach::kNever);
@@ -48,16 +48,16 @@
   }
 
   // None of the replicas that an entry was told of may lead.
-  void FollowersNameTheGroupToAnEntryThatHasStarted() {
+  void FollowersSendTheGroupAddressesToAStartedEntry() {
     wire::LeaderHintT hint;
     hint.control = {"10.0.0.1:7", "10.0.0.9:7"};
     m_link->OnFrame("c1", MakeFrame(std::move(hint)), m_now);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, m_link->ControlAddresses().size());
   }
 
-  void PublishedRoutesNeverFallAndAreNeeded() {
+  void RoutesVersionsNeverDecreaseAndAreRequiredToConnect() {
     wire::LeaderBeatT beat;
-    beat.sequence = NextBeat("c1");
+    beat.sequence = NextHeartbeat("c1");
     beat.term = 1;
     beat.routes_version = 5;
     m_link->OnFrame("c1", MakeFrame(std::move(beat)), m_now);
@@ -74,7 +74,7 @@
   }
 
   // From leaders that know of different versions; what is held is passed over.
-  void StepsLeadFromTheVersionHeld() {
+  void DeltasApplyToTheHeldVersion() {
     TakeRoutes({{0, 5}});
     CPPUNIT_ASSERT_EQUAL(std::string("5"), m_link->RoutesDocument());
     TakeRoutes({{5, 6}, {6, 8}});
@@ -84,33 +84,33 @@
     CPPUNIT_ASSERT_EQUAL(std::string("9"), m_link->RoutesDocument());
   }
 
-  void AStepFromAnotherVersionIsAskedForWholeAtOnce() {
+  void DeltaFromAnotherVersionRequestsTheFullDocument() {
     TakeRoutes({{0, 5}});
-    NextBeat("c1");
+    NextHeartbeat("c1");
     CPPUNIT_ASSERT(m_link->NextTimer() > m_now);
     TakeRoutes({{6, 8}});
     CPPUNIT_ASSERT_EQUAL(uint64_t{5}, m_link->RoutesVersion());
     CPPUNIT_ASSERT(m_link->NextTimer() == m_now);
-    CPPUNIT_ASSERT(AsksForRoutes("c1"));
+    CPPUNIT_ASSERT(RequestsFullRoutes("c1"));
     // Told against another document under the same version: not taken either.
     wire::RoutesPushT push;
     push.steps.push_back(StepOf(5, 8, "not 5"));
     m_link->OnFrame("c1", MakeFrame(std::move(push)), m_now);
     CPPUNIT_ASSERT_EQUAL(std::string("5"), m_link->RoutesDocument());
-    CPPUNIT_ASSERT(AsksForRoutes("c1"));
+    CPPUNIT_ASSERT(RequestsFullRoutes("c1"));
     TakeRoutes({{0, 8}});
     CPPUNIT_ASSERT_EQUAL(uint64_t{8}, m_link->RoutesVersion());
-    CPPUNIT_ASSERT(!AsksForRoutes("c1"));
+    CPPUNIT_ASSERT(!RequestsFullRoutes("c1"));
   }
 
-  void CommandsFollowTheLeaderUnderTheirFirstId() {
+  void CommandsAreResentToANewLeaderWithTheSameId() {
     m_link->Propose(CommandOf(7));
     CPPUNIT_ASSERT(TakeProposed("c1").empty());
-    AnswerBeat("c1", 1, 0);
+    AnswerHeartbeat("c1", 1, 0);
     CPPUNIT_ASSERT(TakeProposed("c1") == std::vector<uint64_t>{7});
     m_link->OnPeerDown("c1", m_now);
     m_link->Propose(CommandOf(8));
-    AnswerBeat("c2", 2, 0);
+    AnswerHeartbeat("c2", 2, 0);
     CPPUNIT_ASSERT(TakeProposed("c2") == (std::vector<uint64_t>{7, 8}));
     // Without an answer they are sent again, not sooner than said.
     m_now += 900ms;
@@ -123,8 +123,8 @@
 
   // A leader that has just started leads, and is 10 s behind with the backlog
   // of a whole fleet.
-  void ALateLeaderIsSentACommandMoreAndMoreRarely() {
-    AnswerBeat("c1", 1, 0);
+  void ResendsToASlowLeaderBackOff() {
+    AnswerHeartbeat("c1", 1, 0);
     m_link->Propose(CommandOf(7));
     size_t sent = TakeProposed("c1").size();
     for (int second = 0; second < 10; ++second) {
@@ -136,15 +136,15 @@
     CPPUNIT_ASSERT(sent <= 4);
     // The next leader has not heard of it, and is told at once.
     m_link->OnPeerDown("c1", m_now);
-    AnswerBeat("c2", 2, 0);
+    AnswerHeartbeat("c2", 2, 0);
     CPPUNIT_ASSERT(TakeProposed("c2") == std::vector<uint64_t>{7});
     m_now += 1s;
     m_link->OnTimer(m_now);
     CPPUNIT_ASSERT(TakeProposed("c2") == std::vector<uint64_t>{7});
   }
 
-  void WithoutALeaderNothingIsMarkedTwice() {
-    AnswerBeat("c1", 1, 0);
+  void WithoutALeaderCommandsAreNotMarkedTwice() {
+    AnswerHeartbeat("c1", 1, 0);
     m_link->Propose(CommandOf(7));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, TakeProposed("c1").size());
     wire::LeaderHintT hint;
@@ -154,12 +154,12 @@
       m_link->OnTimer(m_now);
       CPPUNIT_ASSERT(TakeProposed("c1").empty());
     }
-    AnswerBeat("c1", 1, 0);
+    AnswerHeartbeat("c1", 1, 0);
     CPPUNIT_ASSERT(TakeProposed("c1") == std::vector<uint64_t>{7});
   }
 
-  void EachAnswerComesOnce() {
-    AnswerBeat("c1", 1, 0);
+  void EachAnswerIsReturnedOnce() {
+    AnswerHeartbeat("c1", 1, 0);
     m_link->Propose(CommandOf(7));
     wire::ProposeAnswersT answers;
     answers.answers.push_back(std::make_unique<wire::CommandAnswerT>());
@@ -171,12 +171,12 @@
     CPPUNIT_ASSERT(m_link->Idle());
   }
 
-  void ControlIsToldWhichAnswersHaveCome() {
+  void CommandsReportWhichAnswersArrived() {
     ControlLinkOptions options;
-    options.names_answered = true;
+    options.reports_answered_below = true;
     m_link = std::make_unique<ControlLink>(options);
     m_link->OnPeerUp("c1", m_now);
-    AnswerBeat("c1", 1, 0);
+    AnswerHeartbeat("c1", 1, 0);
     for (const uint64_t sequence : {7, 8, 9})
       m_link->Propose(CommandOf(sequence));
     CPPUNIT_ASSERT_EQUAL(uint64_t{7}, AnsweredBelowIn("c1"));
@@ -194,29 +194,29 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, AnsweredBelowIn("c1"));
   }
 
-  void CutOffCountsFromTheSendingOfABeat() {
-    const uint64_t sequence = NextBeat("c1");
+  void CutOffCountsFromWhenTheHeartbeatWasSent() {
+    const uint64_t sequence = NextHeartbeat("c1");
     m_now += 2900ms;
     Answer("c1", sequence, 1, 0);
     CPPUNIT_ASSERT(m_link->Reach() == ControlReach::kConnected);
     m_now += 200ms;
     m_link->OnTimer(m_now);
     CPPUNIT_ASSERT(m_link->Reach() == ControlReach::kCutOff);
-    AnswerBeat("c2", 2, 0);
+    AnswerHeartbeat("c2", 2, 0);
     CPPUNIT_ASSERT(m_link->Reach() == ControlReach::kConnected);
   }
 
-  void TheLongestBeatIsToldOnce() {
+  void MaxHeartbeatTimeIsReportedOnce() {
     for (const Duration taken : {20ms, 400ms, 30ms}) {
-      const uint64_t sequence = NextBeat("c1");
+      const uint64_t sequence = NextHeartbeat("c1");
       m_now += taken;
       Answer("c1", sequence, 1, 0);
     }
-    CPPUNIT_ASSERT(m_link->TakeLongestBeat() == 400ms);
-    CPPUNIT_ASSERT(m_link->TakeLongestBeat() == 0s);
+    CPPUNIT_ASSERT(m_link->TakeMaxHeartbeatTime() == 400ms);
+    CPPUNIT_ASSERT(m_link->TakeMaxHeartbeatTime() == 0s);
   }
 
-  void VersionsNeverFall() {
+  void ConfigurationVersionsNeverDecrease() {
     Push(0, 5);
     Push(0, 4);
     CPPUNIT_ASSERT_EQUAL(uint64_t{5}, m_link->GetConfiguration().Version());
@@ -226,13 +226,13 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{6}, m_link->GetConfiguration().Version());
   }
 
-  void AnOlderTermDoesNotLead() {
-    AnswerBeat("c2", 5, 0);
-    AnswerBeat("c1", 4, 0);
+  void LeaderOfAnOlderTermIsIgnored() {
+    AnswerHeartbeat("c2", 5, 0);
+    AnswerHeartbeat("c1", 4, 0);
     CPPUNIT_ASSERT_EQUAL(HostId("c2"), m_link->Leader());
   }
 
-  void SpoolsGoToWhoIsInReach() {
+  void SpoolsAreSentToReachableReplicas() {
     m_link->OnPeerDown("c1", m_now);
     m_link->Spool(CommandOf(3));
     const auto frames = m_link->TakeFrames(m_now);
@@ -262,7 +262,7 @@
   }
 
   // Lets the next beat go out and returns its sequence as the host got it.
-  uint64_t NextBeat(const HostId& host) {
+  uint64_t NextHeartbeat(const HostId& host) {
     m_now = std::max(m_now, m_link->NextTimer());
     m_link->OnTimer(m_now);
     uint64_t sequence = 0;
@@ -283,8 +283,8 @@
     m_link->OnFrame(host, MakeFrame(answer), m_now);
   }
 
-  void AnswerBeat(const HostId& host, uint64_t term, uint64_t version) {
-    Answer(host, NextBeat(host), term, version);
+  void AnswerHeartbeat(const HostId& host, uint64_t term, uint64_t version) {
+    Answer(host, NextHeartbeat(host), term, version);
   }
 
   void Push(uint64_t from, uint64_t to) {
@@ -313,15 +313,15 @@
     m_link->OnFrame("c1", MakeFrame(std::move(push)), m_now);
   }
 
-  bool AsksForRoutes(const HostId& host) {
+  bool RequestsFullRoutes(const HostId& host) {
     m_now = std::max(m_now, m_link->NextTimer());
     m_link->OnTimer(m_now);
-    bool asks = false;
+    bool requests_routes = false;
     for (const auto& [to, frame] : m_link->TakeFrames(m_now)) {
       const auto* beat = frame.body.AsEntryBeat();
-      if (to == host && beat != nullptr) asks = beat->wants_routes;
+      if (to == host && beat != nullptr) requests_routes = beat->wants_routes;
     }
-    return asks;
+    return requests_routes;
   }
 
   uint64_t AnsweredBelowIn(const HostId& host) {
--- a/src/dotterelshift/app/control_replica_test.cc
+++ b/src/dotterelshift/app/control_replica_test.cc
@@ -11,7 +11,7 @@
 using replication::FindMember;
 using replication::IsVoter;
 
-std::vector<wire::ChangeT> ATeam(const std::string& id) {
+std::vector<wire::ChangeT> AddTeamChange(const std::string& id) {
   std::vector<wire::ChangeT> changes;
   changes.push_back(state::TeamChange(id));
   return changes;
@@ -25,22 +25,22 @@
 
 class ControlReplicaTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ControlReplicaTest);
-  CPPUNIT_TEST(OneReplicaKeepsWhatItAccepted);
-  CPPUNIT_TEST(ThreeGoOnWithoutTheirLeader);
-  CPPUNIT_TEST(WithoutALeaderTheNextOneIsAwaited);
-  CPPUNIT_TEST(CutOffLeaderAcceptsAndReadsNothing);
-  CPPUNIT_TEST(WipedMemberWaitsAndIsReplacedByAPlan);
-  CPPUNIT_TEST(WipedCoordinatorFoundsNoSecondGroup);
+  CPPUNIT_TEST(SingleReplicaKeepsAcceptedCommandsAcrossARestart);
+  CPPUNIT_TEST(GroupOfThreeSurvivesTheLossOfItsLeader);
+  CPPUNIT_TEST(TestsWaitForTheNextLeader);
+  CPPUNIT_TEST(PartitionedLeaderConfirmsNoCommandsOrReads);
+  CPPUNIT_TEST(WipedMemberWaitsUntilAPlanReplacesIt);
+  CPPUNIT_TEST(WipedCoordinatorDoesNotBootstrapASecondGroup);
   CPPUNIT_TEST(LaggingReplicaInstallsASnapshot);
-  CPPUNIT_TEST(SpoolIsProposedOnce);
+  CPPUNIT_TEST(SpooledCommandsAreProposedOnce);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void OneReplicaKeepsWhatItAccepted() {
+  void SingleReplicaKeepsAcceptedCommandsAcrossARestart() {
     ReplicaGroup group({"a"});
     group.Start("a");
     for (uint64_t version = 1; version <= 5; ++version) {
-      group.AcceptPlan(ATeam("team-" + std::to_string(version)));
+      group.AcceptPlan(AddTeamChange("team-" + std::to_string(version)));
       group.Kill("a");
       group.Start("a");
       group.RunUntil([&] { return group.AllHave(version); });
@@ -49,14 +49,14 @@
                        "team-1") != nullptr);
   }
 
-  void ThreeGoOnWithoutTheirLeader() {
+  void GroupOfThreeSurvivesTheLossOfItsLeader() {
     ReplicaGroup group({"a", "b", "c"});
     StartThree(group);
     for (uint64_t round = 0; round < 3; ++round) {
-      group.AcceptPlan(ATeam("before"));
+      group.AcceptPlan(AddTeamChange("before"));
       const HostId leader = group.AwaitLeader();
       group.Kill(leader);
-      group.AcceptPlan(ATeam("after"));
+      group.AcceptPlan(AddTeamChange("after"));
       group.Start(leader);
       group.RunUntil([&] { return group.AllHave(2 * round + 2); });
     }
@@ -65,7 +65,7 @@
   // Between two terms nobody leads; what looks at the leader then has to wait
   // for the next one. A test that did not ended in a null pointer on a busy
   // machine.
-  void WithoutALeaderTheNextOneIsAwaited() {
+  void TestsWaitForTheNextLeader() {
     ReplicaGroup group({"a", "b", "c"});
     StartThree(group);
     const HostId old = group.AwaitLeader();
@@ -75,10 +75,10 @@
     CPPUNIT_ASSERT(group.AwaitLeader() != old);
   }
 
-  void CutOffLeaderAcceptsAndReadsNothing() {
+  void PartitionedLeaderConfirmsNoCommandsOrReads() {
     ReplicaGroup group({"a", "b", "c"});
     StartThree(group);
-    group.AcceptPlan(ATeam("before"));
+    group.AcceptPlan(AddTeamChange("before"));
     const HostId old = group.AwaitLeader();
     group.Cut(old, true);
     std::vector<ErrorKind> errors;
@@ -94,16 +94,16 @@
     for (const ErrorKind error : errors)
       CPPUNIT_ASSERT(error == ErrorKind::kNoQuorum);
     CPPUNIT_ASSERT(!group.Find(old)->Leads());
-    group.AcceptPlan(ATeam("meanwhile"));
+    group.AcceptPlan(AddTeamChange("meanwhile"));
     group.Cut(old, false);
     group.RunUntil([&] { return group.AllHave(2); });
     CPPUNIT_ASSERT(group.Find(old)->GetState().FindPlan("lost") == nullptr);
   }
 
-  void WipedMemberWaitsAndIsReplacedByAPlan() {
+  void WipedMemberWaitsUntilAPlanReplacesIt() {
     ReplicaGroup group({"a", "b", "c"});
     StartThree(group);
-    group.AcceptPlan(ATeam("before"));
+    group.AcceptPlan(AddTeamChange("before"));
     const HostId leader = group.AwaitLeader();
     const HostId lost = leader == "c" ? "b" : "c";
     const ReplicaId old = IdOf(Members(group), lost);
@@ -131,7 +131,7 @@
     group.RunUntil([&] { return group.AllHave(2); });
     // A second loss right after the repair loses nothing.
     group.Wipe(leader);
-    group.AcceptPlan(ATeam("after"));
+    group.AcceptPlan(AddTeamChange("after"));
     CPPUNIT_ASSERT(group.Find(group.AwaitLeader())
                        ->GetState()
                        .GetConfiguration()
@@ -140,10 +140,10 @@
 
   // The member that founded the group loses its folder while the rest is down:
   // it must wait, and the rest must go on as before.
-  void WipedCoordinatorFoundsNoSecondGroup() {
+  void WipedCoordinatorDoesNotBootstrapASecondGroup() {
     ReplicaGroup group({"a", "b", "c"});
     StartThree(group);
-    group.AcceptPlan(ATeam("before"));
+    group.AcceptPlan(AddTeamChange("before"));
     group.RunUntil([&] { return group.AllHave(1); });
     for (const char* host : {"a", "b", "c"}) group.Kill(host);
     group.Wipe("a");
@@ -155,7 +155,7 @@
     CPPUNIT_ASSERT(wiped->GetNode().Members().replicas.empty());
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, wiped->GetNode().Term());
     group.Start("c");
-    group.AcceptPlan(ATeam("after"));
+    group.AcceptPlan(AddTeamChange("after"));
     CPPUNIT_ASSERT(group.AwaitLeader() != "a");
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, group.Find(group.AwaitLeader())
                                           ->GetState()
@@ -169,12 +169,12 @@
     group.Options().store.segment_bytes = 8 << 10;
     group.Options().node.snapshot_chunk_bytes = 512;
     StartThree(group);
-    group.AcceptPlan(ATeam("first"));
+    group.AcceptPlan(AddTeamChange("first"));
     const HostId lagging = group.AwaitLeader() == "c" ? "b" : "c";
     group.Kill(lagging);
     constexpr uint64_t kPlans = 60;
     for (uint64_t plan = 2; plan <= kPlans; ++plan)
-      group.AcceptPlan(ATeam("team-" + std::to_string(plan)));
+      group.AcceptPlan(AddTeamChange("team-" + std::to_string(plan)));
     // Restarted replicas have cut their logs, so only a snapshot can help.
     for (const char* host : {"a", "b", "c"}) group.Kill(host);
     StartThree(group);
@@ -183,29 +183,30 @@
                    group.Find(lagging)->GetState().Snapshot());
   }
 
-  void SpoolIsProposedOnce() {
+  void SpooledCommandsAreProposedOnce() {
     ReplicaGroup group({"a", "b", "c"});
     StartThree(group);
-    group.AcceptPlan(ATeam("before"));
-    const HostId keeper = group.AwaitLeader() == "c" ? "b" : "c";
-    group.Cut(keeper, true);
+    group.AcceptPlan(AddTeamChange("before"));
+    const HostId spooling_host = group.AwaitLeader() == "c" ? "b" : "c";
+    group.Cut(spooling_host, true);
     wire::SpoolT spool;
     spool.commands.push_back(std::make_unique<wire::CommandT>(
         group.Run().Command(state::PlanOf("spooled", 1, "operator", {}))));
-    group.Find(keeper)->Spool(spool);
-    group.Kill(keeper);
-    group.Start(keeper);
+    group.Find(spooling_host)->Spool(spool);
+    group.Kill(spooling_host);
+    group.Start(spooling_host);
     // It leads when the others cannot: then it proposes what it kept.
-    group.Cut(keeper, false);
-    group.Kill(keeper == "b" ? "c" : "b");
+    group.Cut(spooling_host, false);
+    group.Kill(spooling_host == "b" ? "c" : "b");
     group.RunUntil([&] {
       if (group.Leader().empty()) return false;
-      if (group.Leader() != keeper) {
+      if (group.Leader() != spooling_host) {
         const HostId other = group.Leader();
         group.Kill(other);
         group.Start(other);
       }
-      return group.Find(keeper)->GetState().FindPlan("spooled") != nullptr;
+      return group.Find(spooling_host)->GetState().FindPlan("spooled") !=
+             nullptr;
     });
   }
 
--- a/src/dotterelshift/app/directory_exchange.cc
+++ b/src/dotterelshift/app/directory_exchange.cc
@@ -79,7 +79,7 @@
   }
   if (m_directory.Generation() != m_generation) {
     m_generation = m_directory.Generation();
-    m_callbacks.on_offer();
+    m_callbacks.on_offer_changed();
   }
   m_timer.ArmAt(m_spread.NextTimer());
 }
--- a/src/dotterelshift/app/directory_exchange.h
+++ b/src/dotterelshift/app/directory_exchange.h
@@ -18,7 +18,7 @@
  public:
   struct Callbacks {
     // What endpoints offer, or which may be used, has changed.
-    std::function<void()> on_offer;
+    std::function<void()> on_offer_changed;
     std::function<void(const std::vector<wire::CacheEventT>&)> on_cache_events;
   };
   DirectoryExchange(loop::Loop& loop, const HostId& self, Callbacks callbacks);
@@ -49,7 +49,7 @@
   peers::Hub* m_hub = nullptr;
   directory::Directory m_directory;
   directory::Spread m_spread;
-  uint64_t m_generation = 0;  // as last told by on_offer
+  uint64_t m_generation = 0;  // as last told by on_offer_changed
   loop::Timer m_timer;
 };
 
--- a/src/dotterelshift/app/entry.cc
+++ b/src/dotterelshift/app/entry.cc
@@ -19,10 +19,10 @@
 // How often the reach of control, the holdings and the gauges are looked at.
 constexpr Duration kTick = 50ms;
 // How long a drained entry waits for control to take its grants back.
-constexpr Duration kReturnPatience = 10s;
+constexpr Duration kGrantReturnTimeout = 10s;
 // How often the router takes over what endpoints report of their load, which
 // they themselves report with a lag.
-constexpr Duration kLoadRefreshEvery = 500ms;
+constexpr Duration kLoadRefreshInterval = 500ms;
 
 // The request core numbers its own commands from 1.
 constexpr uint64_t kRegistrationSequence = 0;
@@ -249,7 +249,7 @@
 
 void Entry::TakeFromLink() {
   const Instant now = m_loop.Now();
-  m_core->OnEntriesChanged(m_link.EntryPlace(), m_link.EntryCount());
+  m_core->OnEntriesChanged(m_link.EntryIndex(), m_link.EntryCount());
   if (m_link.GetConfiguration().Version() != m_version) Refresh();
   if (m_link.Reach() != m_reach) {
     m_reach = m_link.Reach();
@@ -259,7 +259,7 @@
   }
   for (const wire::CommandAnswerT& answer : m_link.TakeAnswers()) {
     // What a superseded run commits is refused, so it serves no more.
-    if (m_registration->OnAnswer(answer) == RunStanding::kSuperseded)
+    if (m_registration->OnAnswer(answer) == IncarnationStatus::kSuperseded)
       Shutdown();
     m_core->OnAnswer(answer, now);
   }
@@ -292,7 +292,7 @@
   }
   m_link.SetHoldings(std::move(holdings));
   if (now >= m_next_load_refresh) {
-    m_next_load_refresh = now + kLoadRefreshEvery;
+    m_next_load_refresh = now + kLoadRefreshInterval;
     m_router->Refresh(m_directory.GetDirectory(), m_link.GetConfiguration(),
                       now);
   }
@@ -351,13 +351,14 @@
 }
 
 void Entry::CheckDrained() {
-  if (!m_draining || !m_core->Drained() || m_traffic->OpenAnswers() > 0) return;
+  if (!m_draining || !m_core->Drained() || m_traffic->OpenResponses() > 0)
+    return;
   const Instant now = m_loop.Now();
   if (!m_drained_since.has_value()) m_drained_since = now;
   // Settlements are committed or spooled by now. Grants go back as soon as
   // control can be reached; after a while they are left to the next run.
   const bool returned = m_reach == ControlReach::kConnected && m_link.Idle();
-  if (!returned && now - *m_drained_since < kReturnPatience) return;
+  if (!returned && now - *m_drained_since < kGrantReturnTimeout) return;
   telemetry::Log(telemetry::LogLevel::kInfo, "shutdown_done",
                  {{"grants_returned", returned ? "yes" : "no"}});
   m_loop.Stop();
--- a/src/dotterelshift/app/entry_pushes.h
+++ b/src/dotterelshift/app/entry_pushes.h
@@ -31,61 +31,61 @@
                    Instant now);
 
   // Answers a beat, once a quorum has confirmed that this replica leads. What
-  // the entry lacks is left to PushSome().
-  void AnswerBeat(const HostId& entry, uint64_t sequence, WallMs stamp);
+  // the entry lacks is left to PushPending().
+  void AnswerHeartbeat(const HostId& entry, uint64_t sequence, WallMs stamp);
   // Tells entries what they lack, as many as one turn of the loop bears, in
   // turns; true when there are more.
-  bool PushSome(Instant now);
+  bool PushPending(Instant now);
   void PushQuarantine(const HostId& entry, WallMs now);
   void PushQuarantineToAll(WallMs now);
 
   size_t Entries() const { return m_entries.size(); }
   // What was sent of published routes since the start.
-  struct RoutesSent {
+  struct RoutesSentTotals {
     uint64_t wholes = 0;  // documents by themselves
     uint64_t steps = 0;   // sent as steps from the version that is held
     uint64_t bytes = 0;
   };
-  const RoutesSent& Sent() const { return m_sent; }
+  const RoutesSentTotals& Sent() const { return m_sent; }
 
  private:
   // The version of something that an entry has, or that is on its way to it.
-  struct Pushed {
+  struct PushedVersion {
     uint64_t version = 0;
     Instant at{};  // when it was sent
     bool whole = false;
   };
   struct Entry {
     peers::PeerInfo info;
-    Pushed configuration;
-    Pushed routes;
+    PushedVersion configuration;
+    PushedVersion routes;
   };
   // How one version of the routes goes out, for a line about it.
-  struct Spread {
+  struct Rollout {
     uint64_t version = 0;
-    Instant begun{};
-    RoutesSent sent_before;
-    bool told = true;
+    Instant started_at{};
+    RoutesSentTotals sent_before;
+    bool logged = true;
   };
-  // `wants_whole`: what was sent is of no use to the entry.
-  static void OnHas(Pushed& pushed, uint64_t version, bool wants_whole,
-                    Instant now);
+  // `wants_full`: what was sent is of no use to the entry.
+  static void OnReportedVersion(PushedVersion& pushed, uint64_t version,
+                                bool wants_full, Instant now);
   // Give the bytes that were sent, about.
   size_t Push(Entry& entry, Instant now);
   size_t PushConfiguration(Entry& entry, Instant now);
   size_t PushRoutes(Entry& entry, Instant now);
   // The document by itself; packed once for all entries that need it.
-  const wire::RoutesStepT& WholeRoutes(const state::PublishedRoutes& published);
-  void WatchSpread(Instant now);
-  void LogSpread(Instant now);
+  const wire::RoutesStepT& FullRoutes(const state::PublishedRoutes& published);
+  void TrackRollout(Instant now);
+  void LogRollout(Instant now);
 
   peers::Hub& m_hub;
   const ControlReplica& m_replica;
   std::map<HostId, Entry> m_entries;
-  HostId m_pushed_last;
-  wire::RoutesStepT m_whole_routes;
-  RoutesSent m_sent;
-  Spread m_spread;
+  HostId m_last_pushed;
+  wire::RoutesStepT m_full_routes;
+  RoutesSentTotals m_sent;
+  Rollout m_rollout;
 };
 
 }  // namespace dotterelshift::app
--- a/src/dotterelshift/app/entry_pushes_test.cc
+++ b/src/dotterelshift/app/entry_pushes_test.cc
@@ -18,7 +18,7 @@
     const wire::RoutesPushT* routes = frame.body.AsRoutesPush();
     if (routes == nullptr) return true;
     for (const auto& step : routes->steps) backlog[host] += step->packed.size();
-    most = std::max(most, backlog[host]);
+    max_backlog = std::max(max_backlog, backlog[host]);
     ++documents;
     versions[host] = routes->version;
     bases[host] = routes->steps.front()->base;
@@ -36,7 +36,7 @@
   std::map<HostId, size_t> backlog;
   std::map<HostId, uint64_t> versions;  // of the newest document sent
   std::map<HostId, uint64_t> bases;     // of the first step sent
-  size_t most = 0;
+  size_t max_backlog = 0;
   int documents = 0;
 
  private:
@@ -45,11 +45,11 @@
 
 class EntryPushesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EntryPushesTest);
-  CPPUNIT_TEST(AFleetThatStartsIsSentOneDocumentEach);
-  CPPUNIT_TEST(InAStormTheNewestReplacesWhatWaits);
-  CPPUNIT_TEST(ATurnPushesToAFewEntries);
-  CPPUNIT_TEST(WhatWasLostIsSentAgain);
-  CPPUNIT_TEST(AStepThatIsOfNoUseIsFollowedByTheWhole);
+  CPPUNIT_TEST(StartingFleetIsSentOneDocumentPerEntry);
+  CPPUNIT_TEST(NewestVersionReplacesPendingOnes);
+  CPPUNIT_TEST(PushesPerLoopIterationAreBounded);
+  CPPUNIT_TEST(LostDocumentIsSentAgain);
+  CPPUNIT_TEST(UnusableDeltaIsFollowedByTheFullDocument);
   CPPUNIT_TEST_SUITE_END();
 
  private:
@@ -86,17 +86,18 @@
 
   // What the loop does in as many turns as it takes.
   void PushAll() {
-    while (m_pushes.PushSome(m_now)) {
+    while (m_pushes.PushPending(m_now)) {
     }
   }
 
-  void Beat(const HostId& host, uint64_t version, bool wants_routes = false) {
+  void SendHeartbeat(const HostId& host, uint64_t version,
+                     bool wants_routes = false) {
     wire::EntryBeatT beat;
     beat.wants_routes = wants_routes;
-    beat.sequence = ++m_beats;
+    beat.sequence = ++m_heartbeats;
     beat.routes_version = version;
     m_pushes.OnHeartbeat(host, beat, m_now);
-    m_pushes.AnswerBeat(host, beat.sequence, 1);
+    m_pushes.AnswerHeartbeat(host, beat.sequence, 1);
     PushAll();
   }
 
@@ -110,21 +111,22 @@
 
   // Entries that know no leader beat ten times a second, and none of them takes
   // anything for two seconds.
-  void AFleetThatStartsIsSentOneDocumentEach() {
+  void StartingFleetIsSentOneDocumentPerEntry() {
     Publish(1);
     StartEntries();
     for (int round = 0; round < 20; ++round, m_now += 100ms)
-      for (int i = 0; i < kEntries; ++i) Beat("e" + std::to_string(i), 0);
+      for (int i = 0; i < kEntries; ++i)
+        SendHeartbeat("e" + std::to_string(i), 0);
     CPPUNIT_ASSERT_EQUAL(kEntries, m_hub.documents);
-    CPPUNIT_ASSERT_EQUAL(m_document_bytes, m_hub.most);
+    CPPUNIT_ASSERT_EQUAL(m_document_bytes, m_hub.max_backlog);
   }
 
-  void InAStormTheNewestReplacesWhatWaits() {
+  void NewestVersionReplacesPendingOnes() {
     StartEntries();
     uint64_t version = 0;
     for (int change = 0; change < 25; ++change, m_now += 80ms)
       Publish(++version);
-    CPPUNIT_ASSERT_EQUAL(m_document_bytes, m_hub.most);
+    CPPUNIT_ASSERT_EQUAL(m_document_bytes, m_hub.max_backlog);
     CPPUNIT_ASSERT_EQUAL(kEntries, m_hub.documents);
     m_hub.backlog.clear();
     PushAll();
@@ -135,48 +137,49 @@
 
   // A leader that sent each of a large fleet its document in one turn of the
   // loop lost its lease over it.
-  void ATurnPushesToAFewEntries() {
-    constexpr size_t kMostBytes = 256 << 10;
+  void PushesPerLoopIterationAreBounded() {
+    constexpr size_t kMaxPushBytes = 256 << 10;
     StartEntries();
     Commit(1);
     int before = 0;
     for (bool more = true; more; before = m_hub.documents) {
-      more = m_pushes.PushSome(m_now);
+      more = m_pushes.PushPending(m_now);
       const size_t documents = m_hub.documents - before;
-      CPPUNIT_ASSERT(documents * kDocumentBytes <= kMostBytes + kDocumentBytes);
+      CPPUNIT_ASSERT(documents * kDocumentBytes <=
+                     kMaxPushBytes + kDocumentBytes);
     }
     CPPUNIT_ASSERT_EQUAL(kEntries, m_hub.documents);
     CPPUNIT_ASSERT_EQUAL(size_t{kEntries}, m_hub.versions.size());
   }
 
   // A document that the entry could not use, or a connection that is new.
-  void WhatWasLostIsSentAgain() {
+  void LostDocumentIsSentAgain() {
     StartEntries();
     Publish(1);
     m_hub.backlog.clear();
-    Beat("e1", 0);
+    SendHeartbeat("e1", 0);
     CPPUNIT_ASSERT_EQUAL(kEntries, m_hub.documents);
     m_now += 5s;
-    Beat("e1", 0);
+    SendHeartbeat("e1", 0);
     CPPUNIT_ASSERT_EQUAL(kEntries + 1, m_hub.documents);
     m_hub.backlog.clear();
     peers::PeerInfo again;
     again.run = {"e2", 2};
     m_pushes.OnDown("e2");
     m_pushes.OnUp(again);
-    Beat("e2", 0);
+    SendHeartbeat("e2", 0);
     CPPUNIT_ASSERT_EQUAL(kEntries + 2, m_hub.documents);
   }
 
   // Once: until the whole has come, beats go on asking for it.
-  void AStepThatIsOfNoUseIsFollowedByTheWhole() {
+  void UnusableDeltaIsFollowedByTheFullDocument() {
     StartEntries();
     Publish(1);
     m_hub.backlog.clear();
     PublishStep(2);
     CPPUNIT_ASSERT_EQUAL(2 * kEntries, m_hub.documents);
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, m_hub.bases["e1"]);
-    for (int beat = 0; beat < 3; ++beat) Beat("e1", 1, true);
+    for (int beat = 0; beat < 3; ++beat) SendHeartbeat("e1", 1, true);
     CPPUNIT_ASSERT_EQUAL(2 * kEntries + 1, m_hub.documents);
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, m_hub.bases["e1"]);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, m_hub.versions["e1"]);
@@ -184,7 +187,7 @@
 
   Instant m_now{1000s};
   size_t m_document_bytes = 0;  // of the newest, as it is sent whole
-  uint64_t m_beats = 0;
+  uint64_t m_heartbeats = 0;
   MockHub m_hub;
   MockReplica m_replica;
   EntryPushes m_pushes{m_hub, m_replica};
--- a/src/dotterelshift/app/gateway_entry.cc
+++ b/src/dotterelshift/app/gateway_entry.cc
@@ -60,7 +60,7 @@
   void SendToPeers();
   void ProposeSuspicion(const gateway::SuspectReport& suspicion);
   void CheckDrained();
-  void EndAnswers(bool drained);
+  void EndOpenRequests(bool drained);
   void ReturnHoldings();
   bool HasOpen() const;
   void UpdateGauges();
@@ -92,8 +92,8 @@
   std::unique_ptr<peers::Hub> m_hub;
   std::unique_ptr<OtherEntries> m_others;
   ControlReach m_reach = ControlReach::kNever;
-  uint64_t m_version = 0;       // of the routes in force here
-  uint64_t m_seen_version = 0;  // of the newest that came, readable or not
+  uint64_t m_version = 0;           // of the routes in force here
+  uint64_t m_received_version = 0;  // of the newest that came, readable or not
   std::shared_ptr<const gateway::RouteTable> m_routes;
   size_t m_entries = 1;
   std::optional<gateway::DrainSchedule> m_drain;
@@ -136,7 +136,7 @@
       loop, MakeHubOptions(settings, secret, incarnation, m_server->Port()),
       HubCallbacks());
   m_others = std::make_unique<OtherEntries>(loop, *m_hub,
-                                            NotePacerOptionsOf(settings));
+                                            LoadUpdatePacerOptionsOf(settings));
   m_directory.SetHub(m_hub.get());
   Register();
   m_tick.ArmIn(0ms);
@@ -235,7 +235,7 @@
 
 void GatewayEntry::TakeFromLink() {
   const Instant now = m_loop.Now();
-  if (m_link.RoutesVersion() != m_seen_version) TakeRoutes();
+  if (m_link.RoutesVersion() != m_received_version) TakeRoutes();
   if (m_link.EntryCount() != m_entries) TakeEntryCount();
   if (m_link.Reach() != m_reach) OnReach();
   for (const wire::CommandAnswerT& answer : m_link.TakeAnswers())
@@ -249,18 +249,19 @@
 }
 
 void GatewayEntry::TakeRoutes() {
-  m_seen_version = m_link.RoutesVersion();
+  m_received_version = m_link.RoutesVersion();
   const Instant start = m_loop.Now();
   std::string why;
   auto routes = m_dialect->ReadRoutes(m_link.RoutesDocument(), &why);
   if (!routes) {
     // Control checks before it commits; only another version of the program
     // can have let this pass.
-    telemetry::Log(telemetry::LogLevel::kError, "routes_unreadable",
-                   {{"version", std::to_string(m_seen_version)}, {"why", why}});
+    telemetry::Log(
+        telemetry::LogLevel::kError, "routes_unreadable",
+        {{"version", std::to_string(m_received_version)}, {"why", why}});
     return;
   }
-  m_version = m_seen_version;
+  m_version = m_received_version;
   m_routes = std::make_shared<const gateway::RouteTable>(std::move(*routes));
   m_core->OnRoutes(m_routes, m_entries, m_loop.Now());
   telemetry::Log(telemetry::LogLevel::kInfo, "routes_in_force",
@@ -286,9 +287,9 @@
 }
 
 void GatewayEntry::OnAnswer(const wire::CommandAnswerT& answer) {
-  const RunStanding standing = m_registration.OnAnswer(answer);
-  if (standing == RunStanding::kSuperseded) return Shutdown();
-  if (standing == RunStanding::kRaised) return Register();
+  const IncarnationStatus status = m_registration.OnAnswer(answer);
+  if (status == IncarnationStatus::kSuperseded) return Shutdown();
+  if (status == IncarnationStatus::kRaised) return Register();
   if (const auto* suspect = answer.body.AsSuspectAnswer())
     m_blocklist.OnEntry(*suspect, m_loop.Now());
   if (m_budgets.OnAnswer(answer, m_loop.Now()))
@@ -316,7 +317,7 @@
 
 void GatewayEntry::OnTick() {
   const Instant now = m_loop.Now();
-  m_link_guard.OnControlTrip(m_link.TakeLongestBeat());
+  m_link_guard.OnControlRoundTrip(m_link.TakeMaxHeartbeatTime());
   m_link_guard.Watch(*m_server, m_hub->Counters(), now);
   m_link.SetHoldings(m_budgets.Holdings(now));
   m_link.OnTimer(now);
@@ -356,8 +357,8 @@
   for (const auto& [host, frame] : m_link.TakeFrames(now))
     m_hub->Send(host, frame);
   for (wire::TokenBorrowT& borrow : m_budgets.TakeBorrowRequests())
-    m_others->SendToSome(peers::MakeFrame(std::move(borrow)));
-  m_others->SendNotes(m_load, now);
+    m_others->SendToNextFew(peers::MakeFrame(std::move(borrow)));
+  m_others->SendLoadUpdates(m_load, now);
 }
 
 void GatewayEntry::ProposeSuspicion(const gateway::SuspectReport& suspicion) {
@@ -438,7 +439,7 @@
   const Instant now = m_loop.Now();
   if (!m_returning_since) {
     const bool drained = now > m_drain->notice_end && !HasOpen();
-    if (drained || now >= m_drain->response_deadline) EndAnswers(drained);
+    if (drained || now >= m_drain->response_deadline) EndOpenRequests(drained);
     return;
   }
   // What control does not take back now is lost with this run, and a caller
@@ -454,18 +455,18 @@
 }
 
 bool GatewayEntry::HasOpen() const {
-  return m_traffic->OpenAnswers() > 0 || m_server->OpenExchanges() > 0;
+  return m_traffic->OpenResponses() > 0 || m_server->OpenExchanges() > 0;
 }
 
 // What is open is ended before the holdings go back, so that its spend is among
 // the last reports.
 // `drained`: nothing is; else the line says what the stop waited for, a line of
 // each request follows.
-void GatewayEntry::EndAnswers(bool drained) {
+void GatewayEntry::EndOpenRequests(bool drained) {
   m_returning_since = m_loop.Now();
   const Duration stopping = *m_returning_since - m_drain->begun;
   const size_t exchanges = m_server->OpenExchanges();
-  const size_t answers = m_traffic->OpenAnswers();
+  const size_t answers = m_traffic->OpenResponses();
   telemetry::Log(telemetry::LogLevel::kInfo, "shutdown_answers_ended",
                  {{"why", drained ? "none_open" : "limit"},
                   {"stopping_ms", std::to_string(ToMs(stopping))},
--- a/src/dotterelshift/app/gateway_options.cc
+++ b/src/dotterelshift/app/gateway_options.cc
@@ -36,7 +36,7 @@
 ControlLinkOptions ControlLinkOptionsOf(const HostRun& self) {
   ControlLinkOptions options;
   options.self = self;
-  options.names_answered = true;
+  options.reports_answered_below = true;
   return options;
 }
 
@@ -68,7 +68,7 @@
   return options;
 }
 
-gateway::LoadUpdatePacerOptions NotePacerOptionsOf(
+gateway::LoadUpdatePacerOptions LoadUpdatePacerOptionsOf(
     const settings::Settings& settings) {
   gateway::LoadUpdatePacerOptions options;
   options.bytes_per_second = settings.link_mbit * kBytesPerMegabit;
--- a/src/dotterelshift/app/gateway_options.h
+++ b/src/dotterelshift/app/gateway_options.h
@@ -26,7 +26,7 @@
     const settings::Settings& settings);
 gateway::LinkLoadShedderOptions LinkOptionsOf(
     const settings::Settings& settings);
-gateway::LoadUpdatePacerOptions NotePacerOptionsOf(
+gateway::LoadUpdatePacerOptions LoadUpdatePacerOptionsOf(
     const settings::Settings& settings);
 gateway::SendPacerOptions SendPacerOptionsOf(
     const settings::Settings& settings);
--- a/src/dotterelshift/app/gateway_traffic.cc
+++ b/src/dotterelshift/app/gateway_traffic.cc
@@ -6,7 +6,7 @@
 #include <variant>    // for visit
 
 #include "dotterelshift/callers/front.h"     // for ErrorBody
-#include "dotterelshift/http/hop_headers.h"  // for WithoutHopHeaders
+#include "dotterelshift/http/hop_headers.h"  // for RemoveHopByHopHeaders
 #include "dotterelshift/telemetry/log.h"     // for Log
 
 namespace dotterelshift::app {
@@ -31,7 +31,7 @@
 constexpr Duration kMaxIdle = 4s;
 
 // A wait before the link that a line of a request tells.
-constexpr Duration kWorthTelling = 20ms;
+constexpr Duration kMinLoggedWait = 20ms;
 
 std::string Ms(Duration duration) { return std::to_string(ToMs(duration)); }
 
@@ -103,11 +103,11 @@
   for (auto actions = m_core.TakeActions(); !actions.empty();
        actions = m_core.TakeActions()) {
     for (const gateway::Action& action : actions)
-      std::visit([this](const auto& what) { this->CarryOut(what); }, action);
+      std::visit([this](const auto& what) { this->Execute(what); }, action);
   }
   for (const serving::RequestSummary& summary : m_core.TakeFinished())
     m_metrics.OnFinished(summary);
-  m_ended_ways.clear();
+  m_ended_sends.clear();
   m_pumping = false;
   ArmTimer();
 }
@@ -120,7 +120,7 @@
     m_timer.ArmAt(next);
 }
 
-void GatewayTraffic::CarryOut(const gateway::StartAttempt& start) {
+void GatewayTraffic::Execute(const gateway::StartAttempt& start) {
   const auto open = m_open.find(start.request);
   if (open == m_open.end()) return;
   const http::Request& request = open->second.exchange->GetRequest();
@@ -141,7 +141,7 @@
                                       const http::Headers& headers) {
     OnHead(attempt, status, headers);
   };
-  callbacks.on_piece = [this, attempt](std::string_view piece) {
+  callbacks.on_chunk = [this, attempt](std::string_view piece) {
     return OnChunk(attempt, piece);
   };
   callbacks.on_end = [this, attempt](http::TransferEnd end) {
@@ -157,19 +157,20 @@
                                   const http::HandOver& what) {
   const auto transfer = m_transfers.find(attempt);
   if (transfer == m_transfers.end()) return;
-  WayOut& way = transfer->second.way_out;
-  way.handed_over = what;
-  way.handed_over_at = m_loop.Now();
-  way.wait = m_link.WaitOut(way.handed_over_at);
-  m_link.OnHandedOver(what, NextSendOf(transfer->second), way.handed_over_at);
+  SendRecord& record = transfer->second.send_record;
+  record.handed_over = what;
+  record.handed_over_at = m_loop.Now();
+  record.wait = m_link.OutboundWait(record.handed_over_at);
+  m_link.OnHandedOver(what, NextSendOf(transfer->second),
+                      record.handed_over_at);
 }
 
 SendKind GatewayTraffic::NextSendOf(const Transfer& transfer) {
   const auto open = m_open.find(transfer.request);
   const bool again =
       open != m_open.end() && std::exchange(open->second.handed_over, true);
-  if (again) return SendKind::kRepeat;
-  return transfer.first ? SendKind::kFirst : SendKind::kHeldBack;
+  if (again) return SendKind::kRetry;
+  return transfer.first ? SendKind::kFirst : SendKind::kDelayed;
 }
 
 void GatewayTraffic::OnHead(AttemptId attempt, int status,
@@ -177,7 +178,7 @@
   Transfer& transfer = m_transfers[attempt];
   transfer.status = status;
   transfer.headers = headers;
-  m_answer_bytes += http::BytesOf(headers) + gateway::kPacketHeaderBytes;
+  m_response_bytes += http::BytesOf(headers) + gateway::kPacketHeaderBytes;
   m_core.OnHead(attempt, status, m_dialect.ReadResponseInfo(status, headers),
                 m_loop.Now());
   Pump();
@@ -185,7 +186,7 @@
 
 bool GatewayTraffic::OnChunk(AttemptId attempt, std::string_view piece) {
   // An event of a stream is a packet of its own.
-  m_answer_bytes += piece.size() + gateway::kPacketHeaderBytes;
+  m_response_bytes += piece.size() + gateway::kPacketHeaderBytes;
   const auto transfer = m_transfers.find(attempt);
   if (transfer == m_transfers.end()) return true;
   if (!transfer->second.streamed) transfer->second.body.append(piece);
@@ -199,7 +200,7 @@
 }
 
 gateway::LinkBytes GatewayTraffic::Bytes() const {
-  return {m_answer_bytes, m_answer_bytes + m_client->BytesSent()};
+  return {m_response_bytes, m_response_bytes + m_client->BytesSent()};
 }
 
 void GatewayTraffic::OnEnd(AttemptId attempt, http::TransferEnd end) {
@@ -208,10 +209,10 @@
   m_transfers.erase(attempt);
 }
 
-void GatewayTraffic::CarryOut(const gateway::CancelAttempt& cancel) {
+void GatewayTraffic::Execute(const gateway::CancelAttempt& cancel) {
   const auto transfer = m_transfers.find(cancel.attempt);
   if (transfer == m_transfers.end()) return;
-  KeepWayOut(cancel.attempt, transfer->second);
+  KeepSendRecord(cancel.attempt, transfer->second);
   const http::TransferId id = transfer->second.id;
   m_transfers.erase(transfer);
   if (m_client->Withdraw(id))
@@ -219,7 +220,7 @@
   m_client->Cancel(id);
 }
 
-void GatewayTraffic::CarryOut(const gateway::WithdrawAttempt& withdraw) {
+void GatewayTraffic::Execute(const gateway::WithdrawAttempt& withdraw) {
   const auto transfer = m_transfers.find(withdraw.attempt);
   if (transfer == m_transfers.end()) return;
   if (!m_client->Withdraw(transfer->second.id)) return;
@@ -227,10 +228,11 @@
   m_core.OnWithdrawn(withdraw.attempt, m_loop.Now());
 }
 
-void GatewayTraffic::KeepWayOut(AttemptId attempt, const Transfer& transfer) {
-  WayOut& way = m_ended_ways[attempt];
-  way = transfer.way_out;
-  way.unsent = m_client->Unsent(transfer.id);
+void GatewayTraffic::KeepSendRecord(AttemptId attempt,
+                                    const Transfer& transfer) {
+  SendRecord& record = m_ended_sends[attempt];
+  record = transfer.send_record;
+  record.unsent = m_client->Unsent(transfer.id);
 }
 
 void GatewayTraffic::Forget(RequestId request) {
@@ -250,9 +252,9 @@
   return exchange;
 }
 
-http::Headers GatewayTraffic::AnswerHeaders(const http::Headers& headers,
-                                            bool keeps) {
-  http::Headers onward = http::WithoutHopHeaders(headers);
+http::Headers GatewayTraffic::ResponseHeaders(const http::Headers& headers,
+                                              bool keeps) {
+  http::Headers onward = http::RemoveHopByHopHeaders(headers);
   if (!keeps) onward.emplace_back("Connection", "close");
   return onward;
 }
@@ -261,7 +263,7 @@
   return !m_may_keep || m_may_keep(m_open.size() - m_kept_streams);
 }
 
-void GatewayTraffic::CarryOut(const gateway::Refuse& refuse) {
+void GatewayTraffic::Execute(const gateway::Refuse& refuse) {
   const auto exchange = Take(refuse.request);
   if (exchange == nullptr) return;
   const ErrorRow& row = RowOf(refuse.kind);
@@ -277,21 +279,21 @@
   if (row.retry != RetryAdvice::kNever)
     headers.emplace_back("Retry-After", SecondsText(wait));
   std::string body = callers::ErrorBody(refuse.kind, "");
-  headers = AnswerHeaders(headers, MayKeep());
-  m_own_bytes += http::BytesOf(headers) + body.size();
+  headers = ResponseHeaders(headers, MayKeep());
+  m_own_response_bytes += http::BytesOf(headers) + body.size();
   exchange->Answer(status, headers, std::move(body));
 }
 
-void GatewayTraffic::CarryOut(const gateway::RelayResponse& relay) {
+void GatewayTraffic::Execute(const gateway::RelayResponse& relay) {
   const auto exchange = Take(relay.request);
   const auto transfer = m_transfers.find(relay.attempt);
   if (exchange == nullptr || transfer == m_transfers.end()) return;
   Transfer& answer = transfer->second;
-  exchange->Answer(answer.status, AnswerHeaders(answer.headers, MayKeep()),
+  exchange->Answer(answer.status, ResponseHeaders(answer.headers, MayKeep()),
                    std::move(answer.body));
 }
 
-void GatewayTraffic::CarryOut(const gateway::RelayHead& relay) {
+void GatewayTraffic::Execute(const gateway::RelayHead& relay) {
   const auto open = m_open.find(relay.request);
   const auto transfer = m_transfers.find(relay.attempt);
   if (open == m_open.end() || transfer == m_transfers.end()) return;
@@ -301,49 +303,51 @@
   open->second.keeps = MayKeep();
   if (open->second.keeps) ++m_kept_streams;
   open->second.exchange->SendHead(
-      answer.status, AnswerHeaders(answer.headers, open->second.keeps));
+      answer.status, ResponseHeaders(answer.headers, open->second.keeps));
 }
 
-void GatewayTraffic::CarryOut(const gateway::RelayChunk& relay) {
+void GatewayTraffic::Execute(const gateway::RelayChunk& relay) {
   const auto open = m_open.find(relay.request);
-  if (open != m_open.end()) open->second.exchange->SendPiece(relay.bytes);
+  if (open != m_open.end()) open->second.exchange->WriteChunk(relay.bytes);
 }
 
-void GatewayTraffic::CarryOut(const gateway::FinishStream& finish) {
+void GatewayTraffic::Execute(const gateway::FinishStream& finish) {
   const auto exchange = Take(finish.request);
   if (exchange != nullptr) exchange->Finish();
 }
 
-void GatewayTraffic::CarryOut(const gateway::AbortStream& abort) {
+void GatewayTraffic::Execute(const gateway::AbortStream& abort) {
   const auto exchange = Take(abort.request);
   if (exchange != nullptr) exchange->Abort();
 }
 
-void GatewayTraffic::AddWayOut(AttemptId attempt, LogInputs& inputs) const {
-  const auto ended = m_ended_ways.find(attempt);
+void GatewayTraffic::AddSendRecord(AttemptId attempt, LogInputs& inputs) const {
+  const auto ended = m_ended_sends.find(attempt);
   const auto open = m_transfers.find(attempt);
-  const bool known = ended != m_ended_ways.end() || open != m_transfers.end();
+  const bool known = ended != m_ended_sends.end() || open != m_transfers.end();
   if (!known) return;
-  const WayOut& way =
-      ended != m_ended_ways.end() ? ended->second : open->second.way_out;
-  if (way.unsent) inputs.emplace_back("unsent", std::to_string(*way.unsent));
-  if (!way.handed_over) {
+  const SendRecord& record =
+      ended != m_ended_sends.end() ? ended->second : open->second.send_record;
+  if (record.unsent)
+    inputs.emplace_back("unsent", std::to_string(*record.unsent));
+  if (!record.handed_over) {
     inputs.emplace_back("handed_over", "no");
     return;
   }
   inputs.emplace_back("handed_over_ms_ago",
-                      Ms(m_loop.Now() - way.handed_over_at));
-  inputs.emplace_back("wait_out_then_ms", Ms(way.wait));
-  inputs.emplace_back("bytes", std::to_string(way.handed_over->bytes));
-  if (way.handed_over->new_connection)
-    inputs.emplace_back("connected_in_ms", Ms(way.handed_over->connected_in));
+                      Ms(m_loop.Now() - record.handed_over_at));
+  inputs.emplace_back("wait_out_then_ms", Ms(record.wait));
+  inputs.emplace_back("bytes", std::to_string(record.handed_over->bytes));
+  if (record.handed_over->new_connection)
+    inputs.emplace_back("connected_in_ms",
+                        Ms(record.handed_over->connected_in));
 }
 
-void GatewayTraffic::CarryOut(const gateway::Decision& decision) const {
+void GatewayTraffic::Execute(const gateway::Decision& decision) const {
   LogInputs inputs = decision.inputs;
-  if (decision.attempt != 0) AddWayOut(decision.attempt, inputs);
-  const Duration wait = m_link.WaitOut(m_loop.Now());
-  if (wait >= kWorthTelling) inputs.emplace_back("wait_out_ms", Ms(wait));
+  if (decision.attempt != 0) AddSendRecord(decision.attempt, inputs);
+  const Duration wait = m_link.OutboundWait(m_loop.Now());
+  if (wait >= kMinLoggedWait) inputs.emplace_back("wait_out_ms", Ms(wait));
   telemetry::LogDecision(decision.event, decision.caller_id, inputs);
 }
 
--- a/src/dotterelshift/app/gateway_traffic.h
+++ b/src/dotterelshift/app/gateway_traffic.h
@@ -38,12 +38,14 @@
   // or has told them to close. Without it, all may.
   using KeepPolicy = std::function<bool(size_t silent)>;
   void SetKeepPolicy(KeepPolicy policy) { m_may_keep = std::move(policy); }
-  size_t OpenAnswers() const { return m_open.size(); }
+  size_t OpenResponses() const { return m_open.size(); }
 
   // What went to endpoints, and what they answered, which went on to callers.
   gateway::LinkBytes Bytes() const;
   // All that went to callers, answers of the entry's own with it.
-  uint64_t BytesToCallers() const { return m_answer_bytes + m_own_bytes; }
+  uint64_t BytesToCallers() const {
+    return m_response_bytes + m_own_response_bytes;
+  }
 
  private:
   // A caller's request and what is kept of its answer.
@@ -56,7 +58,7 @@
     bool handed_over = false;  // and its bytes handed to a connection
   };
   // How the request of an attempt left this host, for the log.
-  struct WayOut {
+  struct SendRecord {
     std::optional<http::HandOver> handed_over;
     Instant handed_over_at{};
     Duration wait{};               // before the link, then
@@ -72,7 +74,7 @@
     std::string body;
     bool streamed = false;
     bool first = false;  // of its request
-    WayOut way_out;
+    SendRecord send_record;
   };
   using LogInputs = std::vector<std::pair<std::string_view, std::string>>;
 
@@ -84,22 +86,23 @@
   void OnHandedOver(AttemptId attempt, const http::HandOver& what);
   SendKind NextSendOf(const Transfer& transfer);
   // The last that is told of an attempt that is not there any more.
-  void KeepWayOut(AttemptId attempt, const Transfer& transfer);
-  void AddWayOut(AttemptId attempt, LogInputs& inputs) const;
+  void KeepSendRecord(AttemptId attempt, const Transfer& transfer);
+  void AddSendRecord(AttemptId attempt, LogInputs& inputs) const;
 
-  void CarryOut(const gateway::StartAttempt& start);
-  void CarryOut(const gateway::CancelAttempt& cancel);
-  void CarryOut(const gateway::WithdrawAttempt& withdraw);
-  void CarryOut(const gateway::Refuse& refuse);
-  void CarryOut(const gateway::RelayResponse& relay);
-  void CarryOut(const gateway::RelayHead& relay);
-  void CarryOut(const gateway::RelayChunk& relay);
-  void CarryOut(const gateway::FinishStream& finish);
-  void CarryOut(const gateway::AbortStream& abort);
-  void CarryOut(const gateway::Decision& decision) const;
+  void Execute(const gateway::StartAttempt& start);
+  void Execute(const gateway::CancelAttempt& cancel);
+  void Execute(const gateway::WithdrawAttempt& withdraw);
+  void Execute(const gateway::Refuse& refuse);
+  void Execute(const gateway::RelayResponse& relay);
+  void Execute(const gateway::RelayHead& relay);
+  void Execute(const gateway::RelayChunk& relay);
+  void Execute(const gateway::FinishStream& finish);
+  void Execute(const gateway::AbortStream& abort);
+  void Execute(const gateway::Decision& decision) const;
 
   // Of an answer that is passed on; `keeps`: the connection stays.
-  static http::Headers AnswerHeaders(const http::Headers& headers, bool keeps);
+  static http::Headers ResponseHeaders(const http::Headers& headers,
+                                       bool keeps);
   bool MayKeep() const;
   // The answer of a request has ended, or its caller has left.
   void Forget(RequestId request);
@@ -115,12 +118,12 @@
   std::unordered_map<RequestId, Open> m_open;
   std::unordered_map<AttemptId, Transfer> m_transfers;
   // Of attempts that ended among the actions that are being carried out.
-  std::unordered_map<AttemptId, WayOut> m_ended_ways;
+  std::unordered_map<AttemptId, SendRecord> m_ended_sends;
   RequestId m_last_request = 0;
   KeepPolicy m_may_keep;
   size_t m_kept_streams = 0;
-  uint64_t m_answer_bytes = 0;
-  uint64_t m_own_bytes = 0;  // of answers in the system's own name
+  uint64_t m_response_bytes = 0;
+  uint64_t m_own_response_bytes = 0;  // of answers in the system's own name
   bool m_pumping = false;
   loop::Timer m_timer;
 };
--- a/src/dotterelshift/app/gateway_traffic_test.cc
+++ b/src/dotterelshift/app/gateway_traffic_test.cc
@@ -51,7 +51,9 @@
   void SendHead(int status, const http::Headers&) override {
     m_status = status;
   }
-  void SendPiece(std::string_view piece) override { m_taken += piece; }
+  void WriteChunk(std::string_view piece) override {
+    m_consumed_bytes += piece;
+  }
   void Finish() override {}
   void Abort() override {}
   size_t Backlog() const override { return m_backlog; }
@@ -66,13 +68,13 @@
     callback();
   }
   void SetBacklog(size_t bytes) { m_backlog = bytes; }
-  const std::string& Taken() const { return m_taken; }
+  const std::string& Taken() const { return m_consumed_bytes; }
   int Status() const { return m_status; }
 
  private:
   http::Request m_request;
   std::function<void()> m_on_gone;
-  std::string m_taken;
+  std::string m_consumed_bytes;
   size_t m_backlog = 0;
   int m_status = 0;
 };
@@ -118,15 +120,15 @@
 class GatewayTrafficTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayTrafficTest);
   CPPUNIT_TEST(LeavesBeforeItsAttemptConnects);
-  CPPUNIT_TEST(LeavesBeforeItsEndpointTakesTheConnection);
+  CPPUNIT_TEST(LeavesBeforeItsEndpointAcceptsTheConnection);
   CPPUNIT_TEST(LeavesWhileItsRequestIsPartlySent);
-  CPPUNIT_TEST(LeavesWhileItsRequestLiesInTheKernel);
+  CPPUNIT_TEST(LeavesWhileItsRequestIsInTheKernelBuffer);
   CPPUNIT_TEST(LeavesWhileItsRequestRuns);
-  CPPUNIT_TEST(LeavesOnAConnectionThatWasUsedBefore);
+  CPPUNIT_TEST(LeavesOnAReusedConnection);
   CPPUNIT_TEST(LeavesBetweenTwoAttempts);
   CPPUNIT_TEST(LeavesWhileItsStreamRuns);
-  CPPUNIT_TEST(LeavesWhileItsStreamIsPausedAndBytesAreHeld);
-  CPPUNIT_TEST(AnAnswerToAnotherRequestDropsWhatIsHeld);
+  CPPUNIT_TEST(LeavesWhileItsStreamIsPausedWithHeldBytes);
+  CPPUNIT_TEST(ResponseToAnotherRequestDropsHeldBytes);
   CPPUNIT_TEST(LeavesAtARealServer);
   CPPUNIT_TEST_SUITE_END();
 
@@ -177,7 +179,7 @@
     ExpectNothingOpen();
   }
 
-  void LeavesBeforeItsEndpointTakesTheConnection() {
+  void LeavesBeforeItsEndpointAcceptsTheConnection() {
     http::TestListener endpoint(0);
     endpoint.Fill();
     Announce(endpoint);
@@ -202,7 +204,7 @@
     ExpectResetBefore(peer, kLongBody);
   }
 
-  void LeavesWhileItsRequestLiesInTheKernel() {
+  void LeavesWhileItsRequestIsInTheKernelBuffer() {
     const http::TestListener endpoint(1, kSmallBuffer);
     Announce(endpoint);
     const auto caller = Ask("/once/x", kHeldBody);
@@ -222,7 +224,7 @@
     ExpectNothingOpen();
   }
 
-  void LeavesOnAConnectionThatWasUsedBefore() {
+  void LeavesOnAReusedConnection() {
     const http::TestListener endpoint(1, kSmallBuffer);
     Announce(endpoint);
     const auto first = Ask("/once/x", 1);
@@ -272,7 +274,7 @@
   }
 
   // An endpoint may answer before it has read the whole request.
-  void LeavesWhileItsStreamIsPausedAndBytesAreHeld() {
+  void LeavesWhileItsStreamIsPausedWithHeldBytes() {
     const http::TestListener endpoint(1, kSmallBuffer);
     Announce(endpoint);
     const auto caller = Ask("/stream/x", kHeldBody);
@@ -287,7 +289,7 @@
   }
 
   // The attempt is cancelled while its own answer is being read.
-  void AnAnswerToAnotherRequestDropsWhatIsHeld() {
+  void ResponseToAnotherRequestDropsHeldBytes() {
     const http::TestListener endpoint(1, kSmallBuffer);
     Announce(endpoint);
     const auto caller = Ask("/once/x", kHeldBody);
@@ -352,7 +354,7 @@
 
   void ExpectNothingOpen() {
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
-    CPPUNIT_ASSERT_EQUAL(size_t{0}, m_traffic->OpenAnswers());
+    CPPUNIT_ASSERT_EQUAL(size_t{0}, m_traffic->OpenResponses());
   }
 
   static size_t OpenDescriptors() {
--- a/src/dotterelshift/app/gauges.cc
+++ b/src/dotterelshift/app/gauges.cc
@@ -44,7 +44,7 @@
 }
 
 void SetRoutesSentCounters(telemetry::Metrics& metrics,
-                           const EntryPushes::RoutesSent& sent) {
+                           const EntryPushes::RoutesSentTotals& sent) {
   metrics.SetCounter("dotterelshift_routes_wholes_sent_total",
                      "Documents of routes sent to entries by themselves",
                      Number(sent.wholes));
@@ -72,7 +72,7 @@
        {"dotterelshift_entries_connected", "Entries connected",
         Number(entries)},
        {"dotterelshift_commands_waiting", "Not yet in a batch",
-        Number(load.waiting_commands)},
+        Number(load.unbatched_commands)},
        {"dotterelshift_commands_pending", "In batches not yet committed",
         Number(load.pending_commands)},
        {"dotterelshift_entries_unapplied", "Committed, not yet in the state",
@@ -80,7 +80,7 @@
        {"dotterelshift_hellos_heard", "From other replicas, since the start",
         Number(load.hellos)},
        {"dotterelshift_reads_waiting", "For a quorum's word",
-        Number(load.waiting_reads)},
+        Number(load.unconfirmed_reads)},
        {"dotterelshift_log_bytes", "Of the log since the last snapshot",
         Number(load.log_bytes)},
        {"dotterelshift_snapshot_bytes", "Of the last snapshot",
--- a/src/dotterelshift/app/gauges.h
+++ b/src/dotterelshift/app/gauges.h
@@ -33,7 +33,7 @@
 
 // What a control daemon has sent of published routes.
 void SetRoutesSentCounters(telemetry::Metrics& metrics,
-                           const EntryPushes::RoutesSent& sent);
+                           const EntryPushes::RoutesSentTotals& sent);
 
 // What a replica of control says of itself; `entries`: connected to it.
 void SetReplicaGauges(telemetry::Metrics& metrics,
--- a/src/dotterelshift/app/hub_options.h
+++ b/src/dotterelshift/app/hub_options.h
@@ -46,8 +46,8 @@
   options.silence_timeout = settings.peer_silence;
   options.hello_timeout =
       std::min(options.hello_timeout, settings.peer_silence);
-  options.reconnect_most =
-      std::min(options.reconnect_most, settings.peer_silence / 4);
+  options.max_reconnect_delay =
+      std::min(options.max_reconnect_delay, settings.peer_silence / 4);
   options.seed = incarnation;
   return options;
 }
--- a/src/dotterelshift/app/hub_options_test.cc
+++ b/src/dotterelshift/app/hub_options_test.cc
@@ -7,12 +7,12 @@
 
 class HubOptionsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HubOptionsTest);
-  CPPUNIT_TEST(OthersAreToldWhereTheHttpInterfaceListens);
-  CPPUNIT_TEST(SeedsAreDialledAtTheOwnPeerPort);
+  CPPUNIT_TEST(HttpAddressIsAdvertised);
+  CPPUNIT_TEST(SeedsAreDialledAtTheConfiguredPeerPort);
   CPPUNIT_TEST_SUITE_END();
 
   // A follower sends operators to this address.
-  void OthersAreToldWhereTheHttpInterfaceListens() {
+  void HttpAddressIsAdvertised() {
     settings::Settings settings;
     CPPUNIT_ASSERT_EQUAL(std::string("127.0.0.1:81"),
                          HttpAddressOf(settings, 81));
@@ -21,7 +21,7 @@
                          HttpAddressOf(settings, 8080));
   }
 
-  void SeedsAreDialledAtTheOwnPeerPort() {
+  void SeedsAreDialledAtTheConfiguredPeerPort() {
     settings::Settings settings;
     settings.peer_port = 7400;
     settings.seeds = {"10.0.0.1:8229", "10.0.0.2:8229"};
--- a/src/dotterelshift/app/link_guard.cc
+++ b/src/dotterelshift/app/link_guard.cc
@@ -12,13 +12,13 @@
 namespace {
 
 // One line for this time at the most.
-constexpr Duration kSummaryEvery = 1s;
+constexpr Duration kSummaryInterval = 1s;
 
 // A link in use by less is not worth a line.
-constexpr double kWorthALine = 0.5;
+constexpr double kMinLoggedUtilization = 0.5;
 
 // A wait before the link that is.
-constexpr Duration kWaitWorthALine = 100ms;
+constexpr Duration kMinLoggedQueueWait = 100ms;
 
 // Connections that the system holds until they are taken, as time of the link:
 // what waits there has sent its first bytes.
@@ -26,17 +26,18 @@
 
 // Callers are asked to close their connections until so long after the last
 // time at which no more could be taken.
-constexpr Duration kFullFor = 1s;
+constexpr Duration kFullHoldTime = 1s;
 
 // Idle connections are ended no more often than this.
-constexpr Duration kIdleClosedEvery = 200ms;
+constexpr Duration kIdleCloseInterval = 200ms;
 
 std::string Ms(Duration duration) { return std::to_string(ToMs(duration)); }
 
 // The kind of frame that most bytes have gone into since an earlier count, and
 // how many.
-std::string MostOf(const std::map<wire::FrameBody, uint64_t>& bytes,
-                   const std::map<wire::FrameBody, uint64_t>& earlier) {
+std::string LargestFrameKind(
+    const std::map<wire::FrameBody, uint64_t>& bytes,
+    const std::map<wire::FrameBody, uint64_t>& earlier) {
   uint64_t most = 0;
   std::string name = "none";
   for (const auto& [body, count] : bytes) {
@@ -61,7 +62,7 @@
     : m_bytes_per_second(AdmissionOptionsOf(settings).bytes_per_second),
       m_admission(AdmissionOptionsOf(settings)),
       m_shedder(LinkOptionsOf(settings)),
-      m_wait_out(m_bytes_per_second) {}
+      m_outbound_wait(m_bytes_per_second) {}
 
 void LinkGuard::SetOptions(http::ServerOptions& options) {
   if (m_admission.IsBounded()) {
@@ -75,12 +76,12 @@
     ++m_summary.accepted;
     m_admission.OnConnected();
   };
-  options.connections.on_turned_away = [this] {
+  options.connections.on_rejected = [this] {
     ++m_summary.turned_away;
     ++m_turned_away;
     m_admission.OnRejected();
   };
-  options.connections.on_unused_end = [this] {
+  options.connections.on_closed_unused = [this] {
     ++m_summary.unused_ends;
     m_admission.OnClosedUnused();
   };
@@ -98,7 +99,7 @@
 
 void LinkGuard::OnHandedOver(const http::HandOver& what, SendKind kind,
                              Instant now) {
-  const Duration wait = m_wait_out.Wait(now);
+  const Duration wait = m_outbound_wait.Wait(now);
   ++m_summary.handed_over;
   if (wait > 100ms) ++m_summary.over_100ms;
   if (wait > 300ms) ++m_summary.over_300ms;
@@ -106,16 +107,16 @@
   m_summary.handed_bytes[kind] += what.bytes;
   if (what.new_connection) {
     ++m_summary.connects;
-    m_summary.longest_connect =
-        std::max(m_summary.longest_connect, what.connected_in);
+    m_summary.max_connect_time =
+        std::max(m_summary.max_connect_time, what.connected_in);
   }
-  m_wait_out.OnBytes(what.bytes, now);
+  m_outbound_wait.OnBytes(what.bytes, now);
   m_handed_over += what.bytes;
 }
 
-void LinkGuard::OnControlTrip(Duration trip) {
-  m_summary.longest_control_trip =
-      std::max(m_summary.longest_control_trip, trip);
+void LinkGuard::OnControlRoundTrip(Duration trip) {
+  m_summary.max_control_round_trip =
+      std::max(m_summary.max_control_round_trip, trip);
 }
 
 void LinkGuard::Adjust(http::Server& server, const Traffic& traffic,
@@ -128,36 +129,36 @@
   const gateway::LinkBytes fresh =
       traffic.endpoints - last.endpoints + peers + requests;
   m_admission.OnBytes(fresh, now);
-  m_admission.SetQueuedOutbound(traffic.held_out);
+  m_admission.SetQueuedOutbound(traffic.queued_bytes);
   m_summary.peer_bytes = m_summary.peer_bytes + peers;
   m_summary.bytes = m_summary.bytes + fresh;
   // What was handed over is counted among it, and waits since then.
   const uint64_t waits = std::exchange(m_handed_over, 0);
-  m_wait_out.OnBytes(fresh.out - std::min(fresh.out, waits), now);
+  m_outbound_wait.OnBytes(fresh.out - std::min(fresh.out, waits), now);
   m_summary.max_busy_time =
       std::max(m_summary.max_busy_time, m_admission.BusyFor());
   m_shedder.OnBytes(std::max(fresh.in, fresh.out), now);
-  const gateway::AdmissionDecision entrance = m_admission.Decide(now);
-  if (entrance != gateway::AdmissionDecision::kAccept) m_last_paused = now;
-  if (entrance != m_entrance) Enter(entrance, server, now);
+  const gateway::AdmissionDecision decision = m_admission.Decide(now);
+  if (decision != gateway::AdmissionDecision::kAccept) m_last_paused = now;
+  if (decision != m_admission_state) ApplyDecision(decision, server, now);
 }
 
-void LinkGuard::Enter(gateway::AdmissionDecision entrance, http::Server& server,
-                      Instant now) {
-  const bool listens = entrance != gateway::AdmissionDecision::kStopAccepting;
+void LinkGuard::ApplyDecision(gateway::AdmissionDecision decision,
+                              http::Server& server, Instant now) {
+  const bool listens = decision != gateway::AdmissionDecision::kStopAccepting;
   const bool listened =
-      m_entrance != gateway::AdmissionDecision::kStopAccepting;
+      m_admission_state != gateway::AdmissionDecision::kStopAccepting;
   if (listens && !listened && !Listen(server, now)) return;
   if (!listens) StopListening(server, now);
-  server.TurnAway(entrance == gateway::AdmissionDecision::kReject);
-  m_entrance = entrance;
+  server.SetRejectConnections(decision == gateway::AdmissionDecision::kReject);
+  m_admission_state = decision;
 }
 
 void LinkGuard::StopListening(http::Server& server, Instant now) {
   server.StopAccepting();
   m_summary.shut_counted_to = now;
   ++m_summary.shuts;
-  ++m_shuts;
+  ++m_times_stopped;
 }
 
 // When it cannot, it is tried again at the next turn; one line is enough.
@@ -171,7 +172,7 @@
 }
 
 bool LinkGuard::IsFull(Instant now) const {
-  return m_last_paused != Instant{} && now - m_last_paused < kFullFor;
+  return m_last_paused != Instant{} && now - m_last_paused < kFullHoldTime;
 }
 
 bool LinkGuard::MayKeep(const http::Server& server, size_t silent,
@@ -185,11 +186,11 @@
                       Instant now) {
   WatchShedding(now);
   if (m_admission.IsDrainingQueue() &&
-      now - m_idle_closed >= kIdleClosedEvery) {
-    m_idle_closed = now;
+      now - m_idle_closed_at >= kIdleCloseInterval) {
+    m_idle_closed_at = now;
     server.CloseIdle();
   }
-  if (now - m_summary.since >= kSummaryEvery) LogSummary(server, peers, now);
+  if (now - m_summary.since >= kSummaryInterval) LogSummary(server, peers, now);
 }
 
 void LinkGuard::SetMetrics(telemetry::Metrics& metrics) const {
@@ -198,11 +199,11 @@
                      static_cast<double>(m_turned_away));
   metrics.SetCounter("dotterelshift_listening_stopped_total",
                      "Times that no connection was taken, for the same reason",
-                     static_cast<double>(m_shuts));
+                     static_cast<double>(m_times_stopped));
 }
 
 void LinkGuard::WatchShedding(Instant now) {
-  if (m_entrance != gateway::AdmissionDecision::kAccept)
+  if (m_admission_state != gateway::AdmissionDecision::kAccept)
     m_shedder.OnRejected(now);
   if (m_shedder.IsShedding(now) == m_shedding) return;
   m_shedding = !m_shedding;
@@ -214,7 +215,7 @@
 
 void LinkGuard::LogSummary(const http::Server& server,
                            const peers::HubCounters& peers, Instant now) {
-  if (m_entrance == gateway::AdmissionDecision::kStopAccepting)
+  if (m_admission_state == gateway::AdmissionDecision::kStopAccepting)
     m_summary.shut += now - m_summary.shut_counted_to;
   Summary last = std::exchange(m_summary, {});
   m_summary.since = now;
@@ -225,9 +226,9 @@
                       std::chrono::duration<double>(now - last.since).count();
   const auto filled =
       static_cast<double>(std::max(last.bytes.in, last.bytes.out));
-  const Duration max_wait = m_wait_out.TakeMaxWait();
-  const bool waited = max_wait >= kWaitWorthALine;
-  if (most <= 0 || (filled < most * kWorthALine && !waited)) return;
+  const Duration max_wait = m_outbound_wait.TakeMaxWait();
+  const bool waited = max_wait >= kMinLoggedQueueWait;
+  if (most <= 0 || (filled < most * kMinLoggedUtilization && !waited)) return;
   telemetry::Log(
       telemetry::LogLevel::kInfo, "link_load",
       {{"filled_percent", std::to_string(std::lround(100 * filled / most))},
@@ -235,7 +236,7 @@
        {"bytes_out", std::to_string(last.bytes.out)},
        {"peer_bytes_in", std::to_string(last.peer_bytes.in)},
        {"peer_bytes_out", std::to_string(last.peer_bytes.out)},
-       {"frames_out", MostOf(peers.bytes_out_by_body, frames_before)},
+       {"frames_out", LargestFrameKind(peers.bytes_out_by_body, frames_before)},
        {"requests", std::to_string(last.requests)},
        {"on_kept_connections", std::to_string(last.kept_requests)},
        {"accepted", std::to_string(last.accepted)},
@@ -244,7 +245,7 @@
        {"busy_in_ms", Ms(last.max_busy_time)},
        {"shuts", std::to_string(last.shuts)},
        {"shut_ms", Ms(last.shut)},
-       {"wait_out_ms", Ms(WaitOut(now))},
+       {"wait_out_ms", Ms(OutboundWait(now))},
        {"longest_wait_out_ms", Ms(max_wait)},
        {"handed_over", std::to_string(last.handed_over)},
        {"behind_100ms", std::to_string(last.over_100ms)},
@@ -252,11 +253,11 @@
        {"behind_500ms", std::to_string(last.over_500ms)},
        {"first_bytes", std::to_string(last.handed_bytes[SendKind::kFirst])},
        {"held_back_bytes",
-        std::to_string(last.handed_bytes[SendKind::kHeldBack])},
-       {"repeated_bytes", std::to_string(last.handed_bytes[SendKind::kRepeat])},
+        std::to_string(last.handed_bytes[SendKind::kDelayed])},
+       {"repeated_bytes", std::to_string(last.handed_bytes[SendKind::kRetry])},
        {"connects", std::to_string(last.connects)},
-       {"longest_connect_ms", Ms(last.longest_connect)},
-       {"longest_control_trip_ms", Ms(last.longest_control_trip)},
+       {"longest_connect_ms", Ms(last.max_connect_time)},
+       {"longest_control_trip_ms", Ms(last.max_control_round_trip)},
        {"connections", std::to_string(server.OpenConnections())},
        {"open", std::to_string(server.OpenExchanges())}});
 }
--- a/src/dotterelshift/app/link_guard.h
+++ b/src/dotterelshift/app/link_guard.h
@@ -16,9 +16,9 @@
 
 // What a request that is handed to a connection has been through.
 enum class SendKind {
-  kFirst,     // its first attempt
-  kHeldBack,  // of its attempts before, none had a connection
-  kRepeat,    // it was handed over before
+  kFirst,    // its first attempt
+  kDelayed,  // of its attempts before, none had a connection
+  kRetry,    // it was handed over before
 };
 
 // Keeps what callers bring to an entry within what its host's link carries:
@@ -39,15 +39,15 @@
   // A request goes to an endpoint.
   void OnHandedOver(const http::HandOver& what, SendKind kind, Instant now);
   // How long what is handed to the link now waits before it, about.
-  Duration WaitOut(Instant now) const { return m_wait_out.Wait(now); }
+  Duration OutboundWait(Instant now) const { return m_outbound_wait.Wait(now); }
   // A beat was answered by control, so long after it had been sent.
-  void OnControlTrip(Duration trip);
+  void OnControlRoundTrip(Duration trip);
 
   // What has gone over the link since the start, but for callers' requests.
   struct Traffic {
     gateway::LinkBytes endpoints;  // attempts, and answers that went on
     gateway::LinkBytes peers;
-    uint64_t held_out = 0;  // of requests that wait here for the way out
+    uint64_t queued_bytes = 0;  // of requests that wait here for the way out
   };
   // Takes connections, or ceases to, as the link asks for.
   void Adjust(http::Server& server, const Traffic& traffic, Instant now);
@@ -87,12 +87,12 @@
     size_t over_500ms = 0;
     std::map<SendKind, uint64_t> handed_bytes;
     size_t connects = 0;  // that were made for them
-    Duration longest_connect{};
-    Duration longest_control_trip{};
+    Duration max_connect_time{};
+    Duration max_control_round_trip{};
   };
 
-  void Enter(gateway::AdmissionDecision entrance, http::Server& server,
-             Instant now);
+  void ApplyDecision(gateway::AdmissionDecision decision, http::Server& server,
+                     Instant now);
   void StopListening(http::Server& server, Instant now);
   bool Listen(http::Server& server, Instant now);
   void WatchShedding(Instant now);
@@ -102,19 +102,20 @@
   const double m_bytes_per_second;
   gateway::LinkAdmission m_admission;
   gateway::LinkLoadShedder m_shedder;
-  gateway::LinkWait m_wait_out;
-  uint64_t m_handed_over = 0;     // since the last Adjust(), in m_wait_out
+  gateway::LinkWait m_outbound_wait;
+  uint64_t m_handed_over = 0;     // since the last Adjust(), in m_outbound_wait
   Traffic m_counted;              // at the last Adjust()
   uint64_t m_received_bytes = 0;  // of callers' requests, until then
   Summary m_summary;
   std::map<wire::FrameBody, uint64_t> m_frame_bytes;  // at the last summary
-  gateway::AdmissionDecision m_entrance = gateway::AdmissionDecision::kAccept;
+  gateway::AdmissionDecision m_admission_state =
+      gateway::AdmissionDecision::kAccept;
   Instant m_last_paused{};  // a moment at which connections were not taken
-  Instant m_idle_closed{};
+  Instant m_idle_closed_at{};
   bool m_listen_failed = false;
   bool m_shedding = false;
   uint64_t m_turned_away = 0;  // since the start
-  uint64_t m_shuts = 0;
+  uint64_t m_times_stopped = 0;
 };
 
 }  // namespace dotterelshift::app
--- a/src/dotterelshift/app/link_guard_test.cc
+++ b/src/dotterelshift/app/link_guard_test.cc
@@ -24,7 +24,7 @@
     listens = may_listen;
     return listens;
   }
-  void TurnAway(bool on) override { turns_away = on; }
+  void SetRejectConnections(bool on) override { turns_away = on; }
   void CloseIdle() override { ++idle_closed; }
 
   size_t connections = 0;
@@ -38,16 +38,16 @@
 
 class LinkGuardTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LinkGuardTest);
-  CPPUNIT_TEST(CallersAreTurnedAwayThenNotListenedToThenTakenAgain);
-  CPPUNIT_TEST(IdleConnectionsEndWhileNobodyIsTaken);
-  CPPUNIT_TEST(AnAddressThatCannotBeBoundIsTriedAgain);
-  CPPUNIT_TEST(NotesToOtherDaemonsFillTheLinkAsPromptsDo);
-  CPPUNIT_TEST(WhatIsHandedOverWaitsOnce);
-  CPPUNIT_TEST(NoMoreConnectionsAreKeptThanTheLinkBearsAtOnce);
-  CPPUNIT_TEST(AnswersOfOneTurnDoNotAllKeepTheirConnections);
-  CPPUNIT_TEST(AFastLinkKeepsAllThatTheServerTakes);
-  CPPUNIT_TEST(CallersTurnedAwayFillTheLinkToo);
-  CPPUNIT_TEST(NothingIsDoneWithoutAKnownLink);
+  CPPUNIT_TEST(FullLinkRejectsThenStopsListeningThenRecovers);
+  CPPUNIT_TEST(IdleConnectionsAreClosedWhileNoneAreAccepted);
+  CPPUNIT_TEST(FailedListenIsRetried);
+  CPPUNIT_TEST(PeerTrafficCountsTowardsTheLinkLoad);
+  CPPUNIT_TEST(HandedOverBytesAreCountedOnce);
+  CPPUNIT_TEST(KeptConnectionsAreBoundedByTheLink);
+  CPPUNIT_TEST(ResponsesOfOneIterationDoNotAllKeepTheirConnections);
+  CPPUNIT_TEST(FastLinkKeepsAllConnections);
+  CPPUNIT_TEST(RejectedCallersCountTowardsTheLinkLoad);
+  CPPUNIT_TEST(UnknownLinkRateDisablesTheGuard);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -71,7 +71,7 @@
   }
 
   // Requests on connections that stay, of so much time of the link.
-  void Bring(Duration time) {
+  void ReceiveRequests(Duration time) {
     const double bytes =
         kLinkMbit * 1e6 / 8 * std::chrono::duration<double>(time).count();
     http::Request request;
@@ -84,12 +84,12 @@
   }
 
   // Guards against callers who stay in a queue that only grows.
-  void CallersAreTurnedAwayThenNotListenedToThenTakenAgain() {
-    Bring(200ms);
+  void FullLinkRejectsThenStopsListeningThenRecovers() {
+    ReceiveRequests(200ms);
     Pass(1ms);
     CPPUNIT_ASSERT(m_server.turns_away && m_server.listens);
     CPPUNIT_ASSERT(m_guard->IsFull(m_now));
-    Bring(300ms);
+    ReceiveRequests(300ms);
     Pass(1ms);
     CPPUNIT_ASSERT(!m_server.turns_away && !m_server.listens);
     Pass(1s);
@@ -98,19 +98,19 @@
     CPPUNIT_ASSERT(!m_guard->IsFull(m_now));
   }
 
-  void IdleConnectionsEndWhileNobodyIsTaken() {
-    Bring(600ms);
+  void IdleConnectionsAreClosedWhileNoneAreAccepted() {
+    ReceiveRequests(600ms);
     Pass(1ms);
     CPPUNIT_ASSERT_EQUAL(0, m_server.idle_closed);
     for (int i = 0; i < 10; ++i) {
-      Bring(50ms);
+      ReceiveRequests(50ms);
       Pass(50ms);
     }
     CPPUNIT_ASSERT(m_server.idle_closed > 0);
   }
 
-  void AnAddressThatCannotBeBoundIsTriedAgain() {
-    Bring(600ms);
+  void FailedListenIsRetried() {
+    ReceiveRequests(600ms);
     Pass(1ms);
     m_server.may_listen = false;
     Pass(1s);
@@ -122,7 +122,7 @@
     CPPUNIT_ASSERT(m_server.listens);
   }
 
-  void NotesToOtherDaemonsFillTheLinkAsPromptsDo() {
+  void PeerTrafficCountsTowardsTheLinkLoad() {
     m_traffic.peers.out += 1'250'000;
     Pass(1ms);
     CPPUNIT_ASSERT(!m_server.listens);
@@ -130,20 +130,20 @@
   }
 
   // The same bytes come again in the count of all that went out.
-  void WhatIsHandedOverWaitsOnce() {
+  void HandedOverBytesAreCountedOnce() {
     m_guard->OnHandedOver({125'000, false, 0s}, SendKind::kFirst, m_now);
-    CPPUNIT_ASSERT(m_guard->WaitOut(m_now) == 100ms);
+    CPPUNIT_ASSERT(m_guard->OutboundWait(m_now) == 100ms);
     m_traffic.endpoints.out += 125'000;
     m_traffic.peers.out += 125'000;
     m_guard->Adjust(m_server, m_traffic, m_now);
-    CPPUNIT_ASSERT(m_guard->WaitOut(m_now) == 200ms);
+    CPPUNIT_ASSERT(m_guard->OutboundWait(m_now) == 200ms);
     Pass(150ms);
-    CPPUNIT_ASSERT(m_guard->WaitOut(m_now) == 50ms);
+    CPPUNIT_ASSERT(m_guard->OutboundWait(m_now) == 50ms);
   }
 
   // Guards against callers who all speak at once on connections they have kept.
-  void NoMoreConnectionsAreKeptThanTheLinkBearsAtOnce() {
-    Bring(50ms);
+  void KeptConnectionsAreBoundedByTheLink() {
+    ReceiveRequests(50ms);
     Pass(1s);
     m_server.connections = 10;
     CPPUNIT_ASSERT(m_guard->MayKeep(m_server, 0, m_now));
@@ -155,8 +155,8 @@
 
   // Guards against 200 callers who are refused in one turn, as prompts that
   // wait for the link are, and who all come back on kept connections.
-  void AnswersOfOneTurnDoNotAllKeepTheirConnections() {
-    Bring(50ms);
+  void ResponsesOfOneIterationDoNotAllKeepTheirConnections() {
+    ReceiveRequests(50ms);
     Pass(1s);
     m_server.connections = 200;
     size_t kept = 0;
@@ -167,29 +167,29 @@
   }
 
   // Guards against connections that end where the link bounds nothing.
-  void AFastLinkKeepsAllThatTheServerTakes() {
+  void FastLinkKeepsAllConnections() {
     Make(1'000);
-    Bring(50ms);
+    ReceiveRequests(50ms);
     Pass(1s);
     m_server.connections = http::ServerOptions().max_connections;
     CPPUNIT_ASSERT(m_guard->MayKeep(m_server, 0, m_now));
   }
 
   // A caller who is turned away has sent its prompt by then.
-  void CallersTurnedAwayFillTheLinkToo() {
-    Bring(150ms);
+  void RejectedCallersCountTowardsTheLinkLoad() {
+    ReceiveRequests(150ms);
     Pass(1ms);
     CPPUNIT_ASSERT(m_server.turns_away);
     http::ServerOptions options;
     m_guard->SetOptions(options);
-    for (int i = 0; i < 50; ++i) options.connections.on_turned_away();
+    for (int i = 0; i < 50; ++i) options.connections.on_rejected();
     Pass(1ms);
     CPPUNIT_ASSERT(!m_server.listens);
   }
 
-  void NothingIsDoneWithoutAKnownLink() {
+  void UnknownLinkRateDisablesTheGuard() {
     Make(0);
-    Bring(10s);
+    ReceiveRequests(10s);
     Pass(1ms);
     CPPUNIT_ASSERT(m_server.listens && !m_server.turns_away);
     CPPUNIT_ASSERT(!m_guard->IsShedding() && !m_guard->IsFull(m_now));
--- a/src/dotterelshift/app/member_changes.cc
+++ b/src/dotterelshift/app/member_changes.cc
@@ -43,28 +43,29 @@
         answer->version <= version_before)
       continue;
     for (const auto& change : plan->changes)
-      if (auto wanted = AsMemberChange(*change)) m_wanted.push_back(*wanted);
+      if (auto wanted = AsMemberChange(*change))
+        m_pending_changes.push_back(*wanted);
   }
-  OnMembers(m_members);
+  OnMembershipCommitted(m_members);
 }
 
-void MemberChanges::OnMembers(const wire::MembershipT& members) {
+void MemberChanges::OnMembershipCommitted(const wire::MembershipT& members) {
   m_members = members;
-  std::erase_if(m_wanted, [&](const MemberChange& change) {
+  std::erase_if(m_pending_changes, [&](const MemberChange& change) {
     const bool present = FindMember(members, change.replica.id) != nullptr;
     return change.remove ? !present : present;
   });
 }
 
 std::optional<MemberChange> MemberChanges::Next() const {
-  if (m_wanted.empty()) return std::nullopt;
-  return m_wanted.front();
+  if (m_pending_changes.empty()) return std::nullopt;
+  return m_pending_changes.front();
 }
 
 // The layout: the state, the wanted changes as a plan, the length of these.
 void MemberChanges::AppendTo(std::string& snapshot) const {
   wire::PlanT plan;
-  for (const MemberChange& change : m_wanted) {
+  for (const MemberChange& change : m_pending_changes) {
     auto stored = std::make_unique<wire::ChangeT>();
     if (change.remove) {
       wire::RemoveReplicaT removal;
@@ -87,7 +88,7 @@
   snapshot.append(reinterpret_cast<const char*>(&length), sizeof(length));
 }
 
-std::string_view MemberChanges::TakeFrom(std::string_view snapshot) {
+std::string_view MemberChanges::RestoreFrom(std::string_view snapshot) {
   uint64_t length = 0;
   const bool has_length = snapshot.size() >= sizeof(length);
   if (has_length) {
@@ -105,9 +106,10 @@
     throw Error(ErrorKind::kStorageDamaged, "a snapshot's end cannot be read");
   wire::PlanT plan;
   flatbuffers::GetRoot<wire::Plan>(tail.data())->UnPackTo(&plan);
-  m_wanted.clear();
+  m_pending_changes.clear();
   for (const auto& change : plan.changes)
-    if (auto wanted = AsMemberChange(*change)) m_wanted.push_back(*wanted);
+    if (auto wanted = AsMemberChange(*change))
+      m_pending_changes.push_back(*wanted);
   return snapshot.substr(0, snapshot.size() - length);
 }
 
--- a/src/dotterelshift/app/member_changes.h
+++ b/src/dotterelshift/app/member_changes.h
@@ -31,7 +31,7 @@
                  const state::State& state, uint64_t version_before);
 
   // A membership is committed: drops what it fulfils.
-  void OnMembers(const wire::MembershipT& members);
+  void OnMembershipCommitted(const wire::MembershipT& members);
 
   // The change to be proposed next.
   std::optional<MemberChange> Next() const;
@@ -39,10 +39,10 @@
   // Adds them to the bytes of a snapshot, and takes them out again; returns the
   // bytes of the state. Throws Error(kStorageDamaged) on bad bytes.
   void AppendTo(std::string& snapshot) const;
-  std::string_view TakeFrom(std::string_view snapshot);
+  std::string_view RestoreFrom(std::string_view snapshot);
 
  private:
-  std::deque<MemberChange> m_wanted;
+  std::deque<MemberChange> m_pending_changes;
   wire::MembershipT m_members;  // the last one committed
 };
 
--- a/src/dotterelshift/app/other_entries.cc
+++ b/src/dotterelshift/app/other_entries.cc
@@ -6,15 +6,17 @@
 namespace dotterelshift::app {
 namespace {
 
-// Entries that one frame of SendToSome() goes to.
-constexpr size_t kAskedAtOnce = 3;
+// Entries that one frame of SendToNextFew() goes to.
+constexpr size_t kMaxReceivers = 3;
 
 }  // namespace
 
 // The timer only has the loop turn.
 OtherEntries::OtherEntries(loop::Loop& loop, peers::Hub& hub,
                            const gateway::LoadUpdatePacerOptions& notes)
-    : m_hub(hub), m_note_pacer(notes), m_note_timer(loop, [] {}) {}
+    : m_hub(hub),
+      m_load_update_pacer(notes),
+      m_load_update_timer(loop, [] {}) {}
 
 std::vector<HostId> OtherEntries::Hosts() const {
   std::vector<HostId> hosts;
@@ -24,24 +26,24 @@
   return hosts;
 }
 
-void OtherEntries::SendNotes(gateway::FleetLoad& load, Instant now) {
+void OtherEntries::SendLoadUpdates(gateway::FleetLoad& load, Instant now) {
   if (!load.HasLoadUpdates()) return;
-  if (!m_note_pacer.MaySend(now))
-    return m_note_timer.ArmAt(m_note_pacer.Next());
+  if (!m_load_update_pacer.MaySend(now))
+    return m_load_update_timer.ArmAt(m_load_update_pacer.Next());
   const std::vector<HostId> hosts = Hosts();
   wire::LoadNotesT body;
-  body.notes = load.TakeLoadUpdates(m_note_pacer.Most(hosts.size()));
-  m_note_pacer.OnSent(body.notes.size(), hosts.size(), now);
+  body.notes = load.TakeLoadUpdates(m_load_update_pacer.Most(hosts.size()));
+  m_load_update_pacer.OnSent(body.notes.size(), hosts.size(), now);
   if (body.notes.empty()) return;
   const wire::FrameT frame = peers::MakeFrame(std::move(body));
   for (const HostId& host : hosts) m_hub.Send(host, frame);
 }
 
-void OtherEntries::SendToSome(const wire::FrameT& frame) {
+void OtherEntries::SendToNextFew(const wire::FrameT& frame) {
   const std::vector<HostId> hosts = Hosts();
-  const size_t count = std::min(kAskedAtOnce, hosts.size());
+  const size_t count = std::min(kMaxReceivers, hosts.size());
   for (size_t i = 0; i < count; ++i)
-    m_hub.Send(hosts[m_next_asked++ % hosts.size()], frame);
+    m_hub.Send(hosts[m_next_receiver++ % hosts.size()], frame);
 }
 
 }  // namespace dotterelshift::app
--- a/src/dotterelshift/app/other_entries.h
+++ b/src/dotterelshift/app/other_entries.h
@@ -22,18 +22,18 @@
   // Tells all of them what has changed at endpoints, once there is room for it.
   // Called in each turn of the loop; has the loop turn again where it must
   // wait.
-  void SendNotes(gateway::FleetLoad& load, Instant now);
+  void SendLoadUpdates(gateway::FleetLoad& load, Instant now);
   // To a few at a time, each time to others: whoever is asked to lend lends, so
   // that more would lend many times what is needed.
-  void SendToSome(const wire::FrameT& frame);
+  void SendToNextFew(const wire::FrameT& frame);
 
  private:
   std::vector<HostId> Hosts() const;
 
   peers::Hub& m_hub;
-  gateway::LoadUpdatePacer m_note_pacer;
-  loop::Timer m_note_timer;
-  size_t m_next_asked = 0;
+  gateway::LoadUpdatePacer m_load_update_pacer;
+  loop::Timer m_load_update_timer;
+  size_t m_next_receiver = 0;
 };
 
 }  // namespace dotterelshift::app
--- a/src/dotterelshift/app/proposals.cc
+++ b/src/dotterelshift/app/proposals.cc
@@ -11,7 +11,7 @@
 namespace {
 
 void FailBatch(const Proposals::Batch& batch, ErrorKind error) {
-  for (const auto& [commands, callback] : batch.parts)
+  for (const auto& [commands, callback] : batch.callbacks)
     if (callback) callback(error, {});
 }
 
@@ -36,7 +36,7 @@
   return batch;
 }
 
-size_t Proposals::CountWaiting() const {
+size_t Proposals::CountUnbatched() const {
   size_t count = 0;
   for (const auto& [commands, callback] : m_waiting) count += commands.size();
   return count;
@@ -54,15 +54,15 @@
   m_waiting.emplace_back(std::move(commands), std::move(callback));
 }
 
-std::vector<Proposals::Batch> Proposals::TakeWaiting(size_t most_commands) {
+std::vector<Proposals::Batch> Proposals::TakeUnbatched(size_t max_commands) {
   std::vector<Batch> batches;
   for (auto& [commands, callback] : std::exchange(m_waiting, {})) {
-    const bool full = batches.empty() ||
-                      batches.back().content.commands.size() + commands.size() >
-                          most_commands;
+    const bool full =
+        batches.empty() ||
+        batches.back().content.commands.size() + commands.size() > max_commands;
     if (full) batches.emplace_back();
     Batch& batch = batches.back();
-    batch.parts.emplace_back(commands.size(), std::move(callback));
+    batch.callbacks.emplace_back(commands.size(), std::move(callback));
     for (wire::CommandT& command : commands)
       batch.content.commands.push_back(
           std::make_unique<wire::CommandT>(std::move(command)));
@@ -88,7 +88,7 @@
 void Proposals::Answer(const Batch& batch,
                        const std::vector<wire::CommandAnswerT>& answers) {
   auto next = answers.begin();
-  for (const auto& [commands, callback] : batch.parts) {
+  for (const auto& [commands, callback] : batch.callbacks) {
     const auto end = next + static_cast<std::ptrdiff_t>(commands);
     if (callback) callback(ErrorKind::kNone, {next, end});
     next = end;
--- a/src/dotterelshift/app/proposals.h
+++ b/src/dotterelshift/app/proposals.h
@@ -24,17 +24,18 @@
   // A batch and the callers that its commands belong to.
   struct Batch {
     wire::CommandBatchT content;
-    std::vector<std::pair<size_t, ProposalCallback>> parts;  // commands of each
+    std::vector<std::pair<size_t, ProposalCallback>>
+        callbacks;  // commands of each
   };
 
   void Add(std::vector<wire::CommandT> commands, ProposalCallback callback);
-  bool HasWaiting() const { return !m_waiting.empty(); }
-  size_t CountWaiting() const;  // commands that wait to be put into a batch
+  bool HasUnbatched() const { return !m_waiting.empty(); }
+  size_t CountUnbatched() const;  // commands that wait to be put into a batch
   size_t CountPending() const;  // commands in batches that wait to be committed
 
   // All that waits, in batches of at most this many commands; a proposal is
   // never split.
-  std::vector<Batch> TakeWaiting(size_t most_commands);
+  std::vector<Batch> TakeUnbatched(size_t max_commands);
 
   // A batch has been put into the log.
   void OnProposed(uint64_t index, uint64_t term, Batch batch);
--- a/src/dotterelshift/app/registration.cc
+++ b/src/dotterelshift/app/registration.cc
@@ -26,28 +26,28 @@
   return command;
 }
 
-RunStanding Registration::OnAnswer(const wire::CommandAnswerT& answer) {
+IncarnationStatus Registration::OnAnswer(const wire::CommandAnswerT& answer) {
   const bool of_former_number =
       answer.id != nullptr &&
       answer.id->incarnation != m_options.self.incarnation;
-  if (of_former_number) return RunStanding::kUnchanged;
+  if (of_former_number) return IncarnationStatus::kUnchanged;
   const auto error = static_cast<ErrorKind>(answer.error);
   if (error == ErrorKind::kStaleIncarnation)
     return OnStale(answer.newest_incarnation);
   const bool registered = error == ErrorKind::kNone && answer.id != nullptr &&
                           answer.id->sequence == m_sequence;
-  if (!registered || m_done) return RunStanding::kUnchanged;
+  if (!registered || m_done) return IncarnationStatus::kUnchanged;
   m_done = true;
-  return RunStanding::kRegistered;
+  return IncarnationStatus::kRegistered;
 }
 
-RunStanding Registration::OnStale(Incarnation newest) {
+IncarnationStatus Registration::OnStale(Incarnation newest) {
   HostRun& self = m_options.self;
   if (m_options.may_raise && !m_done) {
     self.incarnation = newest + 1;
     telemetry::Log(telemetry::LogLevel::kWarning, "incarnation_raised",
                    {{"incarnation", std::to_string(self.incarnation)}});
-    return RunStanding::kRaised;
+    return IncarnationStatus::kRaised;
   }
   if (!m_superseded) {
     telemetry::Log(telemetry::LogLevel::kError, "stale_incarnation",
@@ -55,7 +55,7 @@
                     {"newest", std::to_string(newest)}});
   }
   m_superseded = true;
-  return RunStanding::kSuperseded;
+  return IncarnationStatus::kSuperseded;
 }
 
 }  // namespace dotterelshift::app
--- a/src/dotterelshift/app/registration.h
+++ b/src/dotterelshift/app/registration.h
@@ -10,7 +10,7 @@
 namespace dotterelshift::app {
 
 // What an answer of control says of the run that asked.
-enum class RunStanding {
+enum class IncarnationStatus {
   kUnchanged,   // nothing
   kRegistered,  // this run is the newest of its host
   kRaised,      // a later start is known: Command() is to be sent again
@@ -42,10 +42,10 @@
 
   // Takes any answer to a command of this run. Logs a raised incarnation, and
   // once that the run is superseded.
-  RunStanding OnAnswer(const wire::CommandAnswerT& answer);
+  IncarnationStatus OnAnswer(const wire::CommandAnswerT& answer);
 
  private:
-  RunStanding OnStale(Incarnation newest);
+  IncarnationStatus OnStale(Incarnation newest);
 
   RegistrationOptions m_options;
   uint64_t m_sequence = 0;  // of the command that registers
--- a/src/dotterelshift/app/registration_test.cc
+++ b/src/dotterelshift/app/registration_test.cc
@@ -34,12 +34,12 @@
 
 class RegistrationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RegistrationTest);
-  CPPUNIT_TEST(TheCommandNamesTheRunAndWhereItIs);
-  CPPUNIT_TEST(OnlyTheAnswerToTheRegistrationRegisters);
-  CPPUNIT_TEST(ARunThatIsOverBeforeItBeganTakesALaterNumber);
-  CPPUNIT_TEST(ARegisteredRunThatIsSupersededSaysSoOnce);
-  CPPUNIT_TEST(ARoleThatCannotRaiseIsSupersededAtOnce);
-  CPPUNIT_TEST(AnAnswerToTheFormerNumberOfTheRunIsNoVerdict);
+  CPPUNIT_TEST(CommandNamesTheIncarnationAndItsAddress);
+  CPPUNIT_TEST(OnlyTheAnswerToTheRegistrationCompletesIt);
+  CPPUNIT_TEST(SupersededUnregisteredIncarnationIsRaised);
+  CPPUNIT_TEST(SupersededRegisteredIncarnationIsLoggedOnce);
+  CPPUNIT_TEST(WithoutRaisingItIsSupersededAtOnce);
+  CPPUNIT_TEST(AnswerToTheFormerIncarnationIsIgnored);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -47,7 +47,7 @@
   void tearDown() override { m_log.reset(); }
 
  private:
-  void TheCommandNamesTheRunAndWhereItIs() {
+  void CommandNamesTheIncarnationAndItsAddress() {
     Registration registration = MakeRegistration(false);
     const wire::CommandT command = registration.Command(kSequence);
     CPPUNIT_ASSERT_EQUAL(std::string("plateau-1"), command.id->host);
@@ -60,27 +60,27 @@
     CPPUNIT_ASSERT(host->role == wire::HostRole::Entry);
   }
 
-  void OnlyTheAnswerToTheRegistrationRegisters() {
+  void OnlyTheAnswerToTheRegistrationCompletesIt() {
     Registration registration = MakeRegistration(true);
     wire::CommandT command = registration.Command(kSequence);
     command.id->sequence = kSequence + 1;
     CPPUNIT_ASSERT(
         registration.OnAnswer(AnswerTo(command, ErrorKind::kNone, 0)) ==
-        RunStanding::kUnchanged);
+        IncarnationStatus::kUnchanged);
     CPPUNIT_ASSERT(!registration.Done());
     command.id->sequence = kSequence;
     CPPUNIT_ASSERT(
         registration.OnAnswer(AnswerTo(command, ErrorKind::kNone, 0)) ==
-        RunStanding::kRegistered);
+        IncarnationStatus::kRegistered);
     CPPUNIT_ASSERT(registration.Done());
   }
 
-  void ARunThatIsOverBeforeItBeganTakesALaterNumber() {
+  void SupersededUnregisteredIncarnationIsRaised() {
     Registration registration = MakeRegistration(true);
     const wire::CommandT command = registration.Command(kSequence);
     CPPUNIT_ASSERT(registration.OnAnswer(
                        AnswerTo(command, ErrorKind::kStaleIncarnation, 9)) ==
-                   RunStanding::kRaised);
+                   IncarnationStatus::kRaised);
     CPPUNIT_ASSERT_EQUAL(Incarnation{10}, registration.Self().incarnation);
     CPPUNIT_ASSERT_EQUAL(Incarnation{10},
                          registration.Command(kSequence).id->incarnation);
@@ -88,31 +88,31 @@
   }
 
   // The log is all that tells why such a daemon stopped.
-  void ARegisteredRunThatIsSupersededSaysSoOnce() {
+  void SupersededRegisteredIncarnationIsLoggedOnce() {
     Registration registration = MakeRegistration(true);
     const wire::CommandT command = registration.Command(kSequence);
     registration.OnAnswer(AnswerTo(command, ErrorKind::kNone, 0));
     for (int i = 0; i < 2; ++i) {
       CPPUNIT_ASSERT(registration.OnAnswer(
                          AnswerTo(command, ErrorKind::kStaleIncarnation, 9)) ==
-                     RunStanding::kSuperseded);
+                     IncarnationStatus::kSuperseded);
     }
     CPPUNIT_ASSERT_EQUAL(Incarnation{5}, registration.Self().incarnation);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_log->Count("stale_incarnation"));
   }
 
-  void ARoleThatCannotRaiseIsSupersededAtOnce() {
+  void WithoutRaisingItIsSupersededAtOnce() {
     Registration registration = MakeRegistration(false);
     const wire::CommandT command = registration.Command(kSequence);
     CPPUNIT_ASSERT(registration.OnAnswer(
                        AnswerTo(command, ErrorKind::kStaleIncarnation, 9)) ==
-                   RunStanding::kSuperseded);
+                   IncarnationStatus::kSuperseded);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_log->Count("stale_incarnation"));
   }
 
   // Two commands under way when the first is refused: the second refusal is of
   // a number that the run no longer has, and must not end it.
-  void AnAnswerToTheFormerNumberOfTheRunIsNoVerdict() {
+  void AnswerToTheFormerIncarnationIsIgnored() {
     Registration registration = MakeRegistration(true);
     const wire::CommandT first = registration.Command(kSequence);
     registration.OnAnswer(AnswerTo(first, ErrorKind::kStaleIncarnation, 9));
@@ -120,7 +120,7 @@
     registration.OnAnswer(AnswerTo(second, ErrorKind::kNone, 0));
     CPPUNIT_ASSERT(registration.OnAnswer(
                        AnswerTo(first, ErrorKind::kStaleIncarnation, 9)) ==
-                   RunStanding::kUnchanged);
+                   IncarnationStatus::kUnchanged);
     CPPUNIT_ASSERT(registration.Done());
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_log->Count("stale_incarnation"));
   }
--- a/src/dotterelshift/app/replica.h
+++ b/src/dotterelshift/app/replica.h
@@ -64,7 +64,7 @@
   const state::State& GetState() const override { return *m_state; }
   const replication::Node& GetNode() const override { return *m_node; }
   ReplicaLoad Load() const override {
-    return {m_proposals.CountWaiting(),
+    return {m_proposals.CountUnbatched(),
             m_proposals.CountPending(),
             m_reads.size() + m_new_reads.size(),
             m_log_bytes,
@@ -73,14 +73,14 @@
             m_hellos};
   }
   bool Leads() const override {
-    return m_trouble == ErrorKind::kNone && HasCaughtUp() &&
+    return m_storage_error == ErrorKind::kNone && HasCaughtUp() &&
            m_loop.Now() < m_node->LeaseUntil();
   }
   HostId LeaderHost() const override { return HostOf(m_node->Leader()); }
   std::vector<wire::ReplicaT> WaitingReplicas() const override {
     return m_discovery->Waiting(m_node->Members());
   }
-  ErrorKind Trouble() const override { return m_trouble; }
+  ErrorKind StorageError() const override { return m_storage_error; }
   void OnFrame(const peers::PeerInfo& from, const wire::FrameT& frame) override;
 
  private:
@@ -106,18 +106,18 @@
   void SendMessages(Ready& ready);
   void FinishWrite();
   void QueueCommitted(Ready& ready);
-  void ApplySome(Instant until);
+  void ApplyQueued(Instant until);
   void ApplyEntry(const wire::LogEntryT& entry);
   void AnswerReads(const std::vector<uint64_t>& tokens);
   void OnLeadershipChanged();
-  void TellLeadership();
+  void NotifyLeadership();
   void FailAll(ErrorKind error);
   void InstallSnapshot(const replication::SnapshotMeta& meta,
                        const std::string& bytes);
   void MaybeSnapshot();
   void LogSnapshot(std::string_view event, Instant start) const;
   void ArmNodeTimer();
-  void OnTrouble(const Error& error);
+  void OnStorageError(const Error& error);
 
   void SendSpool();
   void OnSpoolAnswers(const std::vector<wire::CommandAnswerT>& answers);
@@ -130,7 +130,7 @@
   }
   // Milliseconds between an instant and now.
   int64_t MsSince(Instant start) const { return ToMs(m_loop.Now() - start); }
-  ErrorKind WhyNotLeader() const {
+  ErrorKind NotLeaderReason() const {
     return m_node->Leader() == 0 ? ErrorKind::kNoQuorum : ErrorKind::kNotLeader;
   }
 
@@ -145,7 +145,7 @@
   replication::SnapshotMeta m_applied;
   uint64_t m_log_bytes = 0;  // since the last snapshot
   WallMs m_last_stamp = 0;
-  ErrorKind m_trouble = ErrorKind::kNone;
+  ErrorKind m_storage_error = ErrorKind::kNone;
 
   std::optional<replication::SnapshotPolicy> m_snapshots;  // once restored
   std::optional<Ready> m_unwritten;
--- a/src/dotterelshift/app/replica_group.h
+++ b/src/dotterelshift/app/replica_group.h
@@ -75,14 +75,14 @@
   // Runs the loop until the condition holds; throws when it does not in a time
   // far above what any test needs.
   void RunUntil(const std::function<bool()>& condition) {
-    bool late = false;
+    bool timed_out = false;
     loop::Timer guard(m_loop, [&] {
-      late = true;
+      timed_out = true;
       m_loop.Stop();
     });
     guard.ArmIn(30s);
     while (!condition()) {
-      if (late) throw std::runtime_error("the group does not get there");
+      if (timed_out) throw std::runtime_error("the group does not get there");
       ev_run(m_loop.Raw(), EVRUN_ONCE);
     }
   }
--- a/src/dotterelshift/app/replica_pump.h
+++ b/src/dotterelshift/app/replica_pump.h
@@ -13,14 +13,14 @@
 
 // A batch is applied in one go, and there is one sync for all batches of a
 // turn: small ones cost little and keep a turn of the loop short.
-inline constexpr size_t kMostCommandsInBatch = 64;
+inline constexpr size_t kMaxCommandsPerBatch = 64;
 
 // How long committed entries are applied in one turn of the loop: well below a
 // heartbeat, so that the group hears of a replica that has much to apply.
-inline constexpr Duration kMostApplying = 40ms;
+inline constexpr Duration kMaxApplyTime = 40ms;
 
 // Work in one turn of the loop that is worth a line.
-inline constexpr Duration kLongWork = 100ms;
+inline constexpr Duration kLongWorkThreshold = 100ms;
 
 // Whether there is nothing to do.
 inline bool IsEmpty(const replication::Ready& ready) {
@@ -54,14 +54,14 @@
   }
   const ReplicaId sender = replication::SenderOf(frame);
   // A replica that cannot write must not help to commit.
-  if (sender == 0 || m_trouble != ErrorKind::kNone) return;
+  if (sender == 0 || m_storage_error != ErrorKind::kNone) return;
   m_hosts[sender] = from.run.host;
   if (m_membership_repair)
     m_membership_repair->OnMessageFrom(sender, m_loop.Now());
   try {
     m_node->OnMessage(frame, m_loop.Now());
   } catch (const Error& error) {
-    return OnTrouble(error);
+    return OnStorageError(error);
   }
   SchedulePump();
 }
@@ -82,7 +82,7 @@
     PumpOnce();
     MaybeSnapshot();
   } catch (const Error& error) {
-    OnTrouble(error);
+    OnStorageError(error);
   }
   ArmNodeTimer();
 }
@@ -94,16 +94,16 @@
   m_node->OnTimer(m_loop.Now());
   if (m_unwritten) FinishWrite();
   FlushProposals();
-  const Instant until = m_loop.Now() + kMostApplying;
+  const Instant until = m_loop.Now() + kMaxApplyTime;
   while (!m_unwritten) {
-    ApplySome(until);
+    ApplyQueued(until);
     Ready ready = m_node->TakeReady(
         m_unapplied.empty() ? replication::kMaxCommittedBytes : 0);
     if (IsEmpty(ready)) break;
     const bool messages = !ready.messages.empty();
     SendMessages(ready);
     if (!ready.install) QueueCommitted(ready);
-    ApplySome(until);
+    ApplyQueued(until);
     if (ready.leadership_changed) OnLeadershipChanged();
     if (!ready.HasWrites()) continue;
     m_unwritten = std::move(ready);
@@ -117,15 +117,15 @@
 
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::FlushProposals() {
-  if (m_trouble != ErrorKind::kNone) return FailAll(m_trouble);
+  if (m_storage_error != ErrorKind::kNone) return FailAll(m_storage_error);
   if (m_node->Role() != NodeRole::kLeader) {
-    if (m_proposals.HasWaiting() || !m_new_reads.empty())
-      FailAll(WhyNotLeader());
+    if (m_proposals.HasUnbatched() || !m_new_reads.empty())
+      FailAll(NotLeaderReason());
     return;
   }
   const Instant now = m_loop.Now();
   for (Proposals::Batch& batch :
-       m_proposals.TakeWaiting(kMostCommandsInBatch)) {
+       m_proposals.TakeUnbatched(kMaxCommandsPerBatch)) {
     m_last_stamp =
         std::max({m_last_stamp, m_state->LastStamp(), m_loop.WallNow()});
     batch.content.stamp_ms = m_last_stamp;
@@ -184,7 +184,7 @@
 // vote and send no heartbeat meanwhile, and a new leader would lose its lease
 // over it.
 template <ReplicaRuntime Runtime>
-void Replica<Runtime>::ApplySome(Instant until) {
+void Replica<Runtime>::ApplyQueued(Instant until) {
   const Instant start = m_loop.Now();
   const uint64_t from = m_applied.last_index;
   uint64_t bytes = 0;
@@ -196,7 +196,7 @@
   }
   const Duration took = m_loop.Now() - start;
   m_snapshots->OnApplied(bytes, took);
-  if (took >= kLongWork)
+  if (took >= kLongWorkThreshold)
     telemetry::Log(telemetry::LogLevel::kInfo, "entries_applied",
                    {{"entries", std::to_string(m_applied.last_index - from)},
                     {"to_index", std::to_string(m_applied.last_index)},
@@ -211,11 +211,11 @@
   m_applied.last_term = entry.term;
   if (entry.kind == wire::LogEntryKind::Membership) {
     m_applied.membership = replication::DecodeMembership(entry.payload);
-    m_member_changes.OnMembers(m_applied.membership);
+    m_member_changes.OnMembershipCommitted(m_applied.membership);
   }
   std::optional<Proposals::Batch> own =
       m_proposals.TakeCommitted(entry.index, entry.term);
-  if (m_leads && entry.index == m_node->TermStart()) TellLeadership();
+  if (m_leads && entry.index == m_node->TermStart()) NotifyLeadership();
   if (entry.kind != wire::LogEntryKind::Batch) return;
   const wire::CommandBatchT decoded =
       own ? wire::CommandBatchT() : DecodeBatch(entry.payload);
@@ -241,14 +241,14 @@
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::OnLeadershipChanged() {
   const bool leads = m_node->Role() == NodeRole::kLeader;
-  if (std::exchange(m_leads, leads) && !leads) FailAll(WhyNotLeader());
-  TellLeadership();
+  if (std::exchange(m_leads, leads) && !leads) FailAll(NotLeaderReason());
+  NotifyLeadership();
   SendSpool();
 }
 
 // Told at an election, and again once the new leader may act on its state.
 template <ReplicaRuntime Runtime>
-void Replica<Runtime>::TellLeadership() {
+void Replica<Runtime>::NotifyLeadership() {
   if (m_callbacks.on_leadership_changed) m_callbacks.on_leadership_changed();
 }
 
@@ -263,7 +263,7 @@
 
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::ArmNodeTimer() {
-  if (m_trouble == ErrorKind::kNone)
+  if (m_storage_error == ErrorKind::kNone)
     m_node_timer.ArmAt(m_node->NextTimer());
   else
     m_node_timer.Cancel();
@@ -272,10 +272,10 @@
 // A full disk may be emptied: the write is tried again, and until then the
 // replica is silent, so that another one leads. Any other trouble lasts.
 template <ReplicaRuntime Runtime>
-void Replica<Runtime>::OnTrouble(const Error& error) {
-  m_trouble = error.Kind();
-  FailAll(m_trouble);
-  TellLeadership();
+void Replica<Runtime>::OnStorageError(const Error& error) {
+  m_storage_error = error.Kind();
+  FailAll(m_storage_error);
+  NotifyLeadership();
 }
 
 }  // namespace dotterelshift::app
--- a/src/dotterelshift/app/replica_simulation.h
+++ b/src/dotterelshift/app/replica_simulation.h
@@ -93,7 +93,7 @@
 };
 
 // The replica that CountingState's one plan adds.
-inline constexpr ReplicaId kNewcomer = 1000;
+inline constexpr ReplicaId kAddedReplica = 1000;
 
 // A state that only counts the commands that it was given. Each costs time, and
 // so do snapshots. It knows one plan, which adds a replica.
@@ -101,7 +101,7 @@
  public:
   explicit CountingState(HostLoop& loop) : m_loop(loop) {
     wire::AddReplicaT addition;
-    addition.replica = kNewcomer;
+    addition.replica = kAddedReplica;
     addition.host = "newcomer";
     m_plan.changes.push_back(std::make_unique<wire::ChangeT>());
     m_plan.changes.back()->body.Set(std::move(addition));
@@ -238,9 +238,9 @@
     AppendToLogs(BatchOf(std::move(command)), wire::LogEntryKind::Batch);
   }
   // Writes into every folder that the newcomer was taken in and out again.
-  void LogNewcomerCameAndWent() {
+  void LogReplicaAddedAndRemoved() {
     wire::ReplicaT newcomer;
-    newcomer.id = kNewcomer;
+    newcomer.id = kAddedReplica;
     newcomer.host = "newcomer";
     AppendToLogs(replication::EncodeMembership(
                      replication::WithMember(m_members, newcomer)),
@@ -292,10 +292,10 @@
 
   // How long it takes until a read is confirmed by any replica; callers ask
   // all of them again and again. Empty: not within `limit`.
-  std::optional<Duration> TimeToRead(Duration limit) {
+  std::optional<Duration> TimeToConfirmedRead(Duration limit) {
     const Instant start = m_time.Now();
     const auto done = std::make_shared<bool>(false);
-    AskAll(done);
+    ConfirmReadOnAll(done);
     if (!RunUntil([&] { return *done; }, limit)) return std::nullopt;
     return m_time.Now() - start;
   }
@@ -320,7 +320,7 @@
 
   // The same with one proposed after the other, whether or not those before it
   // are accepted.
-  bool AcceptEach(Duration gap, uint64_t commands, Duration limit) {
+  bool AcceptPaced(Duration gap, uint64_t commands, Duration limit) {
     const auto accepted = std::make_shared<uint64_t>(0);
     for (uint64_t i = 0; i < commands; ++i)
       m_time.Add(m_time.Now() + gap * static_cast<int64_t>(i), nullptr,
@@ -329,11 +329,11 @@
   }
 
   // Whether any replica has the newcomer among its members.
-  bool NewcomerIsMember() const {
+  bool AddedReplicaIsMember() const {
     return std::ranges::any_of(m_hosts, [](const auto& entry) {
       const auto& replica = entry.second.replica;
       return replica && replication::FindMember(replica->GetNode().Members(),
-                                                kNewcomer) != nullptr;
+                                                kAddedReplica) != nullptr;
     });
   }
 
@@ -350,7 +350,9 @@
   // How often a replica became leader up to now.
   uint64_t Elections() const { return m_terms_led.size(); }
   // How often a replica was told of its leadership while it could act on it.
-  uint64_t TimesToldToLead() const { return m_told_to_lead; }
+  uint64_t LeadershipNotifications() const {
+    return m_leadership_notifications;
+  }
   // Hellos sent between replicas up to now.
   uint64_t Hellos() const { return m_hellos; }
   ControlReplicaOptions& Options() { return m_options; }
@@ -358,7 +360,7 @@
 
  private:
   static constexpr Duration kLatency = 1ms;
-  static constexpr Duration kAskAgain = 100ms;
+  static constexpr Duration kRetryInterval = 100ms;
   static constexpr uint64_t kCommandsAtOnce = 4;
 
   struct Host {
@@ -401,14 +403,14 @@
     callbacks.on_leadership_changed = [this, name] {
       const auto& replica = m_hosts.at(name).replica;
       if (!replica) return;
-      if (replica->Leads()) ++m_told_to_lead;
+      if (replica->Leads()) ++m_leadership_notifications;
       if (replica->GetNode().Role() == replication::NodeRole::kLeader)
         m_terms_led.insert(replica->GetNode().Term());
     };
     return callbacks;
   }
 
-  static int64_t KibOfLog(const wire::FrameT& frame) {
+  static int64_t LogKib(const wire::FrameT& frame) {
     size_t bytes = 0;
     if (const wire::AppendRequestT* append = frame.body.AsAppendRequest())
       for (const auto& entry : append->entries) bytes += entry->payload.size();
@@ -421,7 +423,7 @@
     HostLoop* loop = target->second.loop.get();
     if (frame.body.AsReplicaHello() != nullptr) ++m_hellos;
     HostLoop& sender_loop = *m_hosts.at(from).loop;
-    sender_loop.Spend(m_costs.sent_kib * KibOfLog(frame));
+    sender_loop.Spend(m_costs.sent_kib * LogKib(frame));
     const Instant arrival = sender_loop.Now() + kLatency;
     m_time.Add(arrival, loop, [this, from, to, loop, frame] {
       loop->Spend(m_costs.frame);
@@ -431,7 +433,7 @@
     });
   }
 
-  void AskAll(const std::shared_ptr<bool>& done) {
+  void ConfirmReadOnAll(const std::shared_ptr<bool>& done) {
     if (*done) return;
     for (auto& [name, host] : m_hosts) {
       if (!host.replica) continue;
@@ -439,14 +441,14 @@
         *done = *done || error == ErrorKind::kNone;
       });
     }
-    m_time.Add(m_time.Now() + kAskAgain, nullptr,
-               [this, done] { AskAll(done); });
+    m_time.Add(m_time.Now() + kRetryInterval, nullptr,
+               [this, done] { ConfirmReadOnAll(done); });
   }
 
   void ProposeUntilAccepted(const std::shared_ptr<uint64_t>& accepted) {
     const HostId leader = Leader();
     const auto again = [this, accepted] {
-      m_time.Add(m_time.Now() + kAskAgain, nullptr,
+      m_time.Add(m_time.Now() + kRetryInterval, nullptr,
                  [this, accepted] { ProposeUntilAccepted(accepted); });
     };
     if (leader.empty()) return again();
@@ -466,7 +468,7 @@
   ReplicaId m_last_replica = 0;
   std::mt19937_64 m_seeds;  // of the replicas' starts
   std::set<uint64_t> m_terms_led;
-  uint64_t m_told_to_lead = 0;
+  uint64_t m_leadership_notifications = 0;
   uint64_t m_hellos = 0;
 };
 
--- a/src/dotterelshift/app/replica_snapshot.h
+++ b/src/dotterelshift/app/replica_snapshot.h
@@ -14,8 +14,8 @@
                                        const std::string& bytes) {
   const Instant start = m_loop.Now();
   m_unapplied.clear();  // the snapshot covers it
-  m_state->Restore(m_member_changes.TakeFrom(bytes));
-  m_member_changes.OnMembers(meta.membership);
+  m_state->Restore(m_member_changes.RestoreFrom(bytes));
+  m_member_changes.OnMembershipCommitted(meta.membership);
   m_applied = meta;
   m_node->SetSnapshotSource(meta, std::make_shared<const std::string>(bytes));
   m_snapshots->OnSnapshot(bytes.size(), m_loop.Now() - start);
@@ -26,7 +26,7 @@
 void Replica<Runtime>::MaybeSnapshot() {
   const bool has_followers = m_node->Role() == NodeRole::kLeader &&
                              m_node->Members().replicas.size() > 1;
-  if (m_trouble != ErrorKind::kNone || !m_snapshots->IsDue(has_followers))
+  if (m_storage_error != ErrorKind::kNone || !m_snapshots->IsDue(has_followers))
     return;
   const Instant start = m_loop.Now();
   std::string bytes = m_state->Snapshot();
--- a/src/dotterelshift/app/replica_spool.h
+++ b/src/dotterelshift/app/replica_spool.h
@@ -38,7 +38,7 @@
   try {
     m_store->ClearSpool();
   } catch (const Error& error) {
-    OnTrouble(error);
+    OnStorageError(error);
   }
 }
 
--- a/src/dotterelshift/app/replica_start.h
+++ b/src/dotterelshift/app/replica_start.h
@@ -75,7 +75,8 @@
   for (const HostId& host : m_discovery->StartRound())
     SendHello(host, coordinates);
   if (++m_ticks % kTicksBetweenRetries == 0) {
-    if (m_trouble == ErrorKind::kStorageFull) m_trouble = ErrorKind::kNone;
+    if (m_storage_error == ErrorKind::kStorageFull)
+      m_storage_error = ErrorKind::kNone;
     SendSpool();
     SchedulePump();
   }
@@ -114,15 +115,15 @@
   ++m_hellos;
   if (m_discovery->OnHello(from, hello, View())) SendHello(from, false);
   if (m_membership_repair && !hello.members.empty() &&
-      m_callbacks.on_members_heard)
-    m_callbacks.on_members_heard(hello.members);
+      m_callbacks.on_members_received)
+    m_callbacks.on_members_received(hello.members);
   TryBootstrap();
 }
 
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::TryBootstrap() {
   if (View().in_group) return m_discovery->EndBootstrap();
-  if (m_trouble != ErrorKind::kNone) return;
+  if (m_storage_error != ErrorKind::kNone) return;
   const std::optional<wire::MembershipT> members =
       m_discovery->ComposeMembership();
   if (!members) return;
@@ -134,7 +135,7 @@
   try {
     m_store->Write(first);
   } catch (const Error& error) {
-    return OnTrouble(error);
+    return OnStorageError(error);
   }
   m_node = replication::MakeNode(m_options.node, std::move(log), m_loop.Now());
   SchedulePump();
--- a/src/dotterelshift/app/replica_start_test.cc
+++ b/src/dotterelshift/app/replica_start_test.cc
@@ -29,21 +29,21 @@
 
 class ReplicaStartTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicaStartTest);
-  CPPUNIT_TEST(LeaderStaysWhileItsLogIsCarriedOut);
-  CPPUNIT_TEST(ALeaderActsOnceItsLogIsCarriedOut);
-  CPPUNIT_TEST(ALeaderChangesMembersOnceItsLogIsCarriedOut);
-  CPPUNIT_TEST(ALeaderStaysWhenManyEntriesReturnAtOnce);
-  CPPUNIT_TEST(ALeaderStaysWhileItSendsItsLogToLostHosts);
-  CPPUNIT_TEST(ALeaderStaysUnderSteadyWork);
-  CPPUNIT_TEST(ReadsComeSoonAfterAStartHoweverLongTheGroupRan);
-  CPPUNIT_TEST(WithoutALeaderHellosDoNotMultiply);
+  CPPUNIT_TEST(LeaderStaysWhileItAppliesItsLog);
+  CPPUNIT_TEST(LeaderActsOnceItsLogIsApplied);
+  CPPUNIT_TEST(LeaderChangesMembersOnceItsLogIsApplied);
+  CPPUNIT_TEST(LeaderStaysWhenManyEntriesReturnAtOnce);
+  CPPUNIT_TEST(LeaderStaysWhileItSendsItsLogToWipedHosts);
+  CPPUNIT_TEST(LeaderStaysUnderSteadyLoad);
+  CPPUNIT_TEST(ReadsAreConfirmedSoonAfterARestartForAnyLogLength);
+  CPPUNIT_TEST(HellosDoNotMultiplyWithoutALeader);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Members that hear no leader tell each other so. Each hello that is answered
   // by another one goes on until there is a leader, and takes the time in which
   // one could be elected.
-  void WithoutALeaderHellosDoNotMultiply() {
+  void HellosDoNotMultiplyWithoutALeader() {
     constexpr uint64_t kRunning = 4;  // too few for a leader
     constexpr uint64_t kSeconds = 20;
     ReplicaSimulation group(kHosts, WorkCosts{});
@@ -52,14 +52,14 @@
     group.RunFor(kSeconds * 1s);
     // Each says hello to each other one once a second; an answer is due only
     // from one that knows more.
-    constexpr uint64_t kMost = kRunning * (kRunning - 1) * (kSeconds + 1);
+    constexpr uint64_t kMaxHellos = kRunning * (kRunning - 1) * (kSeconds + 1);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(group.Hellos()) + " hellos",
-                           group.Hellos() <= kMost);
+                           group.Hellos() <= kMaxHellos);
   }
 
   // A leader that is silent while it carries out what it found in its folder is
   // replaced by one that does the same.
-  void LeaderStaysWhileItsLogIsCarriedOut() {
+  void LeaderStaysWhileItAppliesItsLog() {
     constexpr uint64_t kCommands = 300;  // 8 s of work
     ReplicaSimulation group(kHosts, SlowHost());
     group.FillLogs(kCommands);
@@ -71,7 +71,7 @@
   }
 
   // Until then it would tell entries of routes and totals that are out of date.
-  void ALeaderActsOnceItsLogIsCarriedOut() {
+  void LeaderActsOnceItsLogIsApplied() {
     constexpr uint64_t kCommands = 100;
     ReplicaSimulation group(kHosts, SlowHost());
     group.FillLogs(kCommands);
@@ -80,24 +80,24 @@
         group.RunUntil([&] { return !group.Leader().empty(); }, 20s));
     CPPUNIT_ASSERT_EQUAL(kCommands, group.CommandsAt(group.Leader()));
     group.RunFor(1s);
-    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, group.TimesToldToLead());
+    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, group.LeadershipNotifications());
   }
 
   // Its log asks for a member that later came and went.
-  void ALeaderChangesMembersOnceItsLogIsCarriedOut() {
+  void LeaderChangesMembersOnceItsLogIsApplied() {
     ReplicaSimulation group(kHosts, SlowHost());
     group.LogConfirmedPlan();
     group.FillLogs(100);
-    group.LogNewcomerCameAndWent();
+    group.LogReplicaAddedAndRemoved();
     RestartAll(group);
     CPPUNIT_ASSERT(
-        !group.RunUntil([&] { return group.NewcomerIsMember(); }, 20s));
+        !group.RunUntil([&] { return group.AddedReplicaIsMember(); }, 20s));
     CPPUNIT_ASSERT(!group.Leader().empty());
   }
 
   // Entries that were away send at once what they have kept: one batch of it
   // all is one turn of the loop, however the log is sliced.
-  void ALeaderStaysWhenManyEntriesReturnAtOnce() {
+  void LeaderStaysWhenManyEntriesReturnAtOnce() {
     constexpr uint64_t kCommands = 1000;
     WorkCosts costs;
     costs.command = 1ms;
@@ -111,7 +111,7 @@
 
   // A host that has lost its folder is sent the whole log: handed to its
   // connection in one turn of the loop, that is as long as the log.
-  void ALeaderStaysWhileItSendsItsLogToLostHosts() {
+  void LeaderStaysWhileItSendsItsLogToWipedHosts() {
     constexpr uint64_t kCommands = 100;
     constexpr size_t kEntryBytes = 64 << 10;
     WorkCosts costs;
@@ -127,7 +127,7 @@
 
   // A fleet's reports come without a pause: each turn of the leader ends with
   // something to write, and begins with it.
-  void ALeaderStaysUnderSteadyWork() {
+  void LeaderStaysUnderSteadyLoad() {
     constexpr uint64_t kCommands = 2'000;
     for (const Duration gap : {1ms, 2ms, 4ms}) {
       WorkCosts costs;
@@ -135,21 +135,21 @@
       ReplicaSimulation group(kHosts, costs);
       group.StartAll();
       CPPUNIT_ASSERT(group.Accept(1, 10s));
-      CPPUNIT_ASSERT(group.AcceptEach(gap, kCommands, 60s));
+      CPPUNIT_ASSERT(group.AcceptPaced(gap, kCommands, 60s));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(ToMs(gap)), uint64_t{1},
                                    group.Elections());
     }
   }
 
   // Five seconds from the start of all to the first confirmed read.
-  void ReadsComeSoonAfterAStartHoweverLongTheGroupRan() {
+  void ReadsAreConfirmedSoonAfterARestartForAnyLogLength() {
     for (const uint64_t commands : {10, 100, 1000}) {
       ReplicaSimulation group(kHosts, SlowHost());
       group.StartAll();
       CPPUNIT_ASSERT(group.Accept(commands, 600s));
       RestartAll(group);
       CPPUNIT_ASSERT_MESSAGE(std::to_string(commands),
-                             group.TimeToRead(5s).has_value());
+                             group.TimeToConfirmedRead(5s).has_value());
     }
   }
 };
--- a/src/dotterelshift/app/request_traffic.cc
+++ b/src/dotterelshift/app/request_traffic.cc
@@ -58,7 +58,7 @@
     m_core.OnAttemptHead(attempt, status, m_loop.Now());
     Pump();
   };
-  events.on_piece = [this](AttemptId attempt, const serving::Chunk& piece,
+  events.on_chunk = [this](AttemptId attempt, const serving::Chunk& piece,
                            std::string_view bytes) {
     return OnChunk(attempt, piece, bytes);
   };
@@ -79,7 +79,7 @@
     ActiveRequest& flight = found->second;
     if (flight.streamed) {
       SendHead(flight);
-      go_on = m_front->SendPiece(flight.request, bytes);
+      go_on = m_front->WriteChunk(flight.request, bytes);
       flight.paused = !go_on;
     } else {
       flight.held.append(bytes);
@@ -96,8 +96,8 @@
 }
 
 void RequestTraffic::OnDrained(RequestId request) {
-  const auto attempt = m_attempt_of.find(request);
-  if (attempt == m_attempt_of.end()) return;
+  const auto attempt = m_attempt_by_request.find(request);
+  if (attempt == m_attempt_by_request.end()) return;
   const auto flight = m_active.find(attempt->second);
   if (flight == m_active.end() || !flight->second.paused) return;
   flight->second.paused = false;
@@ -105,49 +105,49 @@
 }
 
 void RequestTraffic::Forget(RequestId request) {
-  const auto attempt = m_attempt_of.find(request);
-  if (attempt == m_attempt_of.end()) return;
+  const auto attempt = m_attempt_by_request.find(request);
+  if (attempt == m_attempt_by_request.end()) return;
   m_active.erase(attempt->second);
-  m_attempt_of.erase(attempt);
+  m_attempt_by_request.erase(attempt);
 }
 
-void RequestTraffic::CarryOut(serving::StartAttempt& start) {
+void RequestTraffic::Execute(serving::StartAttempt& start) {
   const callers::CallerRequest* request = m_core.RequestOf(start.attempt);
   if (request == nullptr) return;
   Forget(start.request);
   ActiveRequest& flight = m_active[start.attempt];
   flight.request = start.request;
   flight.streamed = request->stream;
-  m_attempt_of[start.request] = start.attempt;
+  m_attempt_by_request[start.request] = start.attempt;
   m_runner->Start(start.attempt, start.address, *request, start.time_left);
 }
 
-void RequestTraffic::CarryOut(const serving::CancelAttempt& cancel) {
+void RequestTraffic::Execute(const serving::CancelAttempt& cancel) {
   m_runner->Cancel(cancel.attempt);
   m_active.erase(cancel.attempt);
 }
 
-void RequestTraffic::CarryOut(const serving::FinishResponse& finish) {
-  const auto attempt = m_attempt_of.find(finish.request);
-  if (attempt != m_attempt_of.end()) {
+void RequestTraffic::Execute(const serving::FinishResponse& finish) {
+  const auto attempt = m_attempt_by_request.find(finish.request);
+  if (attempt != m_attempt_by_request.end()) {
     const auto found = m_active.find(attempt->second);
     if (found != m_active.end()) {
       SendHead(found->second);
       if (!found->second.held.empty())
-        m_front->SendPiece(finish.request, found->second.held);
+        m_front->WriteChunk(finish.request, found->second.held);
     }
   }
   m_front->Finish(finish.request);
   Forget(finish.request);
 }
 
-void RequestTraffic::CarryOut(const serving::FailResponse& fail) {
+void RequestTraffic::Execute(const serving::FailResponse& fail) {
   m_front->Fail(fail.request, fail.kind, fail.detail, fail.retry_after_seconds);
   Forget(fail.request);
 }
 
-void RequestTraffic::CarryOut(serving::Action& action) {
-  std::visit([this](auto& chosen) { CarryOut(chosen); }, action);
+void RequestTraffic::Execute(serving::Action& action) {
+  std::visit([this](auto& chosen) { Execute(chosen); }, action);
 }
 
 void RequestTraffic::Pump() {
@@ -158,7 +158,7 @@
   while (true) {
     std::vector<serving::Action> actions = m_core.TakeActions();
     if (actions.empty()) break;
-    for (serving::Action& action : actions) CarryOut(action);
+    for (serving::Action& action : actions) Execute(action);
   }
   for (const serving::RequestSummary& summary : m_core.TakeSummaries())
     m_metrics.OnFinished(summary);
--- a/src/dotterelshift/app/request_traffic.h
+++ b/src/dotterelshift/app/request_traffic.h
@@ -36,7 +36,7 @@
   // reached the core from elsewhere.
   void Pump();
 
-  size_t OpenAnswers() const { return m_front->Open(); }
+  size_t OpenResponses() const { return m_front->Open(); }
 
  private:
   // The answer of one attempt on its way to the caller.
@@ -48,7 +48,7 @@
     bool head_sent = false;
     bool paused = false;
     std::string held;  // an answer that is not streamed waits here for its bill
-    Instant last_piece{};
+    Instant last_chunk{};
   };
 
   callers::FrontEvents MakeFrontEvents();
@@ -58,15 +58,15 @@
   void OnDrained(RequestId request);
   void SendHead(ActiveRequest& flight);
   void Forget(RequestId request);
-  void CarryOut(serving::Action& action);
-  void CarryOut(serving::StartAttempt& start);
-  void CarryOut(const serving::CancelAttempt& cancel);
-  void CarryOut(const serving::FinishResponse& finish);
-  void CarryOut(const serving::FailResponse& fail);
-  void CarryOut(serving::ProposeCommand& propose) {
+  void Execute(serving::Action& action);
+  void Execute(serving::StartAttempt& start);
+  void Execute(const serving::CancelAttempt& cancel);
+  void Execute(const serving::FinishResponse& finish);
+  void Execute(const serving::FailResponse& fail);
+  void Execute(serving::ProposeCommand& propose) {
     m_callbacks.propose(std::move(propose.command));
   }
-  void CarryOut(serving::SpoolCommand& spool) {
+  void Execute(serving::SpoolCommand& spool) {
     m_callbacks.spool(std::move(spool.command));
   }
 
@@ -78,7 +78,7 @@
   std::unique_ptr<callers::Front> m_front;
   std::unique_ptr<endpoints::AttemptRunner> m_runner;
   std::unordered_map<AttemptId, ActiveRequest> m_active;
-  std::unordered_map<RequestId, AttemptId> m_attempt_of;
+  std::unordered_map<RequestId, AttemptId> m_attempt_by_request;
   loop::Timer m_timer;
   Instant m_timer_at{};
   bool m_pumping = false;
--- a/src/dotterelshift/app/routes_port_test.cc
+++ b/src/dotterelshift/app/routes_port_test.cc
@@ -13,9 +13,9 @@
 namespace {
 
 // Carries out what was proposed when it is told to.
-class LateBackend : public operators::MockBackend {
+class DeferredBackend : public operators::MockBackend {
  public:
-  explicit LateBackend(state::State& state) : m_run(&state, "control", 1) {}
+  explicit DeferredBackend(state::State& state) : m_run(&state, "control", 1) {}
 
   using Callback = std::function<void(ErrorKind, wire::CommandAnswerT)>;
   void Propose(wire::CommandT command, Callback callback) override {
@@ -44,9 +44,9 @@
 
 class RoutesPortTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RoutesPortTest);
-  CPPUNIT_TEST(OfAStormTheNewestIsProposed);
-  CPPUNIT_TEST(AnotherLeadersChangeInBetweenIsStartedFrom);
-  CPPUNIT_TEST(AFailureIsToldToAllThatWait);
+  CPPUNIT_TEST(OnlyTheNewestOfManyPublicationsIsProposed);
+  CPPUNIT_TEST(InterveningChangeOfAnotherLeaderIsUsedAsBase);
+  CPPUNIT_TEST(FailureIsReportedToAllWaiting);
   CPPUNIT_TEST(AnOlderVersionIsAcknowledgedAndChangesNothing);
   CPPUNIT_TEST_SUITE_END();
 
@@ -65,7 +65,7 @@
   }
   using Answers = std::map<uint64_t, ErrorKind>;
 
-  void OfAStormTheNewestIsProposed() {
+  void OnlyTheNewestOfManyPublicationsIsProposed() {
     for (const uint64_t version : {2, 4, 7, 5}) Publish(version);
     m_backend.CommitNext();
     CPPUNIT_ASSERT(m_answers == (Answers{{2, ErrorKind::kNone}}));
@@ -75,7 +75,7 @@
     AssertInForce(7);
   }
 
-  void AnotherLeadersChangeInBetweenIsStartedFrom() {
+  void InterveningChangeOfAnotherLeaderIsUsedAsBase() {
     Publish(2);
     m_backend.CommitNext();
     Publish(5);
@@ -91,7 +91,7 @@
     AssertInForce(5);
   }
 
-  void AFailureIsToldToAllThatWait() {
+  void FailureIsReportedToAllWaiting() {
     Publish(2);
     Publish(3);
     m_backend.FailNext(ErrorKind::kNotLeader);
@@ -117,7 +117,7 @@
 
   loop::Loop m_loop;
   MockReplica m_replica;
-  LateBackend m_backend{*m_replica.state};
+  DeferredBackend m_backend{*m_replica.state};
   DirectoryExchange m_directory{
       m_loop, "control", {[] {}, [](const std::vector<wire::CacheEventT>&) {}}};
   std::unique_ptr<RoutesControl> m_routes = MakeRoutesControl(
--- a/src/dotterelshift/app/routes_spread_test.cc
+++ b/src/dotterelshift/app/routes_spread_test.cc
@@ -66,7 +66,7 @@
     m_bytes += bytes;
     m_backlog[host] += bytes;
     const Instant handled =
-        m_processor.Pass(bytes + kBytesOfFrame, m_events.Now());
+        m_processor.Pass(bytes + kFrameOverheadBytes, m_events.Now());
     const Instant left = m_link.Pass(bytes, handled);
     Link& link = m_links.try_emplace(host, kEntryBytesPerSecond).first->second;
     m_events.At(link.Pass(bytes, left) + kLatency, [this, host, frame, bytes] {
@@ -94,7 +94,8 @@
   static constexpr double kEntryBytesPerSecond = 1.25e6;
   // What a small part of a processor packs and sends.
   static constexpr double kHandledBytesPerSecond = 16e6;
-  static constexpr size_t kBytesOfFrame = 8 << 10;  // as long as any takes
+  static constexpr size_t kFrameOverheadBytes = 8
+                                                << 10;  // as long as any takes
 
   Events& m_events;
   Deliver m_deliver;
@@ -136,7 +137,7 @@
 
   // The longest time from a version's commit until all entries held it or a
   // newer one; none while one does not.
-  std::optional<Duration> LongestWait() const {
+  std::optional<Duration> MaxWait() const {
     Duration longest{};
     for (const auto& [version, committed] : m_committed) {
       for (const auto& [host, link] : m_entries) {
@@ -160,7 +161,7 @@
 
  private:
   void PushTurn() {
-    m_pushes.PushSome(m_events.Now());
+    m_pushes.PushPending(m_events.Now());
     constexpr Duration kTick = 10ms;
     m_events.At(std::max(m_events.Now() + kTick, m_hub.BusyUntil()),
                 [this] { PushTurn(); });
@@ -194,10 +195,10 @@
 // leader on a small part of a processor.
 class RoutesSpreadTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RoutesSpreadTest);
-  CPPUNIT_TEST(AStormOfChangesIsInForceInTime);
-  CPPUNIT_TEST(AtTheSizeOfTwoYearsToo);
-  CPPUNIT_TEST(AnEntryThatStartsHasALargeDocumentInTime);
-  CPPUNIT_TEST(AChangeCostsWhatItChanges);
+  CPPUNIT_TEST(StormOfChangesMeetsItsAim);
+  CPPUNIT_TEST(StormOfChangesMeetsItsAimAtTwoYearsOfGrowth);
+  CPPUNIT_TEST(StartingEntryReceivesALargeDocumentInTime);
+  CPPUNIT_TEST(ChangeCostIsProportionalToItsSize);
   CPPUNIT_TEST_SUITE_END();
 
   static void Storm(Fleet& fleet, int changes, Duration gap) {
@@ -211,24 +212,24 @@
   }
 
   static void AssertInForce(const Fleet& fleet) {
-    CPPUNIT_ASSERT(fleet.LongestWait().has_value());
-    CPPUNIT_ASSERT(*fleet.LongestWait() <= kInForce);
+    CPPUNIT_ASSERT(fleet.MaxWait().has_value());
+    CPPUNIT_ASSERT(*fleet.MaxWait() <= kInForce);
     CPPUNIT_ASSERT(fleet.AllHoldTheDocument());
   }
 
-  void AStormOfChangesIsInForceInTime() {
+  void StormOfChangesMeetsItsAim() {
     Fleet fleet(63, 1'400);
     Storm(fleet, 20, 200ms);
     AssertInForce(fleet);
   }
 
-  void AtTheSizeOfTwoYearsToo() {
+  void StormOfChangesMeetsItsAimAtTwoYearsOfGrowth() {
     Fleet fleet(373, 19'000);
     Storm(fleet, 5, 100ms);
     AssertInForce(fleet);
   }
 
-  void AnEntryThatStartsHasALargeDocumentInTime() {
+  void StartingEntryReceivesALargeDocumentInTime() {
     Fleet fleet(1, 19'000);
     fleet.RunFor(60s);
     fleet.Forget();
@@ -238,16 +239,16 @@
     AssertInForce(fleet);
   }
 
-  void AChangeCostsWhatItChanges() {
+  void ChangeCostIsProportionalToItsSize() {
     constexpr size_t kEntries = 63;
     constexpr size_t kChanges = 20;
-    constexpr size_t kMostBytesOfChange = 2 << 10;
+    constexpr size_t kMaxBytesOfChange = 2 << 10;
     Fleet fleet(kEntries, 1'400);
     fleet.RunFor(60s);
     const size_t before = fleet.Bytes();
     Storm(fleet, kChanges, 200ms);
     CPPUNIT_ASSERT(fleet.Bytes() - before <=
-                   kEntries * kChanges * kMostBytesOfChange);
+                   kEntries * kChanges * kMaxBytesOfChange);
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(RoutesSpreadTest);
--- a/src/dotterelshift/app/simulated_loop.h
+++ b/src/dotterelshift/app/simulated_loop.h
@@ -75,16 +75,16 @@
   // An event falls due.
   void Take(SimulatedTime::Event event) {
     m_due.push_back(std::move(event));
-    if (m_due.size() == 1) CarryOutNext();
+    if (m_due.size() == 1) RunNext();
   }
 
  private:
   // The event that is carried out stays in front until the work is done.
-  void CarryOutNext() {
+  void RunNext() {
     m_time.AddWork(m_busy_until, this, [this] {
       m_due.front()();
       m_due.pop_front();
-      if (!m_due.empty()) CarryOutNext();
+      if (!m_due.empty()) RunNext();
     });
   }
 
--- a/src/dotterelshift/app/slow_turns.cc
+++ b/src/dotterelshift/app/slow_turns.cc
@@ -7,16 +7,16 @@
 
 namespace dotterelshift::app {
 
-void SlowTurns::OnSlowTurn(Duration took, Instant now) {
-  constexpr Duration kLineEvery = 1s;
-  ++m_turns;
+void SlowIterationLog::OnSlowIteration(Duration took, Instant now) {
+  constexpr Duration kLogInterval = 1s;
+  ++m_iterations;
   m_longest = std::max(m_longest, took);
-  if (now < m_next_line) return;
+  if (now < m_next_log_time) return;
   telemetry::Log(telemetry::LogLevel::kInfo, "slow_turn",
-                 {{"turns", std::to_string(m_turns)},
+                 {{"turns", std::to_string(m_iterations)},
                   {"longest_ms", std::to_string(ToMs(m_longest))}});
-  m_next_line = now + kLineEvery;
-  m_turns = 0;
+  m_next_log_time = now + kLogInterval;
+  m_iterations = 0;
   m_longest = Duration{};
 }
 
--- a/src/dotterelshift/app/slow_turns_test.cc
+++ b/src/dotterelshift/app/slow_turns_test.cc
@@ -9,16 +9,16 @@
 
 class SlowTurnsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SlowTurnsTest);
-  CPPUNIT_TEST(ManySlowTurnsAreOneLineASecond);
+  CPPUNIT_TEST(SlowIterationsAreLoggedOncePerSecond);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ManySlowTurnsAreOneLineASecond() {
+  void SlowIterationsAreLoggedOncePerSecond() {
     const telemetry::CapturedLog log(telemetry::LogLevel::kInfo);
-    SlowTurns slow_turns;
+    SlowIterationLog slow_turns;
     const Instant start{};
     for (int turn = 0; turn < 30; ++turn)
-      slow_turns.OnSlowTurn(100ms + turn * 1ms, start + 1s + turn * 100ms);
+      slow_turns.OnSlowIteration(100ms + turn * 1ms, start + 1s + turn * 100ms);
     CPPUNIT_ASSERT_EQUAL(size_t{3}, log.Count("slow_turn"));
     CPPUNIT_ASSERT(log.Text().find("\"longest_ms\":\"120\"") !=
                    std::string::npos);
--- a/src/dotterelshift/app/spool_sender.cc
+++ b/src/dotterelshift/app/spool_sender.cc
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr size_t kMostAtOnce = 512;
+constexpr size_t kMaxAtOnce = 512;
 
 // Whether the log itself gave the answer.
-bool IsDecided(const wire::CommandAnswerT& answer) {
+bool IsLogDecision(const wire::CommandAnswerT& answer) {
   const auto error = static_cast<ErrorKind>(answer.error);
   return error != ErrorKind::kNotLeader && error != ErrorKind::kNoQuorum &&
          error != ErrorKind::kStorageFull && error != ErrorKind::kStorageFailed;
@@ -43,7 +43,7 @@
 std::vector<wire::CommandT> SpoolSender::Some() const {
   std::vector<wire::CommandT> some;
   for (const auto& [key, command] : m_waiting) {
-    if (some.size() == kMostAtOnce) break;
+    if (some.size() == kMaxAtOnce) break;
     some.push_back(command);
   }
   return some;
@@ -52,7 +52,7 @@
 bool SpoolSender::OnAnswers(const std::vector<wire::CommandAnswerT>& answers) {
   const bool had_some = !m_waiting.empty();
   for (const wire::CommandAnswerT& answer : answers)
-    if (answer.id != nullptr && IsDecided(answer))
+    if (answer.id != nullptr && IsLogDecision(answer))
       m_waiting.erase(KeyOf(*answer.id));
   return had_some && m_waiting.empty();
 }
--- a/src/dotterelshift/base/error_test.cc
+++ b/src/dotterelshift/base/error_test.cc
@@ -10,7 +10,7 @@
 class ErrorTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ErrorTest);
   CPPUNIT_TEST(NamesAndKindsAreUnique);
-  CPPUNIT_TEST(RetryAfterGoesWithLater);
+  CPPUNIT_TEST(RetryAfterIsSetOnlyForLater);
   CPPUNIT_TEST(UnknownNumberIsInternal);
   CPPUNIT_TEST_SUITE_END();
 
@@ -27,7 +27,7 @@
     }
   }
 
-  void RetryAfterGoesWithLater() {
+  void RetryAfterIsSetOnlyForLater() {
     for (const ErrorRow& row : ErrorTable()) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name),
                                    row.retry == RetryAdvice::kLater,
--- a/src/dotterelshift/base/yaml_reader.cc
+++ b/src/dotterelshift/base/yaml_reader.cc
@@ -38,7 +38,7 @@
     Unit{"s", 1'000'000'000}, Unit{"ms", 1'000'000}};
 
 // What became of reading a number with a unit.
-enum class Reading { kOk, kNotANumber, kBadUnit, kOverflow };
+enum class ParseResult { kOk, kNotANumber, kBadUnit, kOverflow };
 
 // What stands behind a decimal point: 8.5 has digits 5 and scale 10.
 struct Decimals {
@@ -48,11 +48,11 @@
 
 // Reads them, if there are any; null when they are malformed or too fine.
 const char* ReadDecimals(const char* at, const char* end, Decimals* decimals) {
-  constexpr int64_t kFinest = 1'000'000;
+  constexpr int64_t kMaxScale = 1'000'000;
   if (at == end || *at != '.') return at;
   const char* digit = at + 1;
   for (; digit != end && *digit >= '0' && *digit <= '9'; ++digit) {
-    if (decimals->scale == kFinest) return nullptr;
+    if (decimals->scale == kMaxScale) return nullptr;
     decimals->digits = decimals->digits * 10 + (*digit - '0');
     decimals->scale *= 10;
   }
@@ -60,32 +60,33 @@
 }
 
 // Whether a number may have a fraction: times may, amounts are whole.
-enum class Fractions { kRefused, kTaken };
+enum class Fractions { kRefused, kAllowed };
 
-Reading ReadNumber(std::string_view text, std::span<const Unit> units,
-                   Fractions fractions, int64_t* value) {
+ParseResult ReadNumber(std::string_view text, std::span<const Unit> units,
+                       Fractions fractions, int64_t* value) {
   int64_t number = 0;
   const char* end = text.data() + text.size();
   const auto parsed = std::from_chars(text.data(), end, number);
-  if (parsed.ec == std::errc::result_out_of_range) return Reading::kOverflow;
-  if (parsed.ec != std::errc()) return Reading::kNotANumber;
+  if (parsed.ec == std::errc::result_out_of_range)
+    return ParseResult::kOverflow;
+  if (parsed.ec != std::errc()) return ParseResult::kNotANumber;
   Decimals decimals;
-  const char* after = fractions == Fractions::kTaken
+  const char* after = fractions == Fractions::kAllowed
                           ? ReadDecimals(parsed.ptr, end, &decimals)
                           : parsed.ptr;
-  if (after == nullptr) return Reading::kNotANumber;
+  if (after == nullptr) return ParseResult::kNotANumber;
   const std::string_view suffix(after, end - after);
   for (const Unit& unit : units) {
     if (unit.suffix != suffix) continue;
     const int64_t part = decimals.digits * (unit.factor / decimals.scale);
     if (decimals.digits != 0 && unit.factor % decimals.scale != 0)
-      return Reading::kNotANumber;
+      return ParseResult::kNotANumber;
     const bool overflow =
         __builtin_mul_overflow(number, unit.factor, value) ||
         __builtin_add_overflow(*value, number < 0 ? -part : part, value);
-    return overflow ? Reading::kOverflow : Reading::kOk;
+    return overflow ? ParseResult::kOverflow : ParseResult::kOk;
   }
-  return Reading::kBadUnit;
+  return ParseResult::kBadUnit;
 }
 
 std::string JoinWords(std::span<const std::string_view> words) {
@@ -114,8 +115,8 @@
   try {
     documents = YAML::LoadAll(std::string(text));
   } catch (const YAML::Exception& exception) {
-    RefuseLine(exception.mark.line + 1, "not valid YAML: " + exception.msg,
-               "a YAML map");
+    RefuseAtLine(exception.mark.line + 1, "not valid YAML: " + exception.msg,
+                 "a YAML map");
   }
   if (documents.size() > 1)
     Refuse(documents[1], "a second document", "one document in a file");
@@ -125,11 +126,11 @@
 void YamlSource::Refuse(const YAML::Node& at, const std::string& what,
                         const std::string& expected) const {
   const int line = at.IsDefined() ? at.Mark().line : -1;
-  RefuseLine(line < 0 ? 1 : line + 1, what, expected);
+  RefuseAtLine(line < 0 ? 1 : line + 1, what, expected);
 }
 
-void YamlSource::RefuseLine(int line, const std::string& what,
-                            const std::string& expected) const {
+void YamlSource::RefuseAtLine(int line, const std::string& what,
+                              const std::string& expected) const {
   throw Error(m_kind, m_file + ":" + std::to_string(std::max(line, 1)) + ": " +
                           what + " (expected " + expected + ")");
 }
@@ -164,14 +165,14 @@
                                       units ? kAmountUnits.size() : 1);
   int64_t value = 0;
   switch (ReadNumber(text, allowed, Fractions::kRefused, &value)) {
-    case Reading::kNotANumber:
+    case ParseResult::kNotANumber:
       Refuse(node, what + " " + Quoted(text) + " is not a whole number",
              expected);
-    case Reading::kBadUnit:
+    case ParseResult::kBadUnit:
       Refuse(node, what + " " + Quoted(text) + " has a wrong unit", expected);
-    case Reading::kOverflow:
+    case ParseResult::kOverflow:
       Refuse(node, what + " " + Quoted(text) + " is too large", expected);
-    case Reading::kOk:
+    case ParseResult::kOk:
       break;
   }
   if (value < 0 && least >= 0)
@@ -187,14 +188,14 @@
   const std::string expected = "a time from " + FormatTime(least) + " to " +
                                FormatTime(most) + " with ms, s, m or h";
   int64_t value = 0;
-  switch (ReadNumber(text, kTimeUnits, Fractions::kTaken, &value)) {
-    case Reading::kNotANumber:
+  switch (ReadNumber(text, kTimeUnits, Fractions::kAllowed, &value)) {
+    case ParseResult::kNotANumber:
       Refuse(node, what + " " + Quoted(text) + " is not a time", expected);
-    case Reading::kBadUnit:
+    case ParseResult::kBadUnit:
       Refuse(node, what + " " + Quoted(text) + " has a wrong unit", expected);
-    case Reading::kOverflow:
+    case ParseResult::kOverflow:
       Refuse(node, what + " " + Quoted(text) + " is too large", expected);
-    case Reading::kOk:
+    case ParseResult::kOk:
       break;
   }
   const Duration time(value);
--- a/src/dotterelshift/callers/front.cc
+++ b/src/dotterelshift/callers/front.cc
@@ -102,14 +102,14 @@
       open->exchange->SendHead(status, HeadersOf(request, *open));
   }
 
-  bool SendPiece(RequestId request, std::string_view bytes) override {
+  bool WriteChunk(RequestId request, std::string_view bytes) override {
     OpenRequest* open = Find(request);
     if (open == nullptr) return true;
     if (!open->streaming) {
       open->whole.append(bytes);
       return true;
     }
-    open->exchange->SendPiece(bytes);
+    open->exchange->WriteChunk(bytes);
     open->paused = open->exchange->Backlog() > m_options.pause_above_bytes;
     return !open->paused;
   }
@@ -118,7 +118,7 @@
     OpenRequest open = Take(request);
     if (open.exchange == nullptr) return;
     if (open.streaming) {
-      open.exchange->SendPiece(kEndMark);
+      open.exchange->WriteChunk(kEndMark);
       open.exchange->Finish();
     } else {
       open.exchange->Answer(open.status, HeadersOf(request, open),
@@ -135,7 +135,7 @@
              std::to_string(request));
       return;
     }
-    open.exchange->SendPiece(
+    open.exchange->WriteChunk(
         "data: " + ErrorBody(kind, detail, std::to_string(request)) + "\n\n");
     open.exchange->Finish();
   }
--- a/src/dotterelshift/callers/front_test.cc
+++ b/src/dotterelshift/callers/front_test.cc
@@ -32,7 +32,7 @@
     status = code;
     headers = sent;
   }
-  void SendPiece(std::string_view piece) override {
+  void WriteChunk(std::string_view piece) override {
     bytes += piece;
     backlog += piece.size();
   }
@@ -96,7 +96,7 @@
     for (const ErrorRow& row : ErrorTable()) {
       const RequestId request = Accept(kStreamBody);
       m_front->SendHead(request, 200, "application/json");
-      m_front->SendPiece(request, "{\"half\":");
+      m_front->WriteChunk(request, "{\"half\":");
       m_front->Fail(request, row.kind, "why", 0);
       CheckAnswer(row, *m_exchange);
       CPPUNIT_ASSERT_EQUAL(std::to_string(request),
@@ -109,7 +109,7 @@
       const std::string name(row.name);
       const RequestId request = Accept(kStreamBody);
       m_front->SendHead(request, 200, "text/event-stream");
-      m_front->SendPiece(request, "data: {}\n\n");
+      m_front->WriteChunk(request, "data: {}\n\n");
       m_front->Fail(request, row.kind, "why", 0);
       CPPUNIT_ASSERT_MESSAGE(
           name, m_exchange->bytes.starts_with("data: {}\n\ndata: {\"error\":"));
@@ -142,13 +142,13 @@
     const RequestId request = Accept(kStreamBody);
     m_front->SendHead(request, 200, "text/event-stream; charset=utf-8");
     CPPUNIT_ASSERT_EQUAL(1, m_exchange->heads);
-    CPPUNIT_ASSERT(m_front->SendPiece(request, "data: {}\n\n"));
+    CPPUNIT_ASSERT(m_front->WriteChunk(request, "data: {}\n\n"));
     m_front->Finish(request);
     CPPUNIT_ASSERT_EQUAL(std::string("data: {}\n\ndata: [DONE]\n\n"),
                          m_exchange->bytes);
     CPPUNIT_ASSERT(m_exchange->finished);
     // What still comes for it goes nowhere.
-    m_front->SendPiece(request, "late");
+    m_front->WriteChunk(request, "late");
     m_front->Fail(request, ErrorKind::kStreamCut, "", 0);
     CPPUNIT_ASSERT(m_exchange->bytes.ends_with("[DONE]\n\n"));
   }
@@ -156,8 +156,8 @@
   void AnswerThatIsNoStreamGoesOutWhole() {
     const RequestId request = Accept(kStreamBody);
     m_front->SendHead(request, 404, "application/json");
-    m_front->SendPiece(request, "{\"a\":");
-    m_front->SendPiece(request, "1}");
+    m_front->WriteChunk(request, "{\"a\":");
+    m_front->WriteChunk(request, "1}");
     CPPUNIT_ASSERT_EQUAL(0, m_exchange->heads);
     m_front->Finish(request);
     CPPUNIT_ASSERT_EQUAL(404, m_exchange->status);
@@ -167,10 +167,10 @@
   void SlowReaderPausesAndDrains() {
     const RequestId request = Accept(kStreamBody);
     m_front->SendHead(request, 200, "text/event-stream");
-    CPPUNIT_ASSERT(m_front->SendPiece(request, std::string(100, 'x')));
+    CPPUNIT_ASSERT(m_front->WriteChunk(request, std::string(100, 'x')));
     m_exchange->drained();
     CPPUNIT_ASSERT_EQUAL(0, m_drained);
-    CPPUNIT_ASSERT(!m_front->SendPiece(request, std::string(1, 'x')));
+    CPPUNIT_ASSERT(!m_front->WriteChunk(request, std::string(1, 'x')));
     m_exchange->drained();
     m_exchange->drained();
     CPPUNIT_ASSERT_EQUAL(1, m_drained);
--- a/src/dotterelshift/callers/relay_test.cc
+++ b/src/dotterelshift/callers/relay_test.cc
@@ -42,7 +42,7 @@
   void StreamPassesWhole() {
     m_endpoint = [](Exchange& exchange) {
       exchange.SendHead(200, {{"Content-Type", "text/event-stream"}});
-      exchange.SendPiece("data: {\"text\":\"a\"}\n\ndata: [DONE]\n\n");
+      exchange.WriteChunk("data: {\"text\":\"a\"}\n\ndata: [DONE]\n\n");
       exchange.Finish();
     };
     TestConnection caller = Call();
@@ -57,7 +57,7 @@
   void StreamCutByTheEndpointEndsInAnError() {
     m_endpoint = [](Exchange& exchange) {
       exchange.SendHead(200, {{"Content-Type", "text/event-stream"}});
-      exchange.SendPiece("data: {\"text\":\"a\"}\n\n");
+      exchange.WriteChunk("data: {\"text\":\"a\"}\n\n");
       exchange.OnDrained([&exchange] { exchange.Abort(); });
     };
     TestConnection caller = Call();
@@ -80,12 +80,12 @@
       exchange.OnDrained([&] {
         if (produced >= kStreamBytes) return;
         produced += piece.size();
-        exchange.SendPiece(piece);
+        exchange.WriteChunk(piece);
         if (produced < kStreamBytes) return;
-        exchange.SendPiece("data: [DONE]\n\n");
+        exchange.WriteChunk("data: [DONE]\n\n");
         exchange.Finish();
       });
-      exchange.SendPiece(piece);
+      exchange.WriteChunk(piece);
       produced += piece.size();
     };
     TestConnection caller = Call(64 << 10);
@@ -110,7 +110,7 @@
     m_endpoint = [this](Exchange& exchange) {
       exchange.OnGone([this] { m_endpoint_saw_end = true; });
       exchange.SendHead(200, {{"Content-Type", "text/event-stream"}});
-      exchange.SendPiece("data: {\"text\":\"a\"}\n\n");
+      exchange.WriteChunk("data: {\"text\":\"a\"}\n\n");
     };
     TestConnection caller = Call();
     RunUntil([&] {
@@ -165,10 +165,10 @@
                 [this](AttemptId attempt, int status, std::string_view type) {
                   m_front->SendHead(attempt, status, type);
                 },
-            .on_piece =
+            .on_chunk =
                 [this](AttemptId attempt, const serving::Chunk&,
                        std::string_view bytes) {
-                  const bool more = m_front->SendPiece(attempt, bytes);
+                  const bool more = m_front->WriteChunk(attempt, bytes);
                   m_paused = m_paused || !more;
                   return more;
                 },
