--- a/src/dotterelshift/directory/directory.cc
+++ b/src/dotterelshift/directory/directory.cc
@@ -25,52 +25,54 @@
 }
 
 // Whether two records say the same of whether the endpoint may be used.
-bool SameMarks(const wire::EndpointRecordT& a, const wire::EndpointRecordT& b) {
+bool SameAvailability(const wire::EndpointRecordT& a,
+                      const wire::EndpointRecordT& b) {
   return a.incarnation == b.incarnation && a.draining == b.draining &&
          a.gone == b.gone && a.silent == b.silent;
 }
 
 // When the news was first heard, by any daemon.
-Instant HeardAt(uint32_t age_ms, Instant now) {
+Instant ReceivedAt(uint32_t age_ms, Instant now) {
   return now - std::chrono::milliseconds(age_ms);
 }
 
 // Draining and gone hold for the whole incarnation.
-void KeepSticky(wire::EndpointRecordT* record, bool draining, bool gone) {
+void MergeSticky(wire::EndpointRecordT* record, bool draining, bool gone) {
   record->draining = record->draining || draining;
   record->gone = record->gone || gone;
 }
 
 }  // namespace
 
-bool Directory::PassTombstone(wire::EndpointRecordT* record) {
+bool Directory::CheckTombstone(wire::EndpointRecordT* record) {
   const auto it = m_tombstones.find(record->id);
   if (it == m_tombstones.end()) return true;
   const Tombstone& tombstone = it->second;
   if (record->incarnation < tombstone.incarnation) return false;
   if (record->incarnation == tombstone.incarnation) {
     if (record->sequence <= tombstone.sequence) return false;
-    KeepSticky(record, tombstone.draining, tombstone.gone);
+    MergeSticky(record, tombstone.draining, tombstone.gone);
   }
   m_tombstones.erase(it);
   return true;
 }
 
 bool Directory::OnRecord(const wire::EndpointRecordT& news, Instant now) {
-  return Take(news, now) != News::kOld;
+  return Take(news, now) != RecordUpdate::kStale;
 }
 
-News Directory::Take(const wire::EndpointRecordT& news, Instant now) {
+RecordUpdate Directory::Take(const wire::EndpointRecordT& news, Instant now) {
   wire::EndpointRecordT record = news;
   const auto it = m_endpoints.find(record.id);
-  if (it == m_endpoints.end()) return Meet(std::move(record), now);
+  if (it == m_endpoints.end()) return AddEndpoint(std::move(record), now);
   Endpoint& endpoint = it->second;
   wire::EndpointRecordT& known = endpoint.record;
-  if (record.incarnation < known.incarnation) return News::kOld;
-  const Instant heard = HeardAt(record.age_ms, now);
+  if (record.incarnation < known.incarnation) return RecordUpdate::kStale;
+  const Instant heard = ReceivedAt(record.age_ms, now);
   if (record.incarnation == known.incarnation) {
-    if (record.sequence <= known.sequence) return Amend(&endpoint, record, now);
-    KeepSticky(&record, known.draining, known.gone);
+    if (record.sequence <= known.sequence)
+      return MergeStickyFlags(&endpoint, record, now);
+    MergeSticky(&record, known.draining, known.gone);
     endpoint.last_news = std::max(endpoint.last_news, heard);
   } else {
     endpoint.last_news = heard;
@@ -78,69 +80,71 @@
     endpoint.dead_until = {};
   }
   const bool same_offer = SameOffer(known, record);
-  const bool same_marks = SameMarks(known, record);
+  const bool same_marks = SameAvailability(known, record);
   if (!same_offer) ++m_generation;
   known = std::move(record);
-  Judge(&endpoint, now);
+  UpdateUsable(&endpoint, now);
   m_changed.insert(known.id);
-  return same_offer && same_marks ? News::kLoad : News::kOffer;
+  return same_offer && same_marks ? RecordUpdate::kLoad : RecordUpdate::kOffer;
 }
 
-News Directory::Meet(wire::EndpointRecordT record, Instant now) {
-  if (!PassTombstone(&record)) return News::kOld;
+RecordUpdate Directory::AddEndpoint(wire::EndpointRecordT record, Instant now) {
+  if (!CheckTombstone(&record)) return RecordUpdate::kStale;
   Endpoint& endpoint = m_endpoints[record.id];
-  endpoint.last_news = HeardAt(record.age_ms, now);
+  endpoint.last_news = ReceivedAt(record.age_ms, now);
   endpoint.record = std::move(record);
   ++m_generation;
-  Judge(&endpoint, now);
+  UpdateUsable(&endpoint, now);
   m_changed.insert(endpoint.record.id);
-  return News::kOffer;
+  return RecordUpdate::kOffer;
 }
 
 // Late news changes nothing but the marks that it still brings.
-News Directory::Amend(Endpoint* endpoint, const wire::EndpointRecordT& late,
-                      Instant now) {
+RecordUpdate Directory::MergeStickyFlags(Endpoint* endpoint,
+                                         const wire::EndpointRecordT& late,
+                                         Instant now) {
   wire::EndpointRecordT& known = endpoint->record;
-  const bool silences =
+  const bool becomes_silent =
       late.silent && !known.silent && late.sequence == known.sequence;
   const bool adds = (late.draining && !known.draining) ||
-                    (late.gone && !known.gone) || silences;
-  if (!adds) return News::kOld;
-  KeepSticky(&known, late.draining, late.gone);
-  known.silent = known.silent || silences;
-  Judge(endpoint, now);
+                    (late.gone && !known.gone) || becomes_silent;
+  if (!adds) return RecordUpdate::kStale;
+  MergeSticky(&known, late.draining, late.gone);
+  known.silent = known.silent || becomes_silent;
+  UpdateUsable(endpoint, now);
   m_changed.insert(known.id);
-  return News::kOffer;
+  return RecordUpdate::kOffer;
 }
 
-News Directory::TakeLoad(const EndpointId& id, uint64_t incarnation,
-                         const LoadReport& load, Instant now) {
+RecordUpdate Directory::ApplyLoad(const EndpointId& id, uint64_t incarnation,
+                                  const LoadReport& load, Instant now) {
   const auto it = m_endpoints.find(id);
-  if (it == m_endpoints.end()) return News::kOld;
+  if (it == m_endpoints.end()) return RecordUpdate::kStale;
   Endpoint& endpoint = it->second;
   wire::EndpointRecordT& known = endpoint.record;
   const bool newer =
       known.incarnation == incarnation && load.sequence > known.sequence;
-  if (!newer) return News::kOld;
+  if (!newer) return RecordUpdate::kStale;
   const bool was_silent = known.silent;
   known.sequence = load.sequence;
   known.running = load.running;
   known.waiting = load.waiting;
   known.tokens_per_second = load.tokens_per_second;
   known.silent = false;
-  endpoint.last_news = std::max(endpoint.last_news, HeardAt(load.age_ms, now));
-  Judge(&endpoint, now);
+  endpoint.last_news =
+      std::max(endpoint.last_news, ReceivedAt(load.age_ms, now));
+  UpdateUsable(&endpoint, now);
   m_changed.insert(id);
-  return was_silent ? News::kOffer : News::kLoad;
+  return was_silent ? RecordUpdate::kOffer : RecordUpdate::kLoad;
 }
 
-void Directory::SetHeardHere(const EndpointId& id, bool heard_here) {
+void Directory::SetAnnouncedHere(const EndpointId& id, bool announced_here) {
   const auto it = m_endpoints.find(id);
-  if (it != m_endpoints.end()) it->second.heard_here = heard_here;
+  if (it != m_endpoints.end()) it->second.announced_here = announced_here;
 }
 
-void Directory::SetSilenceOfOthers(Duration silence) {
-  m_silence_of_others = silence;
+void Directory::SetRemoteSilenceTimeout(Duration silence) {
+  m_remote_silence_timeout = silence;
 }
 
 void Directory::OnAlive(const EndpointId& id, Instant now) {
@@ -148,7 +152,7 @@
   if (it == m_endpoints.end()) return;
   it->second.last_evidence = now;
   it->second.dead_until = {};
-  Judge(&it->second, now);
+  UpdateUsable(&it->second, now);
 }
 
 void Directory::OnDead(const EndpointId& id, uint64_t incarnation,
@@ -159,14 +163,14 @@
   if (it->second.record.incarnation != incarnation) return;
   it->second.dead_until = now + m_options.dead_hold;
   it->second.last_evidence = {};
-  Judge(&it->second, now);
+  UpdateUsable(&it->second, now);
 }
 
 bool Directory::OnTimer(Instant now) {
   const uint64_t before = m_generation;
   for (auto it = m_endpoints.begin(); it != m_endpoints.end();) {
     Endpoint& endpoint = it->second;
-    Judge(&endpoint, now);
+    UpdateUsable(&endpoint, now);
     const Instant heard = std::max(endpoint.last_news, endpoint.last_evidence);
     if (now - heard < m_options.forget_after) {
       ++it;
@@ -196,7 +200,7 @@
   return delta;
 }
 
-wire::DirectoryDeltaT Directory::Everything(Instant now) const {
+wire::DirectoryDeltaT Directory::AllRecords(Instant now) const {
   wire::DirectoryDeltaT delta;
   for (const auto& [id, endpoint] : m_endpoints) {
     delta.records.push_back(
@@ -225,15 +229,16 @@
   const bool own_evidence =
       now - endpoint.last_evidence < m_options.silent_after;
   if (own_evidence) return true;
-  return !record.silent && now - endpoint.last_news < SilenceOf(endpoint);
+  return !record.silent &&
+         now - endpoint.last_news < SilenceTimeoutOf(endpoint);
 }
 
-Duration Directory::SilenceOf(const Endpoint& endpoint) const {
-  if (endpoint.heard_here) return m_options.silent_after;
-  return std::max(m_options.silent_after, m_silence_of_others);
+Duration Directory::SilenceTimeoutOf(const Endpoint& endpoint) const {
+  if (endpoint.announced_here) return m_options.silent_after;
+  return std::max(m_options.silent_after, m_remote_silence_timeout);
 }
 
-void Directory::Judge(Endpoint* endpoint, Instant now) {
+void Directory::UpdateUsable(Endpoint* endpoint, Instant now) {
   const bool usable = IsUsable(*endpoint, now);
   if (usable == endpoint->usable) return;
   endpoint->usable = usable;
--- a/src/dotterelshift/directory/directory_test.cc
+++ b/src/dotterelshift/directory/directory_test.cc
@@ -11,7 +11,7 @@
 constexpr Instant kStart = Instant{} + 1000s;
 
 // One piece of news of endpoint "e", as it arrives.
-struct News {
+struct RecordUpdate {
   uint64_t incarnation = 1;
   uint64_t sequence = 1;
   bool draining = false;
@@ -23,7 +23,7 @@
 // What the directory should hold after all the news.
 struct Case {
   std::string name;
-  std::vector<News> news;
+  std::vector<RecordUpdate> news;
   bool last_is_new;
   uint64_t incarnation;
   uint64_t sequence;
@@ -85,7 +85,7 @@
      true},
 };
 
-wire::EndpointRecordT Record(const News& news) {
+wire::EndpointRecordT Record(const RecordUpdate& news) {
   wire::EndpointRecordT record;
   record.id = "e";
   record.address = "127.0.0.1:1";
@@ -99,22 +99,22 @@
 
 class DirectoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DirectoryTest);
-  CPPUNIT_TEST(NewsTable);
-  CPPUNIT_TEST(SilentEndpointGetsNoWork);
-  CPPUNIT_TEST(OwnEvidenceKeepsItUsable);
-  CPPUNIT_TEST(DeathOfAnOlderRunSaysNothing);
-  CPPUNIT_TEST(DeathHoldsAgainstNewsForAWhile);
-  CPPUNIT_TEST(DeltaCarriesOnlyWhatChanged);
+  CPPUNIT_TEST(RecordUpdateTable);
+  CPPUNIT_TEST(SilentEndpointIsNotUsable);
+  CPPUNIT_TEST(LocalEvidenceKeepsEndpointUsable);
+  CPPUNIT_TEST(FailureOfAnOlderIncarnationIsIgnored);
+  CPPUNIT_TEST(RefusedConnectionOutweighsNewRecordsForAWhile);
+  CPPUNIT_TEST(DeltaContainsOnlyChanges);
   CPPUNIT_TEST(GenerationIgnoresLoad);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void NewsTable() {
+  void RecordUpdateTable() {
     for (const Case& test : kCases) {
       Directory directory;
       Instant now = kStart;
       bool is_new = false;
-      for (const News& news : test.news) {
+      for (const RecordUpdate& news : test.news) {
         now += news.wait;
         directory.OnTimer(now);
         is_new = directory.OnRecord(Record(news), now);
@@ -132,7 +132,7 @@
     }
   }
 
-  void SilentEndpointGetsNoWork() {
+  void SilentEndpointIsNotUsable() {
     Directory directory;
     directory.OnRecord(Record({}), kStart);
     CPPUNIT_ASSERT(!directory.OnTimer(kStart + 2900ms));
@@ -140,7 +140,7 @@
     CPPUNIT_ASSERT(!directory.Find("e")->usable);
   }
 
-  void OwnEvidenceKeepsItUsable() {
+  void LocalEvidenceKeepsEndpointUsable() {
     Directory directory;
     directory.OnRecord(Record({}), kStart);
     directory.OnAlive("e", kStart + 2s);
@@ -148,14 +148,14 @@
     CPPUNIT_ASSERT(directory.Find("e")->usable);
   }
 
-  void DeathOfAnOlderRunSaysNothing() {
+  void FailureOfAnOlderIncarnationIsIgnored() {
     Directory directory;
     directory.OnRecord(Record({.incarnation = 2}), kStart);
     directory.OnDead("e", 1, kStart);
     CPPUNIT_ASSERT(directory.Find("e")->usable);
   }
 
-  void DeathHoldsAgainstNewsForAWhile() {
+  void RefusedConnectionOutweighsNewRecordsForAWhile() {
     Directory directory;
     directory.OnRecord(Record({}), kStart);
     directory.OnDead("e", 1, kStart);
@@ -166,7 +166,7 @@
     CPPUNIT_ASSERT(directory.Find("e")->usable);
   }
 
-  void DeltaCarriesOnlyWhatChanged() {
+  void DeltaContainsOnlyChanges() {
     Directory directory;
     directory.OnRecord(Record({}), kStart);
     const wire::DirectoryDeltaT delta = directory.TakeDelta(kStart + 200ms);
@@ -175,7 +175,7 @@
     directory.OnRecord(Record({}), kStart + 300ms);
     CPPUNIT_ASSERT(directory.TakeDelta(kStart + 300ms).records.empty());
     CPPUNIT_ASSERT_EQUAL(size_t{1},
-                         directory.Everything(kStart).records.size());
+                         directory.AllRecords(kStart).records.size());
   }
 
   void GenerationIgnoresLoad() {
--- a/src/dotterelshift/directory/spread.cc
+++ b/src/dotterelshift/directory/spread.cc
@@ -14,7 +14,7 @@
 
 // An endpoint that announced itself here so often in a row, and nowhere else
 // in between, is heard by this daemon alone.
-constexpr uint32_t kHeardHere = 3;
+constexpr uint32_t kAnnouncedHereCount = 3;
 
 // The silence of an endpoint that others hear is believed after this many
 // missed pulses.
@@ -53,28 +53,28 @@
   return hash;
 }
 
-uint16_t Narrow(uint64_t value) {
-  constexpr uint64_t kMost = std::numeric_limits<uint16_t>::max();
-  return static_cast<uint16_t>(std::min(value, kMost));
+uint16_t ClampToUint16(uint64_t value) {
+  constexpr uint64_t kMax = std::numeric_limits<uint16_t>::max();
+  return static_cast<uint16_t>(std::min(value, kMax));
 }
 
 wire::EndpointPulse PulseOf(const wire::EndpointRecordT& record, uint64_t key) {
   return {key,
           static_cast<uint32_t>(record.sequence),
           record.tokens_per_second,
-          Narrow(record.running),
-          Narrow(record.waiting),
-          Narrow(record.age_ms)};
+          ClampToUint16(record.running),
+          ClampToUint16(record.waiting),
+          ClampToUint16(record.age_ms)};
 }
 
 // The whole number that a pulse gives the low half of, next to a known one.
-uint64_t WholeSequence(uint64_t known, uint32_t low) {
+uint64_t ExpandSequence(uint64_t known, uint32_t low) {
   constexpr uint64_t kHalf = uint64_t{1} << 31;
-  constexpr uint64_t kWhole = uint64_t{1} << 32;
-  const uint64_t candidate = (known & ~(kWhole - 1)) | low;
-  if (candidate + kHalf < known) return candidate + kWhole;
-  if (candidate > known + kHalf && candidate >= kWhole)
-    return candidate - kWhole;
+  constexpr uint64_t kRange = uint64_t{1} << 32;
+  const uint64_t candidate = (known & ~(kRange - 1)) | low;
+  if (candidate + kHalf < known) return candidate + kRange;
+  if (candidate > known + kHalf && candidate >= kRange)
+    return candidate - kRange;
   return candidate;
 }
 
@@ -118,20 +118,23 @@
       static_cast<double>(m_directory->All().size()) * kPulseBytes * copies;
   const std::chrono::duration<double> needed(bytes /
                                              m_options.pulse_bytes_per_second);
-  return std::max(m_options.least_pulse,
+  return std::max(m_options.min_pulse_interval,
                   std::chrono::duration_cast<Duration>(needed));
 }
 
-News Spread::OnAnnounced(const wire::EndpointRecordT& record, Instant now) {
-  const News news = m_directory->Take(record, now);
-  if (news == News::kOld) return news;
-  Known& known = m_known[record.id];
-  ++known.heard_in_a_row;
-  m_directory->SetHeardHere(record.id, known.heard_in_a_row >= kHeardHere);
+RecordUpdate Spread::OnAnnounced(const wire::EndpointRecordT& record,
+                                 Instant now) {
+  const RecordUpdate news = m_directory->Take(record, now);
+  if (news == RecordUpdate::kStale) return news;
+  TrackedEndpoint& known = m_known[record.id];
+  ++known.consecutive_announcements;
+  m_directory->SetAnnouncedHere(
+      record.id, known.consecutive_announcements >= kAnnouncedHereCount);
   // A little early counts as due: announcements come about as often as pulses.
   const Duration interval = PulseInterval() - m_options.round;
   const bool due = now - known.last_pulse >= interval;
-  if (news == News::kOffer || due) Note(record.id, news, m_options.self, now);
+  if (news == RecordUpdate::kOffer || due)
+    QueueUpdate(record.id, news, m_options.self, now);
   return news;
 }
 
@@ -140,43 +143,43 @@
   bool any_news = false;
   for (const auto& record : delta.records) {
     if (record == nullptr) continue;
-    const News news = m_directory->Take(*record, now);
-    if (news == News::kOld) continue;
+    const RecordUpdate news = m_directory->Take(*record, now);
+    if (news == RecordUpdate::kStale) continue;
     any_news = true;
-    Note(record->id, news, from, now);
+    QueueUpdate(record->id, news, from, now);
   }
-  TakePulses(from, delta, now, &any_news);
+  ApplyPulses(from, delta, now, &any_news);
   const auto peer = m_peers.find(from);
   if (peer == m_peers.end()) return any_news;
-  if (delta.pull) peer->second.wants_all = true;
+  if (delta.pull) peer->second.full_requested = true;
   if (delta.digest != 0) CompareDigest(from, delta.digest, now);
   return any_news;
 }
 
-void Spread::TakePulses(const HostId& from, const wire::DirectoryDeltaT& delta,
-                        Instant now, bool* any_news) {
+void Spread::ApplyPulses(const HostId& from, const wire::DirectoryDeltaT& delta,
+                         Instant now, bool* any_news) {
   for (const wire::EndpointPulse& pulse : delta.pulses) {
     const auto id = m_by_key.find(pulse.key());
     if (id == m_by_key.end()) continue;  // the digests will tell
     const Endpoint* endpoint = m_directory->Find(id->second);
     if (endpoint == nullptr) continue;
     LoadReport load;
-    load.sequence = WholeSequence(endpoint->record.sequence, pulse.sequence());
+    load.sequence = ExpandSequence(endpoint->record.sequence, pulse.sequence());
     load.running = pulse.running();
     load.waiting = pulse.waiting();
     load.tokens_per_second = pulse.tokens_per_second();
     load.age_ms = pulse.age_ms();
-    const News news = m_directory->TakeLoad(
+    const RecordUpdate news = m_directory->ApplyLoad(
         id->second, endpoint->record.incarnation, load, now);
-    if (news == News::kOld) continue;
+    if (news == RecordUpdate::kStale) continue;
     *any_news = true;
-    Note(id->second, news, from, now);
+    QueueUpdate(id->second, news, from, now);
   }
 }
 
-void Spread::Note(const EndpointId& endpoint, News news, const HostId& from,
-                  Instant now) {
-  Known& known = m_known[endpoint];
+void Spread::QueueUpdate(const EndpointId& endpoint, RecordUpdate news,
+                         const HostId& from, Instant now) {
+  TrackedEndpoint& known = m_known[endpoint];
   const uint64_t incarnation = m_directory->Find(endpoint)->record.incarnation;
   const uint64_t key = PulseKey(endpoint, incarnation);
   if (known.key != key) {
@@ -186,11 +189,11 @@
   }
   known.last_pulse = now;
   if (from != m_options.self) {
-    known.heard_in_a_row = 0;
-    m_directory->SetHeardHere(endpoint, false);
+    known.consecutive_announcements = 0;
+    m_directory->SetAnnouncedHere(endpoint, false);
   }
   Pending& pending = m_pending[endpoint];
-  pending.whole = pending.whole || news == News::kOffer;
+  pending.whole = pending.whole || news == RecordUpdate::kOffer;
   pending.from = from;
 }
 
@@ -203,9 +206,10 @@
   neighbour.differed = differs;
   if (!differs || !lasting) return;
   const bool pulled_before = neighbour.pulled != Instant{};
-  if (pulled_before && now - neighbour.pulled < m_options.pull_again) return;
+  if (pulled_before && now - neighbour.pulled < m_options.min_pull_interval)
+    return;
   neighbour.pulled = now;
-  neighbour.ask_all = true;
+  neighbour.request_full = true;
 }
 
 uint64_t Spread::Digest() const {
@@ -215,25 +219,25 @@
   return std::max<uint64_t>(digest, 1);
 }
 
-void Spread::TellSilence(Instant now) {
+void Spread::AnnounceSilence(Instant now) {
   for (const auto& [id, endpoint] : m_directory->All()) {
-    const bool silent = endpoint.heard_here && !endpoint.usable &&
+    const bool silent = endpoint.announced_here && !endpoint.usable &&
                         !endpoint.record.silent && !endpoint.record.draining &&
                         !endpoint.record.gone && now >= endpoint.dead_until;
     if (!silent) continue;
     wire::EndpointRecordT record = endpoint.record;
     record.silent = true;
-    if (m_directory->Take(record, now) != News::kOld)
-      Note(record.id, News::kOffer, m_options.self, now);
+    if (m_directory->Take(record, now) != RecordUpdate::kStale)
+      QueueUpdate(record.id, RecordUpdate::kOffer, m_options.self, now);
   }
 }
 
 std::vector<Outgoing> Spread::OnTimer(Instant now) {
   if (now < m_next_round) return {};
   m_next_round = now + m_options.round;
-  m_directory->SetSilenceOfOthers(kMissedPulses * PulseInterval());
+  m_directory->SetRemoteSilenceTimeout(kMissedPulses * PulseInterval());
   m_directory->OnTimer(now);
-  TellSilence(now);
+  AnnounceSilence(now);
   std::erase_if(m_known, [this](const auto& item) {
     if (m_directory->Find(item.first) != nullptr) return false;
     m_by_key.erase(item.second.key);
@@ -241,12 +245,12 @@
   });
 
   const bool with_digest = now >= m_next_digest;
-  if (with_digest) m_next_digest = now + m_options.digest_every;
+  if (with_digest) m_next_digest = now + m_options.digest_interval;
   std::vector<Outgoing> all;
   for (const auto& [host, peer] : m_peers) {
     const bool neighbour = std::find(m_neighbours.begin(), m_neighbours.end(),
                                      host) != m_neighbours.end();
-    const bool asked = peer.wants_all || peer.ask_all;
+    const bool asked = peer.full_requested || peer.request_full;
     if (!neighbour && !asked) continue;
     Outgoing outgoing{host, DeltaFor(host, with_digest && neighbour, now)};
     const wire::DirectoryDeltaT& delta = outgoing.delta;
@@ -255,8 +259,8 @@
     if (!empty) all.push_back(std::move(outgoing));
   }
   for (auto& [host, peer] : m_peers) {
-    peer.wants_all = false;
-    peer.ask_all = false;
+    peer.full_requested = false;
+    peer.request_full = false;
   }
   m_pending.clear();
   return all;
@@ -266,10 +270,10 @@
                                        Instant now) const {
   const Neighbour& peer = m_peers.at(host);
   wire::DirectoryDeltaT delta;
-  delta.pull = peer.ask_all;
+  delta.pull = peer.request_full;
   if (with_digest) delta.digest = Digest();
-  if (peer.wants_all) {
-    wire::DirectoryDeltaT everything = m_directory->Everything(now);
+  if (peer.full_requested) {
+    wire::DirectoryDeltaT everything = m_directory->AllRecords(now);
     delta.records = std::move(everything.records);
     return delta;
   }
--- a/src/dotterelshift/directory/spread_test.cc
+++ b/src/dotterelshift/directory/spread_test.cc
@@ -110,22 +110,22 @@
 
 class SpreadTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SpreadTest);
-  CPPUNIT_TEST(NewsReachesAllInFewSteps);
-  CPPUNIT_TEST(OneLostHostCutsNobodyOff);
+  CPPUNIT_TEST(UpdateReachesAllHostsInFewHops);
+  CPPUNIT_TEST(LosingOneHostDisconnectsNoOther);
   CPPUNIT_TEST(DrainingReachesAllWithinASecond);
-  CPPUNIT_TEST(LoadIsSpreadAtABoundedRate);
-  CPPUNIT_TEST(SilenceIsToldByWhoHeardLast);
-  CPPUNIT_TEST(EndpointThatTurnsToAnotherDaemonIsNotSilent);
-  CPPUNIT_TEST(LostNewsIsHealedByDigests);
-  CPPUNIT_TEST(NewcomerLearnsEverything);
+  CPPUNIT_TEST(LoadIsSentAtABoundedRate);
+  CPPUNIT_TEST(SilenceIsReportedByTheLastReceiver);
+  CPPUNIT_TEST(EndpointThatSwitchesDaemonIsNotSilent);
+  CPPUNIT_TEST(LostUpdateIsRepairedByDigests);
+  CPPUNIT_TEST(NewDaemonReceivesAllRecords);
   CPPUNIT_TEST(OldPulseDoesNotReviveADrainingEndpoint);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void NewsReachesAllInFewSteps() {
+  void UpdateReachesAllHostsInFewHops() {
     struct Case {
       size_t hosts;
-      size_t most_steps;
+      size_t max_hops;
     };
     const Case cases[] = {{2, 2},  {3, 2},   {4, 2},   {5, 3},
                           {8, 3},  {9, 3},   {27, 4},  {50, 5},
@@ -135,12 +135,12 @@
       for (const HostId& start : roster) {
         const size_t steps = StepsToAll(roster, start, "");
         CPPUNIT_ASSERT_MESSAGE(start + " of " + std::to_string(test.hosts),
-                               steps > 0 && steps <= test.most_steps);
+                               steps > 0 && steps <= test.max_hops);
       }
     }
   }
 
-  void OneLostHostCutsNobodyOff() {
+  void LosingOneHostDisconnectsNoOther() {
     for (size_t count = 3; count <= 40; ++count) {
       const std::set<HostId> roster = Roster(count);
       for (const HostId& lost : roster) {
@@ -161,7 +161,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, fleet.Usable());
   }
 
-  void LoadIsSpreadAtABoundedRate() {
+  void LoadIsSentAtABoundedRate() {
     Fleet fleet(8);
     fleet.Announce(0, 1);
     fleet.RunFor(1s);
@@ -178,7 +178,7 @@
     CPPUNIT_ASSERT_EQUAL(uint32_t{4}, far.Find("e")->record.running);
   }
 
-  void SilenceIsToldByWhoHeardLast() {
+  void SilenceIsReportedByTheLastReceiver() {
     Fleet fleet(8);
     for (uint64_t sequence = 1; sequence <= 5; ++sequence) {
       fleet.Announce(2, sequence);
@@ -192,7 +192,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{8}, fleet.Usable());
   }
 
-  void EndpointThatTurnsToAnotherDaemonIsNotSilent() {
+  void EndpointThatSwitchesDaemonIsNotSilent() {
     Fleet fleet(8);
     for (uint64_t sequence = 1; sequence <= 12; ++sequence) {
       fleet.Announce(sequence <= 5 ? 2 : 6, sequence);
@@ -201,7 +201,7 @@
     }
   }
 
-  void LostNewsIsHealedByDigests() {
+  void LostUpdateIsRepairedByDigests() {
     Fleet fleet(8);
     fleet.Announce(0, 1);
     fleet.RunFor(1s);
@@ -215,7 +215,7 @@
     CPPUNIT_ASSERT(fleet.daemons[7]->directory.Find("e")->record.draining);
   }
 
-  void NewcomerLearnsEverything() {
+  void NewDaemonReceivesAllRecords() {
     Fleet fleet(7);
     fleet.Announce(0, 1);
     fleet.RunFor(1s);
--- a/src/dotterelshift/endpoints/attempt_runner.cc
+++ b/src/dotterelshift/endpoints/attempt_runner.cc
@@ -100,7 +100,7 @@
                                             const http::Headers& headers) {
       OnHead(id, *attempt, status, headers);
     };
-    callbacks.on_piece = [this, id, attempt](std::string_view bytes) {
+    callbacks.on_chunk = [this, id, attempt](std::string_view bytes) {
       return OnBytes(id, *attempt, bytes);
     };
     callbacks.on_end = [this, id, attempt](TransferEnd end) {
@@ -160,7 +160,7 @@
     const auto state = attempt.events.Add(
         bytes, [&](const Chunk& piece, std::string_view whole_events) {
           if (IsOpen(id, attempt))
-            more = m_events.on_piece(id, piece, whole_events);
+            more = m_events.on_chunk(id, piece, whole_events);
         });
     if (!IsOpen(id, attempt)) return true;
     if (state == EventStream::State::kBroken) {
@@ -186,7 +186,7 @@
     }
     if (whole) {
       m_events.on_head(id, attempt.status, attempt.content_type);
-      if (IsOpen(id, attempt)) m_events.on_piece(id, piece, attempt.whole);
+      if (IsOpen(id, attempt)) m_events.on_chunk(id, piece, attempt.whole);
     }
     Close(id, result);
   }
@@ -197,7 +197,7 @@
         return AttemptEnd::kNotSent;
       case TransferEnd::kTimedOut:
         return AttemptEnd::kTimedOut;
-      case TransferEnd::kCutBeforeHead:
+      case TransferEnd::kFailedBeforeHead:
       case TransferEnd::kCut:
         return AttemptEnd::kDied;
       case TransferEnd::kWhole:
--- a/src/dotterelshift/endpoints/attempt_runner_test.cc
+++ b/src/dotterelshift/endpoints/attempt_runner_test.cc
@@ -58,7 +58,7 @@
                                        bool cut = false) {
   return [=](Exchange& exchange) {
     exchange.SendHead(200, kEvents);
-    for (const std::string& piece : pieces) exchange.SendPiece(piece);
+    for (const std::string& piece : pieces) exchange.WriteChunk(piece);
     if (cut) {
       exchange.OnDrained([&exchange] { exchange.Abort(); });
     } else {
@@ -180,7 +180,7 @@
     m_endpoint = [&gone](Exchange& exchange) {
       exchange.OnGone([&gone] { gone = true; });
       exchange.SendHead(200, kEvents);
-      exchange.SendPiece(Event("a"));
+      exchange.WriteChunk(Event("a"));
     };
     Start(true);
     RunUntil([this] { return !m_report.bytes.empty(); });
@@ -196,7 +196,7 @@
     m_endpoint = [&gone](Exchange& exchange) {
       exchange.OnGone([&gone] { gone = true; });
       exchange.SendHead(200, kEvents);
-      exchange.SendPiece(Event("a") + "garbage\n\n" + kDone);
+      exchange.WriteChunk(Event("a") + "garbage\n\n" + kDone);
     };
     Start(true);
     RunUntil([&gone] { return gone; });
@@ -235,7 +235,7 @@
       ++m_report.heads;
       m_report.status = status;
     };
-    events.on_piece = [this](AttemptId attempt, const serving::Chunk& piece,
+    events.on_chunk = [this](AttemptId attempt, const serving::Chunk& piece,
                              std::string_view bytes) {
       m_report.bytes += bytes;
       m_report.tokens += piece.tokens;
--- a/src/dotterelshift/endpoints/event_stream.cc
+++ b/src/dotterelshift/endpoints/event_stream.cc
@@ -4,12 +4,12 @@
 #include <array>              // for array
 #include <nlohmann/json.hpp>  // for json
 
-#include "dotterelshift/http/event_bytes.h"  // for EndOfEvent
+#include "dotterelshift/http/event_bytes.h"  // for FindEventEnd
 
 namespace dotterelshift::endpoints {
 namespace {
 
-using http::EndOfEvent;
+using http::FindEventEnd;
 using nlohmann::json;
 
 constexpr std::string_view kEndMark = "[DONE]";
@@ -113,7 +113,7 @@
     piece = {};
   };
   while (m_state == State::kOpen) {
-    const size_t size = EndOfEvent(bytes.substr(at));
+    const size_t size = FindEventEnd(bytes.substr(at));
     if (size == std::string_view::npos) break;
     if (!ReadEvent(bytes.substr(at, size), &piece)) {
       hand_over(at);
--- a/src/dotterelshift/endpoints/fake_endpoint_test.cc
+++ b/src/dotterelshift/endpoints/fake_endpoint_test.cc
@@ -259,7 +259,7 @@
     std::string body;
     bool ended = false;
     http::TransferCallbacks callbacks;
-    callbacks.on_piece = [&body](std::string_view piece) {
+    callbacks.on_chunk = [&body](std::string_view piece) {
       body += piece;
       return true;
     };
@@ -286,7 +286,7 @@
   AttemptEvents Events() {
     return {
         .on_head = [](AttemptId, int, std::string_view) {},
-        .on_piece =
+        .on_chunk =
             [this](AttemptId, const serving::Chunk& piece, std::string_view) {
               m_tokens += piece.tokens;
               if (piece.has_usage) m_usage = piece.usage_output;
--- a/src/dotterelshift/endpoints/order_sender.cc
+++ b/src/dotterelshift/endpoints/order_sender.cc
@@ -58,7 +58,7 @@
       return "no connection";
     case TransferEnd::kTimedOut:
       return "no answer in time";
-    case TransferEnd::kCutBeforeHead:
+    case TransferEnd::kFailedBeforeHead:
     case TransferEnd::kCut:
       return "the connection broke";
     case TransferEnd::kWhole:
@@ -82,7 +82,7 @@
   callbacks.on_head = [answer](int status, const http::Headers&) {
     answer->status = status;
   };
-  callbacks.on_piece = [answer](std::string_view piece) {
+  callbacks.on_chunk = [answer](std::string_view piece) {
     answer->detail.append(
         piece.substr(0, kMaxDetailBytes - answer->detail.size()));
     return true;
--- a/src/dotterelshift/gateway/core_caller_gone_test.cc
+++ b/src/dotterelshift/gateway/core_caller_gone_test.cc
@@ -80,7 +80,7 @@
     // Bytes of the response that were in flight have no effect.
     Head(attempt, 200, true);
     CPPUNIT_ASSERT(m_last.empty());
-    End(attempt, http::TransferEnd::kCutBeforeHead);
+    End(attempt, http::TransferEnd::kFailedBeforeHead);
     CPPUNIT_ASSERT(m_last.empty());
     ExpectNothingMore();
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, m_budgets->HeldSums().reserved);
@@ -123,7 +123,7 @@
   void WhileASecondAttemptRuns() {
     Publish();
     Request("/safe/");
-    End(Only<StartAttempt>().attempt, http::TransferEnd::kCutBeforeHead);
+    End(Only<StartAttempt>().attempt, http::TransferEnd::kFailedBeforeHead);
     const AttemptId second = Only<StartAttempt>().attempt;
     Leave();
     CPPUNIT_ASSERT_EQUAL(second, Only<CancelAttempt>().attempt);
--- a/src/dotterelshift/gateway/core_link_test.cc
+++ b/src/dotterelshift/gateway/core_link_test.cc
@@ -147,7 +147,7 @@
     SubmitRequest("/safe/", kPrompt, 1);
     const StartAttempt first = Only<StartAttempt>();
     FillLink(150ms);
-    m_core->OnEnd(first.attempt, http::TransferEnd::kCutBeforeHead, m_now);
+    m_core->OnEnd(first.attempt, http::TransferEnd::kFailedBeforeHead, m_now);
     Take();
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_started.size());
     Run(140ms);
@@ -214,7 +214,7 @@
     SubmitRequest("/safe/", kPrompt, 1);
     const StartAttempt first = Only<StartAttempt>();
     FillLink(1s);
-    End(first.attempt, http::TransferEnd::kCutBeforeHead);
+    End(first.attempt, http::TransferEnd::kFailedBeforeHead);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kEndpointFailed);
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
   }
--- a/src/dotterelshift/gateway/core_response.cc
+++ b/src/dotterelshift/gateway/core_response.cc
@@ -19,7 +19,7 @@
       return "whole";
     case http::TransferEnd::kNotSent:
       return "not_sent";
-    case http::TransferEnd::kCutBeforeHead:
+    case http::TransferEnd::kFailedBeforeHead:
       return "cut_before_head";
     case http::TransferEnd::kCut:
       return "cut";
--- a/src/dotterelshift/gateway/core_test.cc
+++ b/src/dotterelshift/gateway/core_test.cc
@@ -81,7 +81,7 @@
     End(first.attempt, http::TransferEnd::kWhole);
     const StartAttempt second = Only<StartAttempt>();
     CPPUNIT_ASSERT(second.endpoint.id != first.endpoint.id);
-    End(second.attempt, http::TransferEnd::kCutBeforeHead);
+    End(second.attempt, http::TransferEnd::kFailedBeforeHead);
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<StartAttempt>());
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kEndpointFailed);
   }
@@ -103,7 +103,7 @@
   void RefusalAfterAFailedRunDoesNotClaimNotRun() {
     Publish();
     Request("/safe/");
-    End(Only<StartAttempt>().attempt, http::TransferEnd::kCutBeforeHead);
+    End(Only<StartAttempt>().attempt, http::TransferEnd::kFailedBeforeHead);
     while (Count<StartAttempt>() > 0) {
       const StartAttempt next = Only<StartAttempt>();
       Head(next.attempt, 503, false, "caller-1", true);
@@ -147,7 +147,7 @@
   void SuspectContentIsReportedAndQuarantined() {
     Publish();
     Request("/once/");
-    End(Only<StartAttempt>().attempt, http::TransferEnd::kCutBeforeHead);
+    End(Only<StartAttempt>().attempt, http::TransferEnd::kFailedBeforeHead);
     const auto reports = m_core->TakeSuspectReports();
     CPPUNIT_ASSERT_EQUAL(size_t{1}, reports.size());
     CPPUNIT_ASSERT(!reports[0].endpoint.empty() && reports[0].alone);
--- a/src/dotterelshift/gateway/event_scanner.cc
+++ b/src/dotterelshift/gateway/event_scanner.cc
@@ -2,7 +2,7 @@
 
 #include <charconv>  // for from_chars
 
-#include "dotterelshift/http/event_bytes.h"  // for EndOfEvent
+#include "dotterelshift/http/event_bytes.h"  // for FindEventEnd
 
 namespace dotterelshift::gateway {
 namespace {
@@ -35,7 +35,7 @@
   while (true) {
     std::string_view left = m_partial_event;
     left.remove_prefix(at);
-    const size_t size = http::EndOfEvent(left);
+    const size_t size = http::FindEventEnd(left);
     if (size == std::string_view::npos) break;
     if (Accept(left.substr(0, size)))
       complete_events.append(left.substr(0, size));
--- a/src/dotterelshift/http/client.cc
+++ b/src/dotterelshift/http/client.cc
@@ -61,7 +61,7 @@
       : m_loop(loop),
         m_options(options),
         m_timer(loop, [this] { Drive(CURL_SOCKET_TIMEOUT, 0); }),
-        m_later(loop, [this] { RunLater(); }) {
+        m_later(loop, [this] { RunDeferred(); }) {
     static const CURLcode initialized = curl_global_init(CURL_GLOBAL_DEFAULT);
     m_multi = curl_multi_init();
     if (initialized != CURLE_OK || m_multi == nullptr)
@@ -137,7 +137,7 @@
   static int OnSocket(CURL* handle, curl_socket_t descriptor, int what,
                       void* self, void*) {
     auto& client = *static_cast<CurlClient*>(self);
-    client.NoteUser(handle, descriptor, what);
+    client.RecordSocketUser(handle, descriptor, what);
     client.Watch(descriptor, what);
     return 0;
   }
@@ -170,8 +170,8 @@
   static size_t OnData(char* data, size_t, size_t size, void* self) {
     auto& transfer = *static_cast<Transfer*>(self);
     if (transfer.cancelled) return 0;
-    const auto& on_piece = transfer.callbacks.on_piece;
-    const bool more = !on_piece || on_piece(std::string_view(data, size));
+    const auto& on_chunk = transfer.callbacks.on_chunk;
+    const bool more = !on_chunk || on_chunk(std::string_view(data, size));
     if (transfer.cancelled) return 0;
     if (!more) curl_easy_pause(transfer.handle, CURLPAUSE_RECV);
     return size;
@@ -233,7 +233,7 @@
 
   // A paused transfer waits for nothing and still uses its descriptor: who
   // used it last is known until it is closed.
-  void NoteUser(CURL* handle, curl_socket_t descriptor, int what) {
+  void RecordSocketUser(CURL* handle, curl_socket_t descriptor, int what) {
     if (what == CURL_POLL_REMOVE) return;
     Transfer* transfer = nullptr;
     curl_easy_getinfo(handle, CURLINFO_PRIVATE, &transfer);
@@ -275,10 +275,10 @@
       watcher->SetEvents(events);
     } else if (events != 0) {
       watcher = std::make_unique<loop::IoWatcher>(
-          m_loop, descriptor, events, [this, descriptor](int seen) {
+          m_loop, descriptor, events, [this, descriptor](int ready_events) {
             Drive(descriptor,
-                  ((seen & EV_READ) != 0 ? CURL_CSELECT_IN : 0) |
-                      ((seen & EV_WRITE) != 0 ? CURL_CSELECT_OUT : 0));
+                  ((ready_events & EV_READ) != 0 ? CURL_CSELECT_IN : 0) |
+                      ((ready_events & EV_WRITE) != 0 ? CURL_CSELECT_OUT : 0));
           });
     }
   }
@@ -289,11 +289,11 @@
     curl_multi_socket_action(m_multi, descriptor, events, &running);
     m_in_curl = false;
     RemoveCancelled();
-    TakeEnded();
+    HandleFinishedTransfers();
   }
 
   // What had to wait until curl was not running.
-  void RunLater() {
+  void RunDeferred() {
     for (const TransferId id : std::exchange(m_to_start, {})) Begin(id);
     for (const TransferId id : std::exchange(m_to_resume, {})) {
       const auto found = m_transfers.find(id);
@@ -304,14 +304,14 @@
       m_in_curl = false;
     }
     RemoveCancelled();
-    TakeEnded();
+    HandleFinishedTransfers();
   }
 
   void Begin(TransferId id) {
     const auto found = m_transfers.find(id);
     if (found == m_transfers.end()) return;
     Transfer& transfer = *found->second;
-    transfer.handle = TakeHandle();
+    transfer.handle = AcquireHandle();
     SetOptions(transfer);
     m_in_curl = true;
     const CURLMcode added = curl_multi_add_handle(m_multi, transfer.handle);
@@ -320,7 +320,7 @@
       throw Error(ErrorKind::kInternal, curl_multi_strerror(added));
   }
 
-  CURL* TakeHandle() {
+  CURL* AcquireHandle() {
     if (m_spare.empty()) return curl_easy_init();
     CURL* handle = m_spare.back();
     m_spare.pop_back();
@@ -392,7 +392,7 @@
       curl_easy_setopt(handle, CURLOPT_CUSTOMREQUEST, request.method.c_str());
   }
 
-  void TakeEnded() {
+  void HandleFinishedTransfers() {
     int left = 0;
     while (const CURLMsg* message = curl_multi_info_read(m_multi, &left)) {
       if (message->msg != CURLMSG_DONE) continue;
@@ -413,7 +413,7 @@
     if (!transfer.sent) return TransferEnd::kNotSent;
     if (result == CURLE_OPERATION_TIMEDOUT) return TransferEnd::kTimedOut;
     return transfer.head_received ? TransferEnd::kCut
-                                  : TransferEnd::kCutBeforeHead;
+                                  : TransferEnd::kFailedBeforeHead;
   }
 
   void RemoveCancelled() {
--- a/src/dotterelshift/http/exchange.cc
+++ b/src/dotterelshift/http/exchange.cc
@@ -8,11 +8,11 @@
 namespace {
 
 // A drained buffer larger than this is given back.
-constexpr size_t kKeptBuffer = 32 << 10;
+constexpr size_t kMaxRetainedBuffer = 32 << 10;
 
 // The library's buffer for answers to callers that know no chunks, one for each
 // answer; chunks are read into the connection's memory.
-constexpr size_t kReadBlock = 1 << 10;
+constexpr size_t kResponseBlockBytes = 1 << 10;
 
 }  // namespace
 
@@ -31,9 +31,9 @@
   Wake();
 }
 
-void MhdExchange::SendPiece(std::string_view piece) {
-  if (!Open() || m_phase != Phase::kStreaming || piece.empty()) return;
-  m_out.append(piece);
+void MhdExchange::WriteChunk(std::string_view chunk) {
+  if (!Open() || m_phase != Phase::kStreaming || chunk.empty()) return;
+  m_out.append(chunk);
   Wake();
 }
 
@@ -76,7 +76,7 @@
 void MhdExchange::Detach(bool whole) {
   if (!whole) CallerGone();
   m_connection = nullptr;
-  m_want_run = nullptr;
+  m_request_run = nullptr;
   m_on_gone = nullptr;
   m_on_drained = nullptr;
 }
@@ -99,12 +99,12 @@
     Suspend();
     return 0;
   }
-  std::memcpy(buffer, m_out.data() + m_taken, size);
-  m_taken += size;
-  if (m_taken == m_out.size()) {
-    m_taken = 0;
+  std::memcpy(buffer, m_out.data() + m_consumed_bytes, size);
+  m_consumed_bytes += size;
+  if (m_consumed_bytes == m_out.size()) {
+    m_consumed_bytes = 0;
     m_out.clear();
-    if (m_out.capacity() > kKeptBuffer) m_out.shrink_to_fit();
+    if (m_out.capacity() > kMaxRetainedBuffer) m_out.shrink_to_fit();
     if (m_on_drained) m_on_drained();
   }
   return static_cast<ssize_t>(size);
@@ -121,8 +121,8 @@
       m_phase == Phase::kWhole
           ? MHD_create_response_from_buffer_with_free_callback_cls(
                 m_out.size(), m_out.data(), Release, self)
-          : MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, kReadBlock,
-                                              Read, self, Release);
+          : MHD_create_response_from_callback(
+                MHD_SIZE_UNKNOWN, kResponseBlockBytes, Read, self, Release);
   if (response == nullptr) {
     Release(self);
     return MHD_NO;
@@ -144,7 +144,7 @@
   if (!m_suspended) return;
   m_suspended = false;
   MHD_resume_connection(m_connection);
-  m_want_run();
+  m_request_run();
 }
 
 }  // namespace dotterelshift::http
--- a/src/dotterelshift/http/exchange.h
+++ b/src/dotterelshift/http/exchange.h
@@ -20,15 +20,15 @@
  public:
   // `want_run` has the library run soon, as a resumed connection needs.
   MhdExchange(MHD_Connection* connection, std::function<void()> want_run)
-      : m_connection(connection), m_want_run(std::move(want_run)) {}
+      : m_connection(connection), m_request_run(std::move(want_run)) {}
 
   const Request& GetRequest() const override { return m_request; }
   void Answer(int status, const Headers& headers, std::string body) override;
   void SendHead(int status, const Headers& headers) override;
-  void SendPiece(std::string_view piece) override;
+  void WriteChunk(std::string_view chunk) override;
   void Finish() override;
   void Abort() override;
-  size_t Backlog() const override { return m_out.size() - m_taken; }
+  size_t Backlog() const override { return m_out.size() - m_consumed_bytes; }
   void OnGone(std::function<void()> callback) override;
   void OnDrained(std::function<void()> callback) override;
 
@@ -57,7 +57,7 @@
   bool Open() const { return m_connection != nullptr && !m_gone; }
 
   MHD_Connection* m_connection;
-  std::function<void()> m_want_run;
+  std::function<void()> m_request_run;
   Request m_request;
   Phase m_phase = Phase::kWaiting;
   bool m_suspended = false;
@@ -65,7 +65,7 @@
   int m_status = 0;
   Headers m_headers;
   std::string m_out;
-  size_t m_taken = 0;
+  size_t m_consumed_bytes = 0;
   std::function<void()> m_on_gone;
   std::function<void()> m_on_drained;
 };
--- a/src/dotterelshift/http/hang_up_test.cc
+++ b/src/dotterelshift/http/hang_up_test.cc
@@ -17,19 +17,20 @@
 
 // Far above what an event on loopback takes, far below the server's own times.
 constexpr Duration kGuard = 10s;
-constexpr Duration kServersTime = std::chrono::hours(1);
+constexpr Duration kServerTimeout = std::chrono::hours(1);
 
 // What the kernel takes for a caller that reads nothing, and a stream that is
 // well above that and what it takes on the server's side.
 constexpr int kSmallBuffer = 4 << 10;
 constexpr size_t kLongStream = 16 << 20;
 
-enum class Way { kClose, kReset, kHalfClose };
-constexpr std::array kWays = {Way::kClose, Way::kReset, Way::kHalfClose};
+enum class CloseMode { kClose, kReset, kHalfClose };
+constexpr std::array kCloseModes = {CloseMode::kClose, CloseMode::kReset,
+                                    CloseMode::kHalfClose};
 
-std::string NameOf(Way way) {
+std::string NameOf(CloseMode mode) {
   constexpr std::array kNames = {"close", "reset", "half-close"};
-  return kNames.at(static_cast<size_t>(way));
+  return kNames.at(static_cast<size_t>(mode));
 }
 
 std::string Head(const std::string& more) {
@@ -40,46 +41,46 @@
 
 class HangUpTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HangUpTest);
-  CPPUNIT_TEST(BeforeAnything);
-  CPPUNIT_TEST(WithTheHeadHalfRead);
-  CPPUNIT_TEST(WithTheBodyHalfRead);
+  CPPUNIT_TEST(BeforeSendingAnyByte);
+  CPPUNIT_TEST(WithPartOfTheHeadReceived);
+  CPPUNIT_TEST(WithPartOfTheBodyReceived);
   CPPUNIT_TEST(TogetherWithTheLastByte);
-  CPPUNIT_TEST(WhileTheAnswerWaits);
-  CPPUNIT_TEST(OnAKeptConnectionWhileTheAnswerWaits);
-  CPPUNIT_TEST(WithTheStreamsHeadSent);
-  CPPUNIT_TEST(WithABacklogThatIsNotTaken);
-  CPPUNIT_TEST(WithARequestBehindTheOneThatWaits);
-  CPPUNIT_TEST(BetweenTheAnswerAndTheRequestBehindIt);
+  CPPUNIT_TEST(WhileTheResponseIsPending);
+  CPPUNIT_TEST(OnAReusedConnectionWhileTheResponseIsPending);
+  CPPUNIT_TEST(AfterTheResponseHeadOfAStream);
+  CPPUNIT_TEST(WithAnUnreadBacklog);
+  CPPUNIT_TEST(WithAPipelinedRequest);
+  CPPUNIT_TEST(BetweenAResponseAndThePipelinedRequest);
   CPPUNIT_TEST(ManyAtOnce);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void BeforeAnything() {
-    ForEachWay([this](Way way) {
+  void BeforeSendingAnyByte() {
+    ForEachCloseMode([this](CloseMode mode) {
       TestConnection caller(m_server->Port());
       RunUntil([this] { return m_server->OpenConnections() == 1; });
-      HangUp(caller, way);
+      HangUp(caller, mode);
       ExpectAllEnded(0, 0);
     });
   }
 
-  void WithTheHeadHalfRead() {
-    ForEachWay([this](Way way) {
+  void WithPartOfTheHeadReceived() {
+    ForEachCloseMode([this](CloseMode mode) {
       TestConnection caller(m_server->Port());
       caller.Send("POST /v1/x HTTP/1.1\r\nHost: h\r\n");
       RunUntil([this] { return m_server->OpenConnections() == 1; });
       Turn();
-      HangUp(caller, way);
+      HangUp(caller, mode);
       ExpectAllEnded(0, 0);
     });
   }
 
-  void WithTheBodyHalfRead() {
-    ForEachWay([this](Way way) {
+  void WithPartOfTheBodyReceived() {
+    ForEachCloseMode([this](CloseMode mode) {
       TestConnection caller(m_server->Port());
       caller.Send(Head("Content-Length: 10\r\n") + "half");
       RunUntil([this] { return m_server->OpenExchanges() == 1; });
-      HangUp(caller, way);
+      HangUp(caller, mode);
       ExpectAllEnded(0, 0);
     });
   }
@@ -87,30 +88,30 @@
   // The server finds the request and its caller's going together: it is either
   // not handed over, or reported as gone.
   void TogetherWithTheLastByte() {
-    ForEachWay([this](Way way) {
+    ForEachCloseMode([this](CloseMode mode) {
       TestConnection caller(m_server->Port());
       caller.Send(Head("Content-Length: 10\r\n") + "half");
       RunUntil([this] { return m_server->OpenExchanges() == 1; });
       caller.Send("<whole");
-      HangUp(caller, way);
+      HangUp(caller, mode);
       RunUntil([this] { return m_server->OpenConnections() == 0; });
       CPPUNIT_ASSERT_EQUAL(m_handled, m_gone);
       CPPUNIT_ASSERT_EQUAL(size_t{0}, m_server->OpenExchanges());
     });
   }
 
-  void WhileTheAnswerWaits() {
-    ForEachWay([this](Way way) {
+  void WhileTheResponseIsPending() {
+    ForEachCloseMode([this](CloseMode mode) {
       TestConnection caller(m_server->Port());
       caller.Send(Whole());
       RunUntil([this] { return m_handled == 1; });
-      HangUp(caller, way);
+      HangUp(caller, mode);
       ExpectAllEnded(1, 1);
     });
   }
 
-  void OnAKeptConnectionWhileTheAnswerWaits() {
-    ForEachWay([this](Way way) {
+  void OnAReusedConnectionWhileTheResponseIsPending() {
+    ForEachCloseMode([this](CloseMode mode) {
       TestConnection caller(m_server->Port());
       caller.Send(Whole());
       RunUntil([this] { return m_handled == 1; });
@@ -121,13 +122,13 @@
       });
       caller.Send(Whole());
       RunUntil([this] { return m_handled == 2; });
-      HangUp(caller, way);
+      HangUp(caller, mode);
       ExpectAllEnded(2, 1);
     });
   }
 
-  void WithTheStreamsHeadSent() {
-    ForEachWay([this](Way way) {
+  void AfterTheResponseHeadOfAStream() {
+    ForEachCloseMode([this](CloseMode mode) {
       TestConnection caller(m_server->Port());
       caller.Send(Whole());
       RunUntil([this] { return m_handled == 1; });
@@ -136,21 +137,21 @@
         caller.Receive();
         return caller.Has("HTTP/1.1 200");
       });
-      HangUp(caller, way);
+      HangUp(caller, mode);
       ExpectAllEnded(1, 1);
     });
   }
 
   // Nothing can be written, so that no write tells of the caller's going.
-  void WithABacklogThatIsNotTaken() {
-    ForEachWay([this](Way way) {
+  void WithAnUnreadBacklog() {
+    ForEachCloseMode([this](CloseMode mode) {
       TestConnection caller(m_server->Port(), kSmallBuffer);
       caller.Send(Whole());
       RunUntil([this] { return m_handled == 1; });
       m_kept.at(0)->SendHead(200, {});
-      m_kept.at(0)->SendPiece(std::string(kLongStream, 'x'));
-      RunUntilNothingIsTaken();
-      HangUp(caller, way);
+      m_kept.at(0)->WriteChunk(std::string(kLongStream, 'x'));
+      RunUntilBacklogIsStable();
+      HangUp(caller, mode);
       RunUntil([this] { return m_gone == 1; });
       // A caller that has closed one side only holds the connection open.
       caller.Close();
@@ -158,26 +159,26 @@
     });
   }
 
-  void WithARequestBehindTheOneThatWaits() {
-    ForEachWay([this](Way way) {
+  void WithAPipelinedRequest() {
+    ForEachCloseMode([this](CloseMode mode) {
       TestConnection caller(m_server->Port());
       caller.Send(Whole() + Whole());
       RunUntil([this] { return m_handled == 1; });
-      HangUp(caller, way);
+      HangUp(caller, mode);
       ExpectAllEnded(1, 1);
     });
   }
 
   // The first answer is there when its caller goes; the second request, already
   // read, is handed over and reported, or not handed over.
-  void BetweenTheAnswerAndTheRequestBehindIt() {
-    ForEachWay([this](Way way) {
+  void BetweenAResponseAndThePipelinedRequest() {
+    ForEachCloseMode([this](CloseMode mode) {
       TestConnection caller(m_server->Port());
       caller.Send(Whole() + Whole());
       RunUntil([this] { return m_handled == 1; });
       m_kept.at(0)->OnGone(nullptr);
       m_kept.at(0)->Answer(200, {}, "first");
-      HangUp(caller, way);
+      HangUp(caller, mode);
       RunUntil([this] { return m_server->OpenConnections() == 0; });
       CPPUNIT_ASSERT_EQUAL(m_handled - 1, m_gone);
       CPPUNIT_ASSERT_EQUAL(size_t{0}, m_server->OpenExchanges());
@@ -187,42 +188,42 @@
   // More than the system reports in one call.
   void ManyAtOnce() {
     constexpr int kCallers = 300;
-    ForEachWay([this](Way way) {
+    ForEachCloseMode([this](CloseMode mode) {
       std::vector<TestConnection> callers;
       for (int i = 0; i < kCallers; ++i) {
         callers.emplace_back(m_server->Port());
         callers.back().Send(Whole());
       }
       RunUntil([this] { return m_handled == kCallers; });
-      for (TestConnection& caller : callers) HangUp(caller, way);
+      for (TestConnection& caller : callers) HangUp(caller, mode);
       ExpectAllEnded(kCallers, kCallers);
     });
   }
 
  private:
-  void ForEachWay(const std::function<void(Way)>& test) {
-    for (const Way way : kWays) {
+  void ForEachCloseMode(const std::function<void(CloseMode)>& test) {
+    for (const CloseMode mode : kCloseModes) {
       m_handled = 0;
       m_gone = 0;
       m_kept.clear();
-      m_server = MakeServer(m_loop, {.receive_timeout = kServersTime},
+      m_server = MakeServer(m_loop, {.receive_timeout = kServerTimeout},
                             [this](std::shared_ptr<Exchange> exchange) {
                               ++m_handled;
                               exchange->OnGone([this] { ++m_gone; });
                               m_kept.push_back(std::move(exchange));
                             });
-      m_way = NameOf(way);
-      test(way);
+      m_mode_name = NameOf(mode);
+      test(mode);
     }
   }
 
-  static void HangUp(TestConnection& caller, Way way) {
-    switch (way) {
-      case Way::kClose:
+  static void HangUp(TestConnection& caller, CloseMode mode) {
+    switch (mode) {
+      case CloseMode::kClose:
         return caller.Close();
-      case Way::kReset:
+      case CloseMode::kReset:
         return caller.Reset();
-      case Way::kHalfClose:
+      case CloseMode::kHalfClose:
         return caller.HalfClose();
     }
   }
@@ -237,7 +238,7 @@
     CPPUNIT_ASSERT_EQUAL(gone, m_gone);
   }
 
-  void RunUntilNothingIsTaken() {
+  void RunUntilBacklogIsStable() {
     size_t backlog = 0;
     do {
       backlog = m_kept.at(0)->Backlog();
@@ -250,7 +251,7 @@
   void RunUntil(const std::function<bool()>& condition) {
     const Instant begin = m_loop.Now();
     while (!condition()) {
-      CPPUNIT_ASSERT_MESSAGE(m_way, m_loop.Now() - begin < kGuard);
+      CPPUNIT_ASSERT_MESSAGE(m_mode_name, m_loop.Now() - begin < kGuard);
       ev_run(m_loop.Raw(), EVRUN_NOWAIT);
     }
   }
@@ -262,7 +263,7 @@
   }
 
   loop::Loop m_loop;
-  std::string m_way;
+  std::string m_mode_name;
   int m_handled = 0;
   int m_gone = 0;
   std::vector<std::shared_ptr<Exchange>> m_kept;
--- a/src/dotterelshift/http/hop_headers.cc
+++ b/src/dotterelshift/http/hop_headers.cc
@@ -10,19 +10,20 @@
 namespace dotterelshift::http {
 namespace {
 
-constexpr std::array<std::string_view, 10> kHopHeaders = {"connection",
-                                                          "keep-alive",
-                                                          "proxy-authenticate",
-                                                          "te",
-                                                          "transfer-encoding",
-                                                          "proxy-authorization",
-                                                          "trailer",
-                                                          "upgrade",
-                                                          "proxy-connection",
-                                                          "content-length"};
+constexpr std::array<std::string_view, 10> kHopByHopHeaders = {
+    "connection",
+    "keep-alive",
+    "proxy-authenticate",
+    "te",
+    "transfer-encoding",
+    "proxy-authorization",
+    "trailer",
+    "upgrade",
+    "proxy-connection",
+    "content-length"};
 
 // The names in the values of Connection headers.
-std::set<std::string> NamedByConnection(const Headers& headers) {
+std::set<std::string> ConnectionHeaderTokens(const Headers& headers) {
   std::set<std::string> named;
   for (const auto& [name, value] : headers) {
     if (name != "connection") continue;
@@ -41,14 +42,14 @@
 
 }  // namespace
 
-Headers WithoutHopHeaders(const Headers& headers) {
-  const std::set<std::string> named = NamedByConnection(headers);
+Headers RemoveHopByHopHeaders(const Headers& headers) {
+  const std::set<std::string> named = ConnectionHeaderTokens(headers);
   Headers kept;
   kept.reserve(headers.size());
   for (const auto& header : headers) {
-    const bool hop =
-        std::ranges::find(kHopHeaders, header.first) != kHopHeaders.end() ||
-        named.contains(header.first);
+    const bool hop = std::ranges::find(kHopByHopHeaders, header.first) !=
+                         kHopByHopHeaders.end() ||
+                     named.contains(header.first);
     if (!hop) kept.push_back(header);
   }
   return kept;
--- a/src/dotterelshift/http/http_test.cc
+++ b/src/dotterelshift/http/http_test.cc
@@ -22,28 +22,28 @@
 
 class HttpTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HttpTest);
-  CPPUNIT_TEST(WholeAnswerAtOnce);
-  CPPUNIT_TEST(AnswerAfterTheHandlerReturned);
-  CPPUNIT_TEST(StreamArrivesPieceByPiece);
-  CPPUNIT_TEST(AbortIsSeenAsCut);
-  CPPUNIT_TEST(AbortBeforeHeadIsSeenAsCut);
+  CPPUNIT_TEST(CompleteResponseAtOnce);
+  CPPUNIT_TEST(ResponseAfterTheHandlerReturned);
+  CPPUNIT_TEST(StreamArrivesInChunks);
+  CPPUNIT_TEST(AbortTruncatesTheResponse);
+  CPPUNIT_TEST(AbortBeforeHeadFailsTheTransfer);
   CPPUNIT_TEST(RefusedConnectionIsNotSent);
   CPPUNIT_TEST(CancelReachesASuspendedExchange);
   CPPUNIT_TEST(CancelReachesAStream);
-  CPPUNIT_TEST(CancelDropsWhatThisHostStillHolds);
-  CPPUNIT_TEST(WhatIsWithdrawnIsNeverSent);
-  CPPUNIT_TEST(WhatWaitsForItsConnectionCanBeWithdrawn);
-  CPPUNIT_TEST(WhatWasSentIsNotWithdrawn);
-  CPPUNIT_TEST(PausedTransferGoesOn);
+  CPPUNIT_TEST(CancelDiscardsUnsentBytes);
+  CPPUNIT_TEST(WithdrawnTransferIsNeverSent);
+  CPPUNIT_TEST(ConnectingTransferCanBeWithdrawn);
+  CPPUNIT_TEST(SentTransferCannotBeWithdrawn);
+  CPPUNIT_TEST(PausedTransferResumes);
   CPPUNIT_TEST(TimedOutTransfer);
   CPPUNIT_TEST(ConnectionsAreReused);
-  CPPUNIT_TEST(TellsOnWhatConnectionARequestIsHandedOver);
-  CPPUNIT_TEST(WhatIsNotConnectedIsNotHandedOver);
+  CPPUNIT_TEST(HandOverReportsTheConnection);
+  CPPUNIT_TEST(UnconnectedTransferIsNotHandedOver);
   CPPUNIT_TEST(ExchangeOutlivesItsServer);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void WholeAnswerAtOnce() {
+  void CompleteResponseAtOnce() {
     Serve([](const std::shared_ptr<Exchange>& exchange) {
       const Request& request = exchange->GetRequest();
       exchange->Answer(
@@ -60,7 +60,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_server->OpenExchanges());
   }
 
-  void AnswerAfterTheHandlerReturned() {
+  void ResponseAfterTheHandlerReturned() {
     ServeKeeping();
     Send("/", "x");
     RunUntil([this] { return m_kept != nullptr; });
@@ -69,16 +69,16 @@
     CPPUNIT_ASSERT_EQUAL(std::string("late"), m_seen.body);
   }
 
-  void StreamArrivesPieceByPiece() {
+  void StreamArrivesInChunks() {
     ServeKeeping();
     Send("/", "x");
     RunUntil([this] { return m_kept != nullptr; });
     m_kept->SendHead(200, {{"Content-Type", "text/event-stream"}});
     std::string expected;
     for (int i = 0; i < 20; ++i) {
-      const std::string piece = "piece " + std::to_string(i);
-      expected += piece;
-      m_kept->SendPiece(piece);
+      const std::string chunk = "piece " + std::to_string(i);
+      expected += chunk;
+      m_kept->WriteChunk(chunk);
       RunUntil([&] { return m_seen.body == expected; });
       CPPUNIT_ASSERT(!m_seen.ended);
       CPPUNIT_ASSERT_EQUAL(size_t{0}, m_kept->Backlog());
@@ -89,23 +89,23 @@
     CPPUNIT_ASSERT(m_seen.end == TransferEnd::kWhole);
   }
 
-  void AbortIsSeenAsCut() {
+  void AbortTruncatesTheResponse() {
     ServeKeeping();
     Send("/", "x");
     RunUntil([this] { return m_kept != nullptr; });
     m_kept->SendHead(200, {});
-    m_kept->SendPiece("begin");
+    m_kept->WriteChunk("begin");
     RunUntil([this] { return m_seen.body == "begin"; });
     m_kept->Abort();
     RunUntilEnded();
     CPPUNIT_ASSERT(m_seen.end == TransferEnd::kCut);
   }
 
-  void AbortBeforeHeadIsSeenAsCut() {
+  void AbortBeforeHeadFailsTheTransfer() {
     Serve([](const std::shared_ptr<Exchange>& exchange) { exchange->Abort(); });
     Send("/", "x");
     RunUntilEnded();
-    CPPUNIT_ASSERT(m_seen.end == TransferEnd::kCutBeforeHead);
+    CPPUNIT_ASSERT(m_seen.end == TransferEnd::kFailedBeforeHead);
   }
 
   void RefusedConnectionIsNotSent() {
@@ -134,19 +134,19 @@
     Send("/", "x");
     RunUntil([this] { return m_kept != nullptr; });
     m_kept->SendHead(200, {});
-    m_kept->SendPiece("begin");
+    m_kept->WriteChunk("begin");
     RunUntil([this] { return !m_seen.body.empty(); });
     m_client->Cancel(m_transfer);
     RunUntil([this] { return m_gone > 0; });
     RunUntil([this] { return m_server->OpenExchanges() == 0; });
-    m_kept->SendPiece("nobody reads this");
+    m_kept->WriteChunk("nobody reads this");
     m_kept->Finish();
     CPPUNIT_ASSERT_EQUAL(1, m_gone);
   }
 
   // A peer that reads nothing stands for a full link: most of the request lies
   // in this host. Closed in order, it would still go out, and be run.
-  void CancelDropsWhatThisHostStillHolds() {
+  void CancelDiscardsUnsentBytes() {
     const TestListener listener(1);
     m_port = listener.Port();
     Send("/", std::string(16 << 20, 'x'));
@@ -159,7 +159,7 @@
     CPPUNIT_ASSERT(peer.ReadToEnd().reset);
   }
 
-  void WhatIsWithdrawnIsNeverSent() {
+  void WithdrawnTransferIsNeverSent() {
     ServeKeeping();
     Send("/withdrawn", "x");
     CPPUNIT_ASSERT(m_client->Withdraw(m_transfer));
@@ -171,7 +171,7 @@
     CPPUNIT_ASSERT(!m_seen.ended);
   }
 
-  void WhatWaitsForItsConnectionCanBeWithdrawn() {
+  void ConnectingTransferCanBeWithdrawn() {
     TestListener listener(0);
     listener.Fill();
     m_port = listener.Port();
@@ -183,7 +183,7 @@
     CPPUNIT_ASSERT(!m_seen.ended);
   }
 
-  void WhatWasSentIsNotWithdrawn() {
+  void SentTransferCannotBeWithdrawn() {
     ServeKeeping();
     Send("/", "x");
     RunUntil([this] { return m_kept != nullptr; });
@@ -194,7 +194,7 @@
     CPPUNIT_ASSERT(!m_client->Withdraw(m_transfer));
   }
 
-  void PausedTransferGoesOn() {
+  void PausedTransferResumes() {
     const std::string body(1 << 20, 'x');
     Serve([&body](const std::shared_ptr<Exchange>& exchange) {
       exchange->Answer(200, {}, body);
@@ -225,7 +225,7 @@
     }
   }
 
-  void TellsOnWhatConnectionARequestIsHandedOver() {
+  void HandOverReportsTheConnection() {
     Serve([](const std::shared_ptr<Exchange>& exchange) {
       exchange->Answer(200, {}, "ok");
     });
@@ -243,7 +243,7 @@
                          uint64_t{2} * m_handed_over[0].bytes);
   }
 
-  void WhatIsNotConnectedIsNotHandedOver() {
+  void UnconnectedTransferIsNotHandedOver() {
     TestListener listener(0);
     listener.Fill();
     m_port = listener.Port();
@@ -260,7 +260,7 @@
     m_server.reset();
     m_kept->Answer(200, {}, "nobody");
     RunUntilEnded();
-    CPPUNIT_ASSERT(m_seen.end == TransferEnd::kCutBeforeHead);
+    CPPUNIT_ASSERT(m_seen.end == TransferEnd::kFailedBeforeHead);
   }
 
  private:
@@ -292,8 +292,8 @@
       m_seen.status = status;
       m_seen.headers = answered;
     };
-    callbacks.on_piece = [this](std::string_view piece) {
-      m_seen.body += piece;
+    callbacks.on_chunk = [this](std::string_view chunk) {
+      m_seen.body += chunk;
       if (m_pause_each_piece) m_client->Resume(m_transfer);
       return !m_pause_each_piece;
     };
--- a/src/dotterelshift/http/listener.cc
+++ b/src/dotterelshift/http/listener.cc
@@ -14,7 +14,7 @@
 namespace {
 
 // Without descriptors to spare, connections are looked at again after this.
-constexpr Duration kAcceptAgain = 100ms;
+constexpr Duration kAcceptRetryDelay = 100ms;
 
 // Reads an IP number; throws when it is none.
 SocketAddress ParseAddress(const std::string& text) {
@@ -45,7 +45,7 @@
 }
 
 // One connection was lost; the next may be sound.
-bool IsOfOneConnection(int error) {
+bool IsTransientAcceptError(int error) {
   return error == EINTR || error == ECONNABORTED || error == EPROTO;
 }
 
@@ -58,7 +58,7 @@
       m_port(port),
       m_backlog(backlog),
       m_on_connection(std::move(on_connection)),
-      m_again(loop, [this] { m_watcher->SetEvents(EV_READ); }) {
+      m_accept_retry_timer(loop, [this] { m_watcher->SetEvents(EV_READ); }) {
   if (Open()) return;
   throw Error(ErrorKind::kBadSettings, "cannot listen on " + address + ":" +
                                            std::to_string(port) + ": " +
@@ -83,12 +83,12 @@
   }
   m_port = PortOf(m_descriptor);
   m_watcher = std::make_unique<loop::IoWatcher>(
-      m_loop, m_descriptor, EV_READ, [this](int) { TakeConnections(); });
+      m_loop, m_descriptor, EV_READ, [this](int) { AcceptConnections(); });
   return true;
 }
 
 void Listener::Close() {
-  m_again.Cancel();
+  m_accept_retry_timer.Cancel();
   m_watcher.reset();
   if (m_descriptor >= 0) ::close(m_descriptor);
   m_descriptor = -1;
@@ -96,13 +96,13 @@
 
 void Listener::Pause() {
   if (m_descriptor < 0) return;
-  TakeConnections();
+  AcceptConnections();
   Close();
 }
 
 bool Listener::Resume() { return m_descriptor >= 0 || Open(); }
 
-void Listener::TakeConnections() {
+void Listener::AcceptConnections() {
   while (m_descriptor >= 0) {
     SocketAddress peer{};
     socklen_t size = sizeof peer;
@@ -112,9 +112,9 @@
       m_on_connection(descriptor, peer);
     } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
       return;
-    } else if (!IsOfOneConnection(errno)) {
+    } else if (!IsTransientAcceptError(errno)) {
       m_watcher->SetEvents(0);
-      m_again.ArmIn(kAcceptAgain);
+      m_accept_retry_timer.ArmIn(kAcceptRetryDelay);
       return;
     }
   }
--- a/src/dotterelshift/http/listener.h
+++ b/src/dotterelshift/http/listener.h
@@ -47,7 +47,7 @@
  private:
   bool Open();
   void Close();
-  void TakeConnections();
+  void AcceptConnections();
 
   loop::Loop& m_loop;
   SocketAddress m_address;
@@ -56,7 +56,7 @@
   const OnConnection m_on_connection;
   int m_descriptor = -1;  // -1: not listening
   std::unique_ptr<loop::IoWatcher> m_watcher;
-  loop::Timer m_again;
+  loop::Timer m_accept_retry_timer;
 };
 
 }  // namespace dotterelshift::http
--- a/src/dotterelshift/http/server.cc
+++ b/src/dotterelshift/http/server.cc
@@ -26,14 +26,14 @@
 // bounds the head, and the block of an answer that is written at once. Heads
 // above the largest are refused in words; above this memory the library itself
 // refuses them.
-constexpr size_t kMemoryPerHead = 2;
+constexpr size_t kMemoryHeaderFactor = 2;
 
 // Connections above the bound that are accepted to be refused in words.
-constexpr size_t kSpareConnections = 64;
+constexpr size_t kRefusalConnections = 64;
 
 // A body past its bound is read and dropped up to this many times the bound, so
 // that its caller can read the refusal.
-constexpr size_t kDroppedBodies = 4;
+constexpr size_t kMaxDiscardedBodyFactor = 4;
 
 // The library's own state of one connection.
 struct Connection {
@@ -66,7 +66,7 @@
 }
 
 // The path stays as it was sent: what is escaped is the endpoint's to read.
-size_t KeepEscapes(void*, MHD_Connection*, char* text) {
+size_t KeepPercentEncoding(void*, MHD_Connection*, char* text) {
   return std::strlen(text);
 }
 
@@ -76,8 +76,8 @@
       : m_loop(loop),
         m_options(options),
         m_handler(std::move(handler)),
-        m_timer(loop, [this] { m_run_wanted = true; }),
-        m_receive_timer(loop, [this] { EndSlowOnes(); }),
+        m_timer(loop, [this] { m_run_requested = true; }),
+        m_receive_timer(loop, [this] { CloseSlowConnections(); }),
         m_prepare(loop, [this] { RunDaemon(); }) {
     m_listener = std::make_unique<Listener>(
         loop, m_options.address, m_options.port, m_options.listen_backlog,
@@ -89,9 +89,9 @@
     const int ready =
         MHD_get_daemon_info(m_daemon, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd;
     m_daemon_watcher = std::make_unique<loop::IoWatcher>(
-        m_loop, ready, EV_READ, [this](int) { m_run_wanted = true; });
+        m_loop, ready, EV_READ, [this](int) { m_run_requested = true; });
     m_ends_watcher = std::make_unique<loop::IoWatcher>(
-        m_loop, m_ends, EV_READ, [this](int) { TakeEnds(); });
+        m_loop, m_ends, EV_READ, [this](int) { HandleClosedCallers(); });
   }
 
   ~MhdServer() override {
@@ -118,14 +118,14 @@
   void StopAccepting() override { m_listener->Pause(); }
   bool ResumeAccepting() override { return m_listener->Resume(); }
 
-  void TurnAway(bool on) override { m_turns_away = on; }
+  void SetRejectConnections(bool on) override { m_reject_connections = on; }
 
   void CloseIdle() override {
     for (const Connection* connection : m_receiving) {
       const bool idle = connection->used && !connection->head_begun;
       if (idle) ::shutdown(connection->descriptor, SHUT_RDWR);
     }
-    WantRun();
+    RequestRun();
   }
 
  private:
@@ -139,14 +139,14 @@
     m_daemon = MHD_start_daemon(
         kFlags, 0, nullptr, nullptr, OnAccess, this,
         MHD_OPTION_CONNECTION_LIMIT,
-        static_cast<unsigned>(m_options.max_connections + kSpareConnections),
+        static_cast<unsigned>(m_options.max_connections + kRefusalConnections),
         MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-        kMemoryPerHead * m_options.max_head_bytes,
+        kMemoryHeaderFactor * m_options.max_head_bytes,
         MHD_OPTION_CONNECTION_TIMEOUT, idle_seconds + 1,
         MHD_OPTION_NOTIFY_CONNECTION, OnConnection, this,
         MHD_OPTION_NOTIFY_COMPLETED, OnCompleted, this,
         MHD_OPTION_URI_LOG_CALLBACK, OnUri, this, MHD_OPTION_UNESCAPE_CALLBACK,
-        KeepEscapes, nullptr, MHD_OPTION_SIGPIPE_HANDLED_BY_APP, 1,
+        KeepPercentEncoding, nullptr, MHD_OPTION_SIGPIPE_HANDLED_BY_APP, 1,
         MHD_OPTION_END);
     if (m_daemon == nullptr)
       throw Error(ErrorKind::kInternal, "libmicrohttpd cannot be started");
@@ -154,26 +154,26 @@
 
   // The library closes a connection that it does not take.
   void AddConnection(int descriptor, const SocketAddress& peer) {
-    if (m_turns_away) {
+    if (m_reject_connections) {
       ::close(descriptor);
-      const auto& on_turned_away = m_options.connections.on_turned_away;
-      if (on_turned_away) on_turned_away();
+      const auto& on_rejected = m_options.connections.on_rejected;
+      if (on_rejected) on_rejected();
       return;
     }
     const socklen_t size =
         peer.any.sa_family == AF_INET6 ? sizeof peer.v6 : sizeof peer.v4;
     MHD_add_connection(m_daemon, descriptor, &peer.any, size);
-    WantRun();
+    RequestRun();
   }
 
   // Has the library run before the loop waits, in this turn or the next one.
-  void WantRun() {
-    if (!std::exchange(m_run_wanted, true)) m_timer.ArmIn(0s);
+  void RequestRun() {
+    if (!std::exchange(m_run_requested, true)) m_timer.ArmIn(0s);
   }
 
   // Runs the library while it asks for it, just before the loop waits.
   void RunDaemon() {
-    if (!std::exchange(m_run_wanted, false)) return;
+    if (!std::exchange(m_run_requested, false)) return;
     MHD_run(m_daemon);
     MHD_UNSIGNED_LONG_LONG wait_ms = 0;
     if (MHD_get_timeout(m_daemon, &wait_ms) == MHD_YES) {
@@ -225,14 +225,14 @@
     StopReceiving(*connection);
     epoll_ctl(m_ends, EPOLL_CTL_DEL, connection->descriptor, nullptr);
     m_connections.erase(connection);
-    const auto& on_unused_end = m_options.connections.on_unused_end;
-    if (!connection->any_handed_over && on_unused_end) on_unused_end();
+    const auto& on_closed_unused = m_options.connections.on_closed_unused;
+    if (!connection->any_handed_over && on_closed_unused) on_closed_unused();
     delete connection;
   }
 
   // Callers that have closed their side: an exchange in flight ends at once,
   // also when the library does not read its connection.
-  void TakeEnds() {
+  void HandleClosedCallers() {
     std::array<epoll_event, 64> events;
     const int count =
         epoll_wait(m_ends, events.data(), static_cast<int>(events.size()), 0);
@@ -243,7 +243,7 @@
       const std::shared_ptr<MhdExchange> exchange = connection->exchange;
       if (exchange && !connection->receiving) exchange->CallerGone();
     }
-    m_run_wanted = true;
+    m_run_requested = true;
   }
 
   static void* OnUri(void*, const char* uri, MHD_Connection* handle) {
@@ -266,7 +266,7 @@
       const size_t taken = std::exchange(*size, 0);
       return server.OnBody(connection, std::string_view(data, taken));
     }
-    if (connection.receiving) return server.OnWhole(connection);
+    if (connection.receiving) return server.OnRequestComplete(connection);
     // What still comes of a request that was too slow is not handed over.
     if (!connection.handed_over) return MHD_NO;
     return connection.exchange->Continue();
@@ -275,8 +275,8 @@
   MHD_Result OnHead(Connection& connection, const char* method) {
     if (connection.over_limit)
       return Refuse(connection, ServerRefusal::kTooManyConnections);
-    connection.exchange =
-        std::make_shared<MhdExchange>(connection.handle, [this] { WantRun(); });
+    connection.exchange = std::make_shared<MhdExchange>(
+        connection.handle, [this] { RequestRun(); });
     ++m_open;
     Request& request = connection.exchange->MutableRequest();
     request.method = method;
@@ -309,12 +309,12 @@
       return MHD_YES;
     }
     connection.exchange->MutableRequest().body.clear();
-    const bool hopeless =
-        connection.body_bytes > m_options.max_body_bytes * kDroppedBodies;
+    const bool hopeless = connection.body_bytes >
+                          m_options.max_body_bytes * kMaxDiscardedBodyFactor;
     return hopeless ? MHD_NO : MHD_YES;
   }
 
-  MHD_Result OnWhole(Connection& connection) {
+  MHD_Result OnRequestComplete(Connection& connection) {
     StopReceiving(connection);
     if (connection.body_bytes > m_options.max_body_bytes)
       return Refuse(connection, ServerRefusal::kBodyTooLarge);
@@ -397,13 +397,13 @@
   }
 
   // All wait for the same time, so the oldest stands first.
-  void EndSlowOnes() {
+  void CloseSlowConnections() {
     const Instant now = m_loop.Now();
     while (!m_receiving.empty() &&
            m_receiving.front()->receive_deadline <= now) {
       Connection& slow = *m_receiving.front();
       StopReceiving(slow);
-      EndSlow(slow);
+      RefuseSlowConnection(slow);
     }
     if (!m_receiving.empty())
       m_receive_timer.ArmAt(m_receiving.front()->receive_deadline);
@@ -411,7 +411,7 @@
 
   // The library does not answer a request that has not arrived whole: the
   // refusal is written past it, on a connection that ends with it.
-  void EndSlow(Connection& slow) {
+  void RefuseSlowConnection(Connection& slow) {
     if (slow.head_begun && !slow.refused) {
       const auto [status, body] = RefusalOf(ServerRefusal::kSlowCaller);
       const std::string answer =
@@ -425,7 +425,7 @@
                  MSG_NOSIGNAL | MSG_DONTWAIT);
     }
     ::shutdown(slow.descriptor, SHUT_RDWR);
-    m_run_wanted = true;
+    m_run_requested = true;
   }
 
   loop::Loop& m_loop;
@@ -433,8 +433,8 @@
   const Handler m_handler;
   MHD_Daemon* m_daemon = nullptr;
   int m_ends = -1;
-  bool m_run_wanted = true;
-  bool m_turns_away = false;
+  bool m_run_requested = true;
+  bool m_reject_connections = false;
   size_t m_open = 0;
   uint64_t m_bytes_received = 0;
   std::unordered_set<Connection*> m_connections;
--- a/src/dotterelshift/http/server_bounds_test.cc
+++ b/src/dotterelshift/http/server_bounds_test.cc
@@ -58,20 +58,20 @@
 
 class ServerBoundsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ServerBoundsTest);
-  CPPUNIT_TEST(CallersPastABoundAreRefused);
-  CPPUNIT_TEST(CallerThatDripsIsEnded);
-  CPPUNIT_TEST(ConnectionsPastTheBoundAreRefusedInWords);
-  CPPUNIT_TEST(CallerThatClosesWhileItsAnswerIsDueIsSeen);
-  CPPUNIT_TEST(RequestsOneAfterAnotherOnOneConnection);
+  CPPUNIT_TEST(RequestsOverALimitAreRefused);
+  CPPUNIT_TEST(SlowCallerIsDisconnected);
+  CPPUNIT_TEST(ConnectionsOverTheLimitGetARefusalResponse);
+  CPPUNIT_TEST(CallerClosingBeforeItsResponseIsDetected);
+  CPPUNIT_TEST(SequentialRequestsOnOneConnection);
   CPPUNIT_TEST(StopAcceptingKeepsOpenExchanges);
-  CPPUNIT_TEST(TurnsCallersAwayUnreadAndComesBackOnItsPort);
-  CPPUNIT_TEST(WhoIsTurnedAwayIsClosedUnread);
+  CPPUNIT_TEST(StoppedListenerRefusesAndResumesOnItsPort);
+  CPPUNIT_TEST(RejectedConnectionIsClosedUnread);
   CPPUNIT_TEST(ReportsConnectionsUntilTheirFirstRequest);
-  CPPUNIT_TEST(CloseIdleEndsOnlyWhatWaitsForANextRequest);
+  CPPUNIT_TEST(CloseIdleClosesOnlyKeepAliveConnections);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void CallersPastABoundAreRefused() {
+  void RequestsOverALimitAreRefused() {
     Serve(16, 30ms);
     for (const Row& row : Rows()) {
       TestConnection caller(m_server->Port());
@@ -89,7 +89,7 @@
     RunUntil([this] { return m_server->OpenExchanges() == 0; });
   }
 
-  void CallerThatDripsIsEnded() {
+  void SlowCallerIsDisconnected() {
     Serve(16, 30ms);
     TestConnection caller(m_server->Port());
     caller.Send("POST /v1/x HTTP/1.1\r\nX-Long: ");
@@ -101,7 +101,7 @@
     CPPUNIT_ASSERT_EQUAL(0, m_handled);
   }
 
-  void ConnectionsPastTheBoundAreRefusedInWords() {
+  void ConnectionsOverTheLimitGetARefusalResponse() {
     Serve(2, 10s);
     m_keep = true;
     TestConnection first(m_server->Port());
@@ -123,7 +123,7 @@
     RunUntil([this] { return m_handled == 3; });
   }
 
-  void CallerThatClosesWhileItsAnswerIsDueIsSeen() {
+  void CallerClosingBeforeItsResponseIsDetected() {
     Serve(16, 10s);
     m_keep = true;
     TestConnection caller(m_server->Port());
@@ -136,7 +136,7 @@
     RunUntil([this] { return m_server->OpenExchanges() == 0; });
   }
 
-  void RequestsOneAfterAnotherOnOneConnection() {
+  void SequentialRequestsOnOneConnection() {
     Serve(16, 10s);
     TestConnection caller(m_server->Port());
     caller.Send(Head("Content-Length: 0\r\n") + Head("Content-Length: 0\r\n"));
@@ -165,7 +165,7 @@
   }
 
   // Guards against callers who wait for an entry that does not take them.
-  void TurnsCallersAwayUnreadAndComesBackOnItsPort() {
+  void StoppedListenerRefusesAndResumesOnItsPort() {
     Serve(16, 10s);
     const uint16_t port = m_server->Port();
     for (int i = 0; i < 3; ++i) {
@@ -181,15 +181,15 @@
     }
   }
 
-  void WhoIsTurnedAwayIsClosedUnread() {
+  void RejectedConnectionIsClosedUnread() {
     Serve(16, 10s);
-    m_server->TurnAway(true);
+    m_server->SetRejectConnections(true);
     TestConnection caller(m_server->Port());
     caller.Send(Head("Content-Length: 0\r\n"));
     RunUntilClosed(caller);
     CPPUNIT_ASSERT_EQUAL(std::string(), caller.Received());
-    CPPUNIT_ASSERT_EQUAL(1, m_turned_away);
-    m_server->TurnAway(false);
+    CPPUNIT_ASSERT_EQUAL(1, m_rejected);
+    m_server->SetRejectConnections(false);
     TestConnection next(m_server->Port());
     next.Send(Head("Content-Length: 0\r\n"));
     RunUntil([this] { return m_handled == 1; });
@@ -200,18 +200,18 @@
     TestConnection silent(m_server->Port());
     RunUntil([this] { return m_accepted == 1; });
     silent.Close();
-    RunUntil([this] { return m_unused_ends == 1; });
+    RunUntil([this] { return m_closed_unused == 1; });
     TestConnection caller(m_server->Port());
     caller.Send(Head("Content-Length: 0\r\n"));
     RunUntil([this] { return m_handled == 1; });
     CPPUNIT_ASSERT_EQUAL(2, m_accepted);
     caller.Close();
     RunUntil([this] { return m_server->OpenConnections() == 0; });
-    CPPUNIT_ASSERT_EQUAL(1, m_unused_ends);
+    CPPUNIT_ASSERT_EQUAL(1, m_closed_unused);
   }
 
   // A request that is under way, in either direction, is not cut.
-  void CloseIdleEndsOnlyWhatWaitsForANextRequest() {
+  void CloseIdleClosesOnlyKeepAliveConnections() {
     Serve(16, 10s);
     TestConnection idle(m_server->Port());
     idle.Send(Head("Content-Length: 0\r\n"));
@@ -256,8 +256,8 @@
   }
 
   ConnectionCallbacks Reports() {
-    return {[this] { ++m_accepted; }, [this] { ++m_turned_away; },
-            [this] { ++m_unused_ends; }};
+    return {[this] { ++m_accepted; }, [this] { ++m_rejected; },
+            [this] { ++m_closed_unused; }};
   }
 
   // The loop turns without waiting: the callers are not on it.
@@ -278,8 +278,8 @@
   int m_handled = 0;
   int m_gone = 0;
   int m_accepted = 0;
-  int m_turned_away = 0;
-  int m_unused_ends = 0;
+  int m_rejected = 0;
+  int m_closed_unused = 0;
   std::vector<std::shared_ptr<Exchange>> m_kept;
   std::unique_ptr<Server> m_server;
 };
--- a/src/dotterelshift/loop/turn_watch.cc
+++ b/src/dotterelshift/loop/turn_watch.cc
@@ -4,7 +4,8 @@
 
 namespace dotterelshift::loop {
 
-TurnWatch::TurnWatch(Loop& loop, Duration limit, Callback callback)
+IterationWatcher::IterationWatcher(Loop& loop, Duration limit,
+                                   Callback callback)
     : m_loop(loop),
       m_limit(limit),
       m_callback(std::move(callback)),
@@ -18,14 +19,16 @@
   ev_check_start(m_loop.Raw(), &m_begins);
 }
 
-TurnWatch::~TurnWatch() { ev_check_stop(m_loop.Raw(), &m_begins); }
+IterationWatcher::~IterationWatcher() {
+  ev_check_stop(m_loop.Raw(), &m_begins);
+}
 
-void TurnWatch::OnBegin(struct ev_loop*, ev_check* watcher, int) {
-  auto* self = static_cast<TurnWatch*>(watcher->data);
+void IterationWatcher::OnBegin(struct ev_loop*, ev_check* watcher, int) {
+  auto* self = static_cast<IterationWatcher*>(watcher->data);
   self->m_begin = self->m_loop.Now();
 }
 
-void TurnWatch::OnEnd() {
+void IterationWatcher::OnEnd() {
   const auto took =
       std::chrono::duration_cast<Duration>(m_loop.Now() - m_begin);
   if (took >= m_limit) m_callback(took);
--- a/src/dotterelshift/loop/turn_watch_test.cc
+++ b/src/dotterelshift/loop/turn_watch_test.cc
@@ -9,17 +9,17 @@
 
 class TurnWatchTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TurnWatchTest);
-  CPPUNIT_TEST(ALongTurnIsTold);
+  CPPUNIT_TEST(LongIterationIsReported);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // The wait for an event is no part of a turn, the work after it is.
-  void ALongTurnIsTold() {
+  void LongIterationIsReported() {
     constexpr Duration kWork = 20ms;
     Loop loop;
     std::vector<Duration> turns;
-    const TurnWatch watch(loop, kWork,
-                          [&](Duration took) { turns.push_back(took); });
+    const IterationWatcher watch(loop, kWork,
+                                 [&](Duration took) { turns.push_back(took); });
     Timer stop(loop, [&] { loop.Stop(); });
     Timer work(loop, [&] {
       const Instant end = loop.Now() + kWork;
--- a/src/dotterelshift/operators/test_mocks.h
+++ b/src/dotterelshift/operators/test_mocks.h
@@ -23,7 +23,7 @@
     body = std::move(answer_body);
   }
   void SendHead(int, const http::Headers&) override {}
-  void SendPiece(std::string_view) override {}
+  void WriteChunk(std::string_view) override {}
   void Finish() override {}
   void Abort() override {}
   size_t Backlog() const override { return 0; }
--- a/src/dotterelshift/peers/frame_buffer.cc
+++ b/src/dotterelshift/peers/frame_buffer.cc
@@ -61,6 +61,6 @@
               m_builder.GetSize());
 }
 
-void FrameWriter::AppendSignOfLife(std::string* out) { AppendLength(0, out); }
+void FrameWriter::AppendKeepAlive(std::string* out) { AppendLength(0, out); }
 
 }  // namespace dotterelshift::peers
--- a/src/dotterelshift/peers/frame_buffer.h
+++ b/src/dotterelshift/peers/frame_buffer.h
@@ -36,7 +36,7 @@
 class FrameWriter {
  public:
   void Append(const wire::FrameT& frame, std::string* out);
-  static void AppendSignOfLife(std::string* out);
+  static void AppendKeepAlive(std::string* out);
 
  private:
   flatbuffers::FlatBufferBuilder m_builder;
--- a/src/dotterelshift/peers/handshake.cc
+++ b/src/dotterelshift/peers/handshake.cc
@@ -11,7 +11,7 @@
 constexpr size_t kChallengeBytes = 32;
 constexpr size_t kProofBytes = 32;
 
-void Absorb(crypto_generichash_state* state, std::string_view text) {
+void HashText(crypto_generichash_state* state, std::string_view text) {
   const uint64_t length = text.size();
   crypto_generichash_update(
       state, reinterpret_cast<const unsigned char*>(&length), sizeof length);
@@ -19,16 +19,16 @@
       state, reinterpret_cast<const unsigned char*>(text.data()), text.size());
 }
 
-void AbsorbHello(crypto_generichash_state* state, const wire::HelloT& hello) {
-  Absorb(state, hello.fleet);
-  Absorb(state, hello.host);
-  Absorb(state, std::to_string(hello.incarnation));
-  Absorb(state, std::to_string(static_cast<int>(hello.role)));
-  Absorb(state, hello.data_centre);
-  Absorb(state, hello.address);
-  Absorb(state, hello.http_address);
-  Absorb(state, {reinterpret_cast<const char*>(hello.challenge.data()),
-                 hello.challenge.size()});
+void HashHello(crypto_generichash_state* state, const wire::HelloT& hello) {
+  HashText(state, hello.fleet);
+  HashText(state, hello.host);
+  HashText(state, std::to_string(hello.incarnation));
+  HashText(state, std::to_string(static_cast<int>(hello.role)));
+  HashText(state, hello.data_centre);
+  HashText(state, hello.address);
+  HashText(state, hello.http_address);
+  HashText(state, {reinterpret_cast<const char*>(hello.challenge.data()),
+                   hello.challenge.size()});
 }
 
 // The hash by which `prover` shows `verifier` that it knows the secret.
@@ -41,8 +41,8 @@
                      secret.size(), nullptr, 0);
   crypto_generichash_state state;
   crypto_generichash_init(&state, key.data(), key.size(), kProofBytes);
-  AbsorbHello(&state, prover);
-  AbsorbHello(&state, verifier);
+  HashHello(&state, prover);
+  HashHello(&state, verifier);
   std::vector<uint8_t> proof(kProofBytes);
   crypto_generichash_final(&state, proof.data(), proof.size());
   return proof;
@@ -65,7 +65,7 @@
   randombytes_buf(m_hello.challenge.data(), m_hello.challenge.size());
 }
 
-bool Handshake::TakeHello(const wire::HelloT& hello) {
+bool Handshake::AcceptHello(const wire::HelloT& hello) {
   if (m_has_peer) return false;
   if (hello.protocol != kProtocolVersion || hello.fleet != m_hello.fleet)
     return false;
--- a/src/dotterelshift/peers/handshake.h
+++ b/src/dotterelshift/peers/handshake.h
@@ -24,12 +24,12 @@
 
   // Takes the other side's hello. False: another protocol, another fleet, or
   // ourselves.
-  bool TakeHello(const wire::HelloT& hello);
+  bool AcceptHello(const wire::HelloT& hello);
 
-  // What answers the other side's challenge; only after TakeHello().
+  // What answers the other side's challenge; only after AcceptHello().
   wire::HelloProofT Proof() const;
 
-  // Whether the other side's proof is right; only after TakeHello().
+  // Whether the other side's proof is right; only after AcceptHello().
   bool Proves(const wire::HelloProofT& proof) const;
 
   bool HasPeer() const { return m_has_peer; }
--- a/src/dotterelshift/peers/hub.cc
+++ b/src/dotterelshift/peers/hub.cc
@@ -71,8 +71,8 @@
   size_t out_sent = 0;
   bool watching_writes = false;
   Instant opened;
-  Instant last_in;
-  Instant last_out;
+  Instant last_received;
+  Instant last_sent;
   PeerInfo peer;
   std::unique_ptr<loop::IoWatcher> watcher;
 
@@ -141,7 +141,7 @@
         m_targets, [&](const DialTarget& t) { return t.address == address; });
     if (!known)
       m_targets.push_back(
-          {address, {}, nullptr, m_options.reconnect_least, m_loop.Now()});
+          {address, {}, nullptr, m_options.min_reconnect_delay, m_loop.Now()});
   }
 
   uint16_t Port() const override { return m_port; }
@@ -151,17 +151,17 @@
   void Listen();
   void OnAcceptable();
   void OnTimer();
-  void DialDue(DialTarget& target, Instant now);
-  void CheckAge(const ConnectionPtr& connection, Instant now);
-  ConnectionPtr Adopt(int descriptor, bool dialled);
+  void DialIfDue(DialTarget& target, Instant now);
+  void CheckTimeouts(const ConnectionPtr& connection, Instant now);
+  ConnectionPtr AddConnection(int descriptor, bool dialled);
   void OnEvents(const ConnectionPtr& connection, int events);
   void OnConnected(const ConnectionPtr& connection);
   void ReadFrom(const ConnectionPtr& connection);
   bool OnFrame(const ConnectionPtr& connection, wire::FrameT frame);
   bool OnHandshakeFrame(const ConnectionPtr& connection,
                         const wire::FrameT& frame);
-  bool OnProved(const ConnectionPtr& connection);
-  bool Supersedes(const Connection& fresh, const Connection& standing) const;
+  bool OnAuthenticated(const ConnectionPtr& connection);
+  bool Supersedes(const Connection& fresh, const Connection& existing) const;
   void SendOn(Connection& connection, const wire::FrameT& frame);
   void Flush(Connection& connection);
   void FlushAll();
@@ -218,17 +218,17 @@
     const int descriptor = accept4(m_listener.Get(), nullptr, nullptr,
                                    SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (descriptor < 0) return;
-    Adopt(descriptor, false);
+    AddConnection(descriptor, false);
   }
 }
 
-ConnectionPtr TcpHub::Adopt(int descriptor, bool dialled) {
+ConnectionPtr TcpHub::AddConnection(int descriptor, bool dialled) {
   SetNoDelay(descriptor);
   auto connection =
       std::make_shared<Connection>(descriptor, dialled, m_options);
   connection->opened = m_loop.Now();
-  connection->last_in = connection->opened;
-  connection->last_out = connection->opened;
+  connection->last_received = connection->opened;
+  connection->last_sent = connection->opened;
   ++m_counters.connections;
   const std::weak_ptr<Connection> weak = connection;
   connection->watcher = std::make_unique<loop::IoWatcher>(
@@ -242,7 +242,7 @@
   return connection;
 }
 
-void TcpHub::DialDue(DialTarget& target, Instant now) {
+void TcpHub::DialIfDue(DialTarget& target, Instant now) {
   if (target.connection != nullptr && target.connection->closed) {
     target.connection.reset();
     Delay(target, now);
@@ -263,7 +263,7 @@
     Delay(target, now);
     return;
   }
-  target.connection = Adopt(descriptor, true);
+  target.connection = AddConnection(descriptor, true);
   target.connection->dial_address = target.address;
   target.connection->connecting = true;
   target.connection->watching_writes = true;
@@ -274,35 +274,35 @@
   std::uniform_real_distribution<double> jitter(0.5, 1.0);
   target.next = now + std::chrono::duration_cast<Duration>(target.delay *
                                                            jitter(m_random));
-  target.delay = std::min(target.delay * 2, m_options.reconnect_most);
+  target.delay = std::min(target.delay * 2, m_options.max_reconnect_delay);
 }
 
 void TcpHub::OnTimer() {
   const Instant now = m_loop.Now();
   for (const ConnectionPtr& connection :
        std::vector<ConnectionPtr>(m_connections))
-    CheckAge(connection, now);
+    CheckTimeouts(connection, now);
   std::erase_if(m_connections, [](const ConnectionPtr& connection) {
     return connection->closed;
   });
-  for (DialTarget& target : m_targets) DialDue(target, now);
-  m_timer.ArmIn(m_options.reconnect_least / 2);
+  for (DialTarget& target : m_targets) DialIfDue(target, now);
+  m_timer.ArmIn(m_options.min_reconnect_delay / 2);
 }
 
-void TcpHub::CheckAge(const ConnectionPtr& connection, Instant now) {
+void TcpHub::CheckTimeouts(const ConnectionPtr& connection, Instant now) {
   if (connection->closed) return;
-  const bool mute =
+  const bool handshake_timed_out =
       !connection->up && now - connection->opened > m_options.hello_timeout;
-  const bool silent =
-      connection->up && now - connection->last_in > m_options.silence_timeout;
-  if (mute || silent) {
+  const bool silent = connection->up && now - connection->last_received >
+                                            m_options.silence_timeout;
+  if (handshake_timed_out || silent) {
     Close(connection);
     return;
   }
   if (connection->up &&
-      now - connection->last_out > m_options.silence_timeout / 4) {
-    FrameWriter::AppendSignOfLife(&connection->out);
-    connection->last_out = now;
+      now - connection->last_sent > m_options.silence_timeout / 4) {
+    FrameWriter::AppendKeepAlive(&connection->out);
+    connection->last_sent = now;
   }
 }
 
@@ -332,7 +332,7 @@
     return;
   }
   m_counters.bytes_in += count;
-  connection->last_in = m_loop.Now();
+  connection->last_received = m_loop.Now();
   const std::string_view bytes(m_read_buffer.data(), count);
   const ReadResult result =
       connection->reader.Read(bytes, [&](wire::FrameT frame) {
@@ -360,7 +360,7 @@
                               const wire::FrameT& frame) {
   Handshake& handshake = connection->handshake;
   if (const wire::HelloT* hello = frame.body.AsHello()) {
-    if (!handshake.TakeHello(*hello)) return false;
+    if (!handshake.AcceptHello(*hello)) return false;
     wire::FrameT answer;
     answer.body.Set(handshake.Proof());
     SendOn(*connection, answer);
@@ -369,32 +369,32 @@
   const wire::HelloProofT* proof = frame.body.AsHelloProof();
   if (proof == nullptr || !handshake.HasPeer() || !handshake.Proves(*proof))
     return false;
-  return OnProved(connection);
+  return OnAuthenticated(connection);
 }
 
 // Of two connections between the same two hosts both sides keep the same one.
 bool TcpHub::Supersedes(const Connection& fresh,
-                        const Connection& standing) const {
-  if (fresh.peer.run.incarnation != standing.peer.run.incarnation) {
-    return fresh.peer.run.incarnation > standing.peer.run.incarnation;
+                        const Connection& existing) const {
+  if (fresh.peer.run.incarnation != existing.peer.run.incarnation) {
+    return fresh.peer.run.incarnation > existing.peer.run.incarnation;
   }
   // The same side has dialled again: it has seen the end of the standing one
   // before us.
-  if (fresh.dialled == standing.dialled) return true;
-  const bool ours_goes_first = m_options.self.run.host < fresh.peer.run.host;
-  return fresh.dialled == ours_goes_first;
+  if (fresh.dialled == existing.dialled) return true;
+  const bool prefer_own_dial = m_options.self.run.host < fresh.peer.run.host;
+  return fresh.dialled == prefer_own_dial;
 }
 
-bool TcpHub::OnProved(const ConnectionPtr& connection) {
+bool TcpHub::OnAuthenticated(const ConnectionPtr& connection) {
   connection->peer = connection->handshake.Peer();
   for (DialTarget& target : m_targets) {
     if (target.connection != connection) continue;
     target.host = connection->peer.run.host;
-    target.delay = m_options.reconnect_least;
+    target.delay = m_options.min_reconnect_delay;
   }
-  const auto standing = m_by_host.find(connection->peer.run.host);
-  if (standing != m_by_host.end()) {
-    const ConnectionPtr old = standing->second;
+  const auto existing = m_by_host.find(connection->peer.run.host);
+  if (existing != m_by_host.end()) {
+    const ConnectionPtr old = existing->second;
     if (!Supersedes(*connection, *old)) {
       Close(connection);
       return false;
@@ -428,7 +428,7 @@
     if (count <= 0) break;
     connection.out_sent += count;
     m_counters.bytes_out += count;
-    connection.last_out = m_loop.Now();
+    connection.last_sent = m_loop.Now();
   }
   if (connection.Unsent() == 0) {
     connection.out.clear();
@@ -464,10 +464,10 @@
   connection->closed = true;
   connection->watcher.reset();
   shutdown(connection->socket.Get(), SHUT_RDWR);
-  const auto standing = m_by_host.find(connection->peer.run.host);
-  if (connection->up && standing != m_by_host.end() &&
-      standing->second == connection) {
-    m_by_host.erase(standing);
+  const auto existing = m_by_host.find(connection->peer.run.host);
+  if (connection->up && existing != m_by_host.end() &&
+      existing->second == connection) {
+    m_by_host.erase(existing);
     if (m_callbacks.on_down) m_callbacks.on_down(connection->peer);
   }
 }
--- a/src/dotterelshift/peers/hub_test.cc
+++ b/src/dotterelshift/peers/hub_test.cc
@@ -93,9 +93,9 @@
 class HubTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HubTest);
   CPPUNIT_TEST(FramesArriveInOrder);
-  CPPUNIT_TEST(CrossedDialsLeaveOneConnection);
+  CPPUNIT_TEST(SimultaneousDialsLeaveOneConnection);
   CPPUNIT_TEST(NewIncarnationTakesOver);
-  CPPUNIT_TEST(BadBytesCloseTheConnectionOnly);
+  CPPUNIT_TEST(BadBytesCloseOnlyTheirConnection);
   CPPUNIT_TEST(BadHellosAreRefused);
   CPPUNIT_TEST(ReconnectsAfterALoss);
   CPPUNIT_TEST_SUITE_END();
@@ -118,7 +118,7 @@
     CPPUNIT_ASSERT(!b.hub->Send("nobody", RecallFrame(1)));
   }
 
-  void CrossedDialsLeaveOneConnection() {
+  void SimultaneousDialsLeaveOneConnection() {
     loop::Loop loop;
     TestHub a(loop, OptionsOf("a"));
     HubOptions options = OptionsOf("b");
@@ -157,7 +157,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, a.ups.size());
   }
 
-  void BadBytesCloseTheConnectionOnly() {
+  void BadBytesCloseOnlyTheirConnection() {
     loop::Loop loop;
     TestHub a(loop, OptionsOf("a"));
     struct Row {
--- a/src/dotterelshift/settings/settings.cc
+++ b/src/dotterelshift/settings/settings.cc
@@ -17,8 +17,8 @@
 constexpr std::array<std::string_view, 2> kRoles = {"entry", "control"};
 constexpr std::array<std::string_view, 3> kLevels = {"info", "warning",
                                                      "error"};
-constexpr size_t kLeastSecret = 16;
-constexpr size_t kLeastOperatorKey = 16;
+constexpr size_t kMinSecretLength = 16;
+constexpr size_t kMinOperatorKeyLength = 16;
 
 // The form of a setting that is a text.
 enum class Form { kName, kPath, kIpNumber, kLevel, kAddress };
@@ -296,8 +296,8 @@
 };
 
 // Rules that concern more than one setting.
-void CheckTogether(const Settings& settings, const YamlSource& source,
-                   const YAML::Node& root) {
+void CheckConsistency(const Settings& settings, const YamlSource& source,
+                      const YAML::Node& root) {
   if (settings.role == wire::HostRole::Control && settings.data_folder.empty())
     source.Refuse(root, "control has no data_folder", "data_folder: PATH");
   const auto& members = settings.first_members;
@@ -381,8 +381,8 @@
   return content.str();
 }
 
-[[noreturn]] void RefuseLine(const std::string& path, size_t line,
-                             const std::string& what) {
+[[noreturn]] void RefuseAtLine(const std::string& path, size_t line,
+                               const std::string& what) {
   throw Error(ErrorKind::kBadSettings,
               path + ":" + std::to_string(line) + ": " + what);
 }
@@ -399,7 +399,7 @@
   Settings settings;
   Reader reader(source, map, &settings);
   for (const Rule& rule : kRules) reader.Read(rule);
-  CheckTogether(settings, source, root);
+  CheckConsistency(settings, source, root);
   return settings;
 }
 
@@ -412,13 +412,13 @@
   std::string secret;
   std::string more;
   content >> secret;
-  if (secret.size() < kLeastSecret) {
-    RefuseLine(path, 1,
-               "the secret is too short (expected one line of at least 16 "
-               "characters)");
+  if (secret.size() < kMinSecretLength) {
+    RefuseAtLine(path, 1,
+                 "the secret is too short (expected one line of at least 16 "
+                 "characters)");
   }
   if (content >> more)
-    RefuseLine(path, 1, "more than one word (expected one line, one word)");
+    RefuseAtLine(path, 1, "more than one word (expected one line, one word)");
   return secret;
 }
 
@@ -432,19 +432,19 @@
     std::string more;
     if (!(words >> key.name) || key.name[0] == '#') continue;
     if (!(words >> key.key) || words >> more)
-      RefuseLine(path, number, "not a key line (expected NAME KEY)");
-    if (key.key.size() < kLeastOperatorKey)
-      RefuseLine(path, number,
-                 "the key is too short (expected at least 16 characters)");
+      RefuseAtLine(path, number, "not a key line (expected NAME KEY)");
+    if (key.key.size() < kMinOperatorKeyLength)
+      RefuseAtLine(path, number,
+                   "the key is too short (expected at least 16 characters)");
     for (const OperatorKey& other : keys) {
       if (other.name == key.name || other.key == key.key)
-        RefuseLine(path, number,
-                   "the name or the key stands twice (expected each once)");
+        RefuseAtLine(path, number,
+                     "the name or the key stands twice (expected each once)");
     }
     keys.push_back(std::move(key));
   }
   if (keys.empty())
-    RefuseLine(path, 1, "there is no key (expected NAME KEY lines)");
+    RefuseAtLine(path, 1, "there is no key (expected NAME KEY lines)");
   return keys;
 }
 
--- a/src/dotterelshift/settings/settings_test.cc
+++ b/src/dotterelshift/settings/settings_test.cc
@@ -86,7 +86,7 @@
   CPPUNIT_TEST_SUITE(SettingsTest);
   CPPUNIT_TEST(GoodSettingsAreRead);
   CPPUNIT_TEST(BadSettingsAreRefusedWithTheirLine);
-  CPPUNIT_TEST(RequiredSettingsMustBeThere);
+  CPPUNIT_TEST(MissingRequiredSettingsAreRefused);
   CPPUNIT_TEST(SecretsAreChecked);
   CPPUNIT_TEST(OperatorKeysAreChecked);
   CPPUNIT_TEST(TableHasEverySetting);
@@ -110,7 +110,7 @@
       AssertHolds(RefusalOf(kEntry + bad.added), bad.refusal);
   }
 
-  void RequiredSettingsMustBeThere() {
+  void MissingRequiredSettingsAreRefused() {
     AssertHolds(RefusalOf("host: a\n"), "s.yaml:1: the settings has no fleet");
     AssertHolds(RefusalOf(""), "the settings is not a map");
     std::string control = kEntry;
--- a/src/dotterelshift/storage/format.cc
+++ b/src/dotterelshift/storage/format.cc
@@ -129,7 +129,7 @@
   const bool torn = offset < content.size();
   if (torn && (tail == Tail::kWhole || HasBlockAfter(content, offset + 1)))
     ThrowDamaged(file, offset, "a block's checksum does not match");
-  result.good_bytes = offset;
+  result.valid_bytes = offset;
   return result;
 }
 
--- a/src/dotterelshift/storage/format.h
+++ b/src/dotterelshift/storage/format.h
@@ -50,7 +50,7 @@
 
 struct Blocks {
   std::vector<Block> blocks;
-  uint64_t good_bytes = 0;  // what follows is torn
+  uint64_t valid_bytes = 0;  // what follows is torn
 };
 
 // Whether a file may end in a write that a crash interrupted.
--- a/src/dotterelshift/storage/log_store_test.cc
+++ b/src/dotterelshift/storage/log_store_test.cc
@@ -28,14 +28,14 @@
 
 class LogStoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LogStoreTest);
-  CPPUNIT_TEST(WhatIsWrittenIsReadAgain);
-  CPPUNIT_TEST(SnapshotLetsSegmentsGo);
+  CPPUNIT_TEST(WrittenLogIsRestored);
+  CPPUNIT_TEST(SnapshotRemovesOldSegments);
   CPPUNIT_TEST(InstalledSnapshotReplacesTheLog);
   CPPUNIT_TEST(SpoolIsKeptUntilCleared);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void WhatIsWrittenIsReadAgain() {
+  void WrittenLogIsRestored() {
     const TemporaryFolder folder;
     ReplicaId self = 0;
     {
@@ -61,7 +61,7 @@
     CPPUNIT_ASSERT(EntryOf(7, 2).payload == opened.log.entries[6].payload);
   }
 
-  void SnapshotLetsSegmentsGo() {
+  void SnapshotRemovesOldSegments() {
     const TemporaryFolder folder;
     {
       auto [store, opened] = OpenLogStore({folder.Path(), 1024});
--- a/src/dotterelshift/storage/restore.cc
+++ b/src/dotterelshift/storage/restore.cc
@@ -70,11 +70,11 @@
 
 replication::RestoredLog LogRestorer::Finish(const std::string& folder,
                                              replication::SnapshotMeta snapshot,
-                                             bool* lost_to_snapshot) {
+                                             bool* discarded_entries) {
   replication::RestoredLog log;
   log.hard_state = m_hard_state;
   const uint64_t last = snapshot.last_index;
-  *lost_to_snapshot = false;
+  *discarded_entries = false;
   if (m_has_base && m_base_index > last) {
     ThrowDamaged(folder, 0,
                  "the entries before " + std::to_string(m_base_index + 1) +
@@ -84,7 +84,7 @@
     const uint64_t position = last - m_base_index;  // counted from 1
     const bool continues = position <= m_entries.size() &&
                            m_entries[position - 1].term == snapshot.last_term;
-    *lost_to_snapshot = !continues;
+    *discarded_entries = !continues;
     const auto end =
         continues ? m_entries.begin() + static_cast<std::ptrdiff_t>(position)
                   : m_entries.end();
--- a/src/dotterelshift/storage/restore.h
+++ b/src/dotterelshift/storage/restore.h
@@ -23,12 +23,12 @@
   uint64_t LargestIndex() const { return m_largest_index; }
   uint64_t NextSequence() const { return m_next_sequence; }
 
-  // The log on top of a snapshot. `lost_to_snapshot` becomes true when the
+  // The log on top of a snapshot. `discarded_entries` becomes true when the
   // entries do not reach the snapshot and are dropped: its installation was cut
   // short, and the next write must say that the log begins anew.
   replication::RestoredLog Finish(const std::string& folder,
                                   replication::SnapshotMeta snapshot,
-                                  bool* lost_to_snapshot);
+                                  bool* discarded_entries);
 
  private:
   void Apply(const std::string& file, const Block& block);
--- a/src/dotterelshift/storage/store_faults_test.cc
+++ b/src/dotterelshift/storage/store_faults_test.cc
@@ -20,8 +20,8 @@
 struct Fault {
   Operation operation = Operation::kAppend;
   int error = 0;
-  int after = 0;         // this many of the operation succeed first
-  bool for_good = true;  // every later one fails too
+  int after = 0;           // this many of the operation succeed first
+  bool persistent = true;  // every later one fails too
 };
 
 // The real files with one fault. A failing append leaves half of its bytes.
@@ -60,7 +60,7 @@
     if (m_fault->error == 0 || operation != m_fault->operation) return 0;
     if (m_fault->after-- > 0) return 0;
     const int error = m_fault->error;
-    if (!m_fault->for_good) m_fault->error = 0;
+    if (!m_fault->persistent) m_fault->error = 0;
     return error;
   }
   Fault* m_fault;
@@ -120,8 +120,8 @@
   const char* file;  // prefix of its name
   bool last;         // of several
   void (*change)(std::string&);
-  uint64_t entries;       // found; when no error
-  const char* complaint;  // part of the error; null: none
+  uint64_t entries;        // found; when no error
+  const char* error_text;  // part of the error; null: none
 };
 
 constexpr uint64_t kEntries = 10;
@@ -169,10 +169,10 @@
   CPPUNIT_TEST(DamagedSnapshotIsRefused);
   CPPUNIT_TEST(FailingOperations);
   CPPUNIT_TEST(NothingIsAcceptedAfterAFailedSync);
-  CPPUNIT_TEST(WrittenAgainOnceThereIsRoom);
+  CPPUNIT_TEST(WritesResumeOnceSpaceIsAvailable);
   CPPUNIT_TEST(SecondProcessIsRefused);
   CPPUNIT_TEST(WipedFolderIsANewReplica);
-  CPPUNIT_TEST(CrashAtAnyOperationLosesNothingSynced);
+  CPPUNIT_TEST(CrashAtAnyOperationLosesNoSyncedData);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -182,26 +182,26 @@
       Fill(folder.Path(), kEntries, 0);
       const std::string path = FileOf(folder.Path(), row.file, row.last);
       Edit(path, row.change);
-      std::string complaint;
+      std::string error_text;
       size_t entries = 0;
       try {
         entries = OpenLogStore({folder.Path()}).second.log.entries.size();
       } catch (const Error& error) {
         CPPUNIT_ASSERT_MESSAGE(row.name,
                                error.Kind() == ErrorKind::kStorageDamaged);
-        complaint = error.what();
+        error_text = error.what();
       }
-      if (row.complaint == nullptr) {
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, std::string(), complaint);
+      if (row.error_text == nullptr) {
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, std::string(), error_text);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, size_t{row.entries}, entries);
         continue;
       }
       CPPUNIT_ASSERT_MESSAGE(
-          row.name + (": " + complaint),
-          complaint.find(row.complaint) != std::string::npos);
-      CPPUNIT_ASSERT_MESSAGE(row.name,
-                             complaint.find(path) != std::string::npos &&
-                                 complaint.find("offset") != std::string::npos);
+          row.name + (": " + error_text),
+          error_text.find(row.error_text) != std::string::npos);
+      CPPUNIT_ASSERT_MESSAGE(
+          row.name, error_text.find(path) != std::string::npos &&
+                        error_text.find("offset") != std::string::npos);
     }
   }
 
@@ -301,9 +301,9 @@
     for (const Case& row : cases) {
       const TemporaryFolder fresh;
       Fault fault = row.fault;
-      Store<FaultyFiles> unborn(FaultyFiles(&fault), {fresh.Path()});
+      Store<FaultyFiles> incomplete(FaultyFiles(&fault), {fresh.Path()});
       CPPUNIT_ASSERT_MESSAGE(row.name,
-                             KindOf([&] { unborn.Open(); }) == row.opening);
+                             KindOf([&] { incomplete.Open(); }) == row.opening);
       const TemporaryFolder folder;
       Fault later;
       Store<FaultyFiles> store(FaultyFiles(&later), {folder.Path()});
@@ -335,7 +335,7 @@
       CPPUNIT_ASSERT(KindOf(action) == ErrorKind::kStorageFailed);
   }
 
-  void WrittenAgainOnceThereIsRoom() {
+  void WritesResumeOnceSpaceIsAvailable() {
     const TemporaryFolder folder;
     {
       Fault fault;
@@ -372,7 +372,7 @@
 
   // Everything fails from the n-th operation of a kind on, for each n until
   // nothing fails any more; the folder must then open with all that was synced.
-  void CrashAtAnyOperationLosesNothingSynced() {
+  void CrashAtAnyOperationLosesNoSyncedData() {
     int crashes = 0;
     for (const Operation operation :
          {Operation::kOpen, Operation::kAppend, Operation::kSync,
--- a/src/dotterelshift/storage/store_open.h
+++ b/src/dotterelshift/storage/store_open.h
@@ -30,11 +30,11 @@
     ReadSnapshot(listing, &meta, &opened.snapshot);
     ReadSegments(listing, &restorer);
   }
-  bool lost_to_snapshot = false;
-  opened.log = restorer.Finish(m_options.folder, meta, &lost_to_snapshot);
+  bool discarded_entries = false;
+  opened.log = restorer.Finish(m_options.folder, meta, &discarded_entries);
   opened.log.self = m_self;
   m_hard_state = opened.log.hard_state;
-  if (lost_to_snapshot)
+  if (discarded_entries)
     m_reset = std::make_unique<replication::SnapshotMeta>(opened.log.snapshot);
   ReadSpool(&opened.spool);
   return opened;
@@ -145,9 +145,9 @@
     const bool last = name == listing.segments.back();
     const std::string content = ReadFile(path);
     // The last segment may be one whose first write was cut short.
-    const bool unborn =
+    const bool incomplete =
         last && m_segments.size() > 0 && content.size() < kFileHeaderBytes;
-    if (unborn) {
+    if (incomplete) {
       Check(m_files.Remove(path), path);
       continue;
     }
@@ -155,7 +155,7 @@
     const Blocks blocks =
         ReadBlocks(path, content, last ? Tail::kMayBeTorn : Tail::kWhole);
     restorer->Add(path, blocks);
-    m_segments.push_back({path, blocks.good_bytes, restorer->LargestIndex()});
+    m_segments.push_back({path, blocks.valid_bytes, restorer->LargestIndex()});
   }
   m_next_block = std::max<uint64_t>(1, restorer->NextSequence());
   OpenFileAt(m_segments.back().path, &m_segment);
@@ -181,7 +181,7 @@
     records->emplace_back(block.payload);
     m_next_spool_block = block.sequence + 1;
   }
-  m_spool.bytes = blocks.good_bytes;
+  m_spool.bytes = blocks.valid_bytes;
   Check(m_files.Truncate(m_spool.descriptor, m_spool.bytes), path);
 }
 
--- a/src/dotterelshift/telemetry/bounded_output.cc
+++ b/src/dotterelshift/telemetry/bounded_output.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // A pipe that is writable takes this many bytes without blocking (PIPE_BUF).
-constexpr size_t kSafeWrite = 4096;
+constexpr size_t kMaxNonBlockingWrite = 4096;
 
 }  // namespace
 
@@ -29,16 +29,17 @@
 }
 
 int BoundedOutput::sync() {
-  if (m_held.size() + m_line.size() > m_max_held)
+  if (m_buffered.size() + m_line.size() > m_max_buffered)
     ++m_dropped;
   else
-    m_held += m_line;
+    m_buffered += m_line;
   m_line.clear();
-  while (!m_held.empty() && CanWrite()) {
-    const ssize_t written = ::write(m_descriptor, m_held.data(),
-                                    std::min(m_held.size(), kSafeWrite));
+  while (!m_buffered.empty() && CanWrite()) {
+    const ssize_t written =
+        ::write(m_descriptor, m_buffered.data(),
+                std::min(m_buffered.size(), kMaxNonBlockingWrite));
     if (written <= 0) break;
-    m_held.erase(0, static_cast<size_t>(written));
+    m_buffered.erase(0, static_cast<size_t>(written));
   }
   return 0;
 }
--- a/src/dotterelshift/telemetry/bounded_output.h
+++ b/src/dotterelshift/telemetry/bounded_output.h
@@ -11,8 +11,8 @@
 // it does not take is held up to a bound, and lines past that are dropped.
 class BoundedOutput : public std::streambuf {
  public:
-  explicit BoundedOutput(int descriptor, size_t max_held_bytes = 64 << 10)
-      : m_descriptor(descriptor), m_max_held(max_held_bytes) {}
+  explicit BoundedOutput(int descriptor, size_t max_buffered_bytes = 64 << 10)
+      : m_descriptor(descriptor), m_max_buffered(max_buffered_bytes) {}
 
   // Lines that were dropped so far.
   uint64_t Dropped() const { return m_dropped; }
@@ -27,9 +27,9 @@
   bool CanWrite() const;
 
   const int m_descriptor;
-  const size_t m_max_held;
-  std::string m_line;  // being put together
-  std::string m_held;  // whole lines that were not taken yet
+  const size_t m_max_buffered;
+  std::string m_line;      // being put together
+  std::string m_buffered;  // whole lines that were not taken yet
   uint64_t m_dropped = 0;
 };
 
--- a/src/dotterelshift/telemetry/log.cc
+++ b/src/dotterelshift/telemetry/log.cc
@@ -57,7 +57,7 @@
   return std::string(text.data(), size) + fraction.data();
 }
 
-nlohmann::ordered_json HeadOf(LogLevel level, std::string_view event) {
+nlohmann::ordered_json MakeLogLine(LogLevel level, std::string_view event) {
   nlohmann::ordered_json line;
   line["time"] = UtcNow();
   line["level"] = NameOf(level);
@@ -85,22 +85,23 @@
   bool Take(std::chrono::steady_clock::time_point now) {
     const std::chrono::duration<double> passed = now - m_since;
     m_since = now;
-    m_left = std::min(kMostAtOnce, m_left + passed.count() * kLinesPerSecond);
-    if (m_left < 1) {
+    m_available =
+        std::min(kBurst, m_available + passed.count() * kLinesPerSecond);
+    if (m_available < 1) {
       ++m_dropped;
       return false;
     }
-    m_left -= 1;
+    m_available -= 1;
     return true;
   }
-  uint64_t TakeDropped() { return std::exchange(m_dropped, 0); }
+  uint64_t ExchangeDropped() { return std::exchange(m_dropped, 0); }
 
  private:
   // A line costs about 10 microseconds: 0.2 in 100 of a core at the most.
   static constexpr double kLinesPerSecond = 200;
-  static constexpr double kMostAtOnce = 400;
+  static constexpr double kBurst = 400;
   std::chrono::steady_clock::time_point m_since{};
-  double m_left = kMostAtOnce;
+  double m_available = kBurst;
   uint64_t m_dropped = 0;
 };
 
@@ -129,7 +130,7 @@
 void Log(LogLevel level, std::string_view event,
          std::initializer_list<LogField> fields) {
   if (!Setup().sink || level < Setup().least) return;
-  nlohmann::ordered_json line = HeadOf(level, event);
+  nlohmann::ordered_json line = MakeLogLine(level, event);
   for (const LogField& field : fields)
     line[std::string(field.name)] = field.value;
   Write(level, TextOf(line));
@@ -141,10 +142,10 @@
   static auto* const rate = new LineRate;
   if (!Setup().sink || Setup().least > LogLevel::kInfo) return;
   if (!rate->Take(std::chrono::steady_clock::now())) return;
-  nlohmann::ordered_json line = HeadOf(LogLevel::kInfo, event);
+  nlohmann::ordered_json line = MakeLogLine(LogLevel::kInfo, event);
   line["request"] = request;
   for (const auto& [name, value] : inputs) line[std::string(name)] = value;
-  if (const uint64_t dropped = rate->TakeDropped(); dropped > 0)
+  if (const uint64_t dropped = rate->ExchangeDropped(); dropped > 0)
     line["lines_dropped"] = dropped;
   Write(LogLevel::kInfo, TextOf(line));
 }
--- a/src/dotterelshift/telemetry/log_test.cc
+++ b/src/dotterelshift/telemetry/log_test.cc
@@ -12,9 +12,9 @@
 
 class LogTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LogTest);
-  CPPUNIT_TEST(ALineIsOneJsonObject);
+  CPPUNIT_TEST(LogLineIsOneJsonObject);
   CPPUNIT_TEST(BadBytesDoNotThrow);
-  CPPUNIT_TEST(LinesBelowTheLevelAreLeftOut);
+  CPPUNIT_TEST(LinesBelowTheLevelAreDropped);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -22,7 +22,7 @@
   void tearDown() override { m_log.reset(); }
 
  private:
-  void ALineIsOneJsonObject() {
+  void LogLineIsOneJsonObject() {
     Log(LogLevel::kError, "leader changed", {{"leader", "a \"b\"\nc"}});
     const std::string text = m_log->Text();
     const auto line = nlohmann::json::parse(text);
@@ -41,7 +41,7 @@
     CPPUNIT_ASSERT(nlohmann::json::accept(m_log->Text()));
   }
 
-  void LinesBelowTheLevelAreLeftOut() {
+  void LinesBelowTheLevelAreDropped() {
     Log(LogLevel::kInfo, "quiet");
     CPPUNIT_ASSERT(m_log->Text().empty());
   }
--- a/src/dotterelshift/telemetry/team_series.cc
+++ b/src/dotterelshift/telemetry/team_series.cc
@@ -6,20 +6,20 @@
 namespace {
 
 // Requests after which the busiest teams are judged anew.
-constexpr uint64_t kRound = 4096;
+constexpr uint64_t kRequestsPerRound = 4096;
 
 // An unnamed team takes a named one's place when it is this much busier, so
 // that two alike do not change places each round.
-constexpr uint64_t kMuchBusier = 2;
+constexpr uint64_t kPromotionFactor = 2;
 
 // Unnamed teams that are counted, for each named one.
-constexpr size_t kCountedPerNamed = 4;
+constexpr size_t kTrackedPerNamed = 4;
 
-constexpr auto kByRecent = [](const auto& a, const auto& b) {
+constexpr auto kLessRecent = [](const auto& a, const auto& b) {
   return a.second.recent < b.second.recent;
 };
 
-constexpr auto kByCount = [](const auto& a, const auto& b) {
+constexpr auto kLessCount = [](const auto& a, const auto& b) {
   return a.second < b.second;
 };
 
@@ -47,17 +47,17 @@
   const bool named = &series != &m_others;
   RequestsOf(series, named ? summary.team : std::string(kOther), summary.error)
       .Increment();
-  if (!named) CountUnnamed(summary.team);
-  if (++m_in_round >= kRound) EndRound();
+  if (!named) CountUnlabelled(summary.team);
+  if (++m_requests_in_round >= kRequestsPerRound) RebalanceLabels();
 }
 
 TeamSeries::Series& TeamSeries::SeriesOf(const TeamId& team) {
-  const auto found = m_named.find(team);
-  if (found != m_named.end()) return found->second;
+  const auto found = m_labelled.find(team);
+  if (found != m_labelled.end()) return found->second;
   // A team may bear the label's name, or none when its key is not known.
-  if (m_named.size() >= m_max_teams || team.empty() || team == kOther)
+  if (m_labelled.size() >= m_max_teams || team.empty() || team == kOther)
     return m_others;
-  return m_named.emplace(team, MakeSeries(team)).first->second;
+  return m_labelled.emplace(team, MakeSeries(team)).first->second;
 }
 
 TeamSeries::Series TeamSeries::MakeSeries(const std::string& label) {
@@ -82,49 +82,50 @@
 
 // Counts the busiest of the unnamed in bounded memory (space saving): a new one
 // takes the place, and the count, of the least.
-void TeamSeries::CountUnnamed(const TeamId& team) {
+void TeamSeries::CountUnlabelled(const TeamId& team) {
   if (team.empty() || team == kOther) return;
-  const auto found = m_unnamed.find(team);
-  if (found != m_unnamed.end()) {
+  const auto found = m_unlabelled.find(team);
+  if (found != m_unlabelled.end()) {
     ++found->second;
     return;
   }
   uint64_t count = 1;
-  if (m_unnamed.size() >= m_max_teams * kCountedPerNamed) {
-    if (m_unnamed.empty()) return;
-    const auto least = std::ranges::min_element(m_unnamed, kByCount);
+  if (m_unlabelled.size() >= m_max_teams * kTrackedPerNamed) {
+    if (m_unlabelled.empty()) return;
+    const auto least = std::ranges::min_element(m_unlabelled, kLessCount);
     count += least->second;
-    m_unnamed.erase(least);
+    m_unlabelled.erase(least);
   }
-  m_unnamed.emplace(team, count);
+  m_unlabelled.emplace(team, count);
 }
 
-void TeamSeries::EndRound() {
-  m_in_round = 0;
+void TeamSeries::RebalanceLabels() {
+  m_requests_in_round = 0;
   Promote();
-  for (auto& [team, series] : m_named) series.recent /= 2;
-  for (auto& [team, count] : m_unnamed) count /= 2;
-  std::erase_if(m_unnamed, [](const auto& team) { return team.second == 0; });
+  for (auto& [team, series] : m_labelled) series.recent /= 2;
+  for (auto& [team, count] : m_unlabelled) count /= 2;
+  std::erase_if(m_unlabelled,
+                [](const auto& team) { return team.second == 0; });
 }
 
 void TeamSeries::Promote() {
-  while (!m_unnamed.empty() && !m_named.empty()) {
-    const auto busiest = std::ranges::max_element(m_unnamed, kByCount);
-    const auto quietest = std::ranges::min_element(m_named, kByRecent);
+  while (!m_unlabelled.empty() && !m_labelled.empty()) {
+    const auto busiest = std::ranges::max_element(m_unlabelled, kLessCount);
+    const auto quietest = std::ranges::min_element(m_labelled, kLessRecent);
     const uint64_t count = busiest->second;
-    if (count <= quietest->second.recent * kMuchBusier) return;
+    if (count <= quietest->second.recent * kPromotionFactor) return;
     const TeamId promoted = busiest->first;
-    Fold(quietest->first);
-    m_unnamed.erase(promoted);
-    m_named.emplace(promoted, MakeSeries(promoted)).first->second.recent =
+    MergeAndRemove(quietest->first);
+    m_unlabelled.erase(promoted);
+    m_labelled.emplace(promoted, MakeSeries(promoted)).first->second.recent =
         count;
   }
 }
 
-void TeamSeries::Fold(const TeamId& team) {
-  auto node = m_named.extract(team);
+void TeamSeries::MergeAndRemove(const TeamId& team) {
+  auto node = m_labelled.extract(team);
   Series& series = node.mapped();
-  m_times.Fold(series.times, m_others.times);
+  m_times.MergeAndRemove(series.times, m_others.times);
   m_others.tokens->Increment(series.tokens->Value());
   m_tokens.Remove(series.tokens);
   for (const auto& [error, counter] : series.requests) {
--- a/src/dotterelshift/telemetry/team_series.h
+++ b/src/dotterelshift/telemetry/team_series.h
@@ -32,19 +32,20 @@
   Series MakeSeries(const std::string& label);
   prometheus::Counter& RequestsOf(Series& series, const std::string& label,
                                   ErrorKind error);
-  void CountUnnamed(const TeamId& team);
-  void EndRound();
+  void CountUnlabelled(const TeamId& team);
+  void RebalanceLabels();
   void Promote();
-  void Fold(const TeamId& team);
+  void MergeAndRemove(const TeamId& team);
 
   TimeFamilies& m_times;
   prometheus::Family<prometheus::Counter>& m_requests;
   prometheus::Family<prometheus::Counter>& m_tokens;
   size_t m_max_teams;
-  uint64_t m_in_round = 0;
+  uint64_t m_requests_in_round = 0;
   Series m_others;
-  std::unordered_map<TeamId, Series> m_named;
-  std::unordered_map<TeamId, uint64_t> m_unnamed;  // recent requests; bounded
+  std::unordered_map<TeamId, Series> m_labelled;
+  std::unordered_map<TeamId, uint64_t>
+      m_unlabelled;  // recent requests; bounded
 };
 
 }  // namespace dotterelshift::telemetry
--- a/src/dotterelshift/telemetry/time_series.cc
+++ b/src/dotterelshift/telemetry/time_series.cc
@@ -13,7 +13,8 @@
   return prometheus::BuildHistogram().Name(name).Help(help).Register(registry);
 }
 
-void FoldOne(Family<Histogram>& family, Histogram* from, Histogram* heir) {
+void MergeAndRemoveHistogram(Family<Histogram>& family, Histogram* from,
+                             Histogram* target) {
   const auto counted = from->Collect().histogram;
   std::vector<double> increments;
   uint64_t below = 0;
@@ -21,7 +22,7 @@
     increments.push_back(static_cast<double>(bucket.cumulative_count - below));
     below = bucket.cumulative_count;
   }
-  heir->ObserveMultiple(increments, counted.sample_sum);
+  target->ObserveMultiple(increments, counted.sample_sum);
   family.Remove(from);
 }
 
@@ -60,10 +61,11 @@
           &m_whole_answer.Add(labels, TimeBuckets())};
 }
 
-void TimeFamilies::Fold(const Times& times, const Times& heir) {
-  FoldOne(m_queue_wait, times.queue_wait, heir.queue_wait);
-  FoldOne(m_first_token, times.first_token, heir.first_token);
-  FoldOne(m_whole_answer, times.whole_answer, heir.whole_answer);
+void TimeFamilies::MergeAndRemove(const Times& times, const Times& target) {
+  MergeAndRemoveHistogram(m_queue_wait, times.queue_wait, target.queue_wait);
+  MergeAndRemoveHistogram(m_first_token, times.first_token, target.first_token);
+  MergeAndRemoveHistogram(m_whole_answer, times.whole_answer,
+                          target.whole_answer);
 }
 
 }  // namespace dotterelshift::telemetry
--- a/src/dotterelshift/telemetry/time_series.h
+++ b/src/dotterelshift/telemetry/time_series.h
@@ -50,7 +50,7 @@
   explicit TimeFamilies(prometheus::Registry& registry);
   Times Add(const prometheus::Labels& labels);
   // Ends the series of a label value; what they counted is added to `heir`.
-  void Fold(const Times& times, const Times& heir);
+  void MergeAndRemove(const Times& times, const Times& target);
 
  private:
   prometheus::Family<prometheus::Histogram>& m_queue_wait;
--- a/tests/ctl_process_test.cc
+++ b/tests/ctl_process_test.cc
@@ -118,7 +118,7 @@
   void ABrokenAnswerIsNotTakenForOne() {
     FakeDaemon daemon(m_loop, [](http::Exchange& exchange) {
       exchange.SendHead(200, {});
-      exchange.SendPiece("{\"plan\": \"p1\"");
+      exchange.WriteChunk("{\"plan\": \"p1\"");
       exchange.Abort();
     });
     const auto process = Start({"confirm", "p1"}, daemon.Address());
--- a/tests/process/control_group_test.cc
+++ b/tests/process/control_group_test.cc
@@ -171,7 +171,7 @@
                                  const std::string& plan) {
     http::TransferCallbacks callbacks;
     callbacks.on_head = [](int, const http::Headers&) {};
-    callbacks.on_piece = [](std::string_view) { return true; };
+    callbacks.on_chunk = [](std::string_view) { return true; };
     callbacks.on_end = [](http::TransferEnd) {};
     fleet.GetClient().Start(
         {.method = "POST",
--- a/tests/process/fleet.cc
+++ b/tests/process/fleet.cc
@@ -134,7 +134,7 @@
     answer.status = status;
     answer.headers = got;
   };
-  callbacks.on_piece = [&](std::string_view piece) {
+  callbacks.on_chunk = [&](std::string_view piece) {
     answer.body.append(piece);
     return true;
   };
--- a/tests/process/serving_process_test.cc
+++ b/tests/process/serving_process_test.cc
@@ -286,7 +286,7 @@
     callbacks.on_head = [&call](int status, const http::Headers&) {
       call.status = status;
     };
-    callbacks.on_piece = [&call](std::string_view piece) {
+    callbacks.on_chunk = [&call](std::string_view piece) {
       call.body.append(piece);
       return true;
     };
--- a/tests/process/slow_link.cc
+++ b/tests/process/slow_link.cc
@@ -40,7 +40,7 @@
   bool reads = false;     // what comes from it is taken
   bool read_end = false;  // it has closed its side
   bool was_reset = false;
-  size_t on_its_way = 0;  // from it, not at the other end yet
+  size_t in_transit = 0;  // from it, not at the other end yet
   std::string out;        // to it, not taken by the kernel yet
   bool out_end = false;   // after that the other side has closed
 };
@@ -171,7 +171,7 @@
       End& end = connection.ends.at(i);
       if (!end.watcher) continue;
       const bool reads =
-          end.reads && !end.read_end && end.on_its_way < m_options.window;
+          end.reads && !end.read_end && end.in_transit < m_options.window;
       const bool writes = !end.out.empty() || (i == 1 && connection.connecting);
       end.watcher->SetEvents((reads ? EV_READ : 0) | (writes ? EV_WRITE : 0));
     }
@@ -216,7 +216,7 @@
   void Read(const std::shared_ptr<Connection>& connection, size_t index) {
     End& end = connection->ends.at(index);
     std::string bytes(m_options.packet_bytes, '\0');
-    while (end.on_its_way < m_options.window) {
+    while (end.in_transit < m_options.window) {
       const ssize_t count =
           ::recv(end.descriptor, bytes.data(), bytes.size(), 0);
       if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
@@ -226,7 +226,7 @@
         return Push({Kind::kEnd, connection, 1 - index, {}});
       }
       const auto size = static_cast<size_t>(count);
-      end.on_its_way += size;
+      end.in_transit += size;
       Push({Kind::kBytes, connection, 1 - index, bytes.substr(0, size)});
     }
   }
@@ -251,7 +251,7 @@
       }
       if (count > 0) {
         end.out.erase(0, static_cast<size_t>(count));
-        connection->ends.at(1 - index).on_its_way -= static_cast<size_t>(count);
+        connection->ends.at(1 - index).in_transit -= static_cast<size_t>(count);
       }
     }
     if (end.out.empty() && end.out_end) {
--- a/tests/process/slow_link_test.cc
+++ b/tests/process/slow_link_test.cc
@@ -114,7 +114,7 @@
     Transfer transfer;
     Start(door, 10, transfer);
     RunUntil(m_loop, "the end", [&] { return transfer.ended; });
-    CPPUNIT_ASSERT(transfer.end == http::TransferEnd::kCutBeforeHead);
+    CPPUNIT_ASSERT(transfer.end == http::TransferEnd::kFailedBeforeHead);
   }
 
   // The consent stands behind what others send the same way.
@@ -131,7 +131,7 @@
     Transfer transfer;
     Start(out, 10, transfer);
     RunUntil(m_loop, "the end", [&] { return transfer.ended; });
-    CPPUNIT_ASSERT(transfer.end == http::TransferEnd::kCutBeforeHead);
+    CPPUNIT_ASSERT(transfer.end == http::TransferEnd::kFailedBeforeHead);
     RunUntil(m_loop, "the filler", [&] { return !m_exchanges.empty(); });
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_exchanges.size());
     CPPUNIT_ASSERT_EQUAL(kBody, m_exchanges[0]->GetRequest().body.size());
@@ -165,7 +165,7 @@
     request.url = "http://" + door + "/";
     request.body.assign(body, 'x');
     http::TransferCallbacks callbacks;
-    callbacks.on_piece = [&transfer](std::string_view piece) {
+    callbacks.on_chunk = [&transfer](std::string_view piece) {
       transfer.body += piece;
       return true;
     };
--- a/tests/scenarios/engine.cc
+++ b/tests/scenarios/engine.cc
@@ -74,7 +74,7 @@
   m_records->OnConsumed(stream.request, tokens);
   m_network->Send(m_record.id, connection.entry,
                   [this, connection, tokens, request = stream.request] {
-                    m_events.on_piece(connection, request, {.tokens = tokens});
+                    m_events.on_chunk(connection, request, {.tokens = tokens});
                   });
   m_network->After(fault.between_pieces, [this, connection, serial] {
     WriteNext(connection, serial);
@@ -90,7 +90,7 @@
     usage.usage_output = stream.written;
     m_network->Send(m_record.id, connection.entry,
                     [this, connection, usage, request = stream.request] {
-                      m_events.on_piece(connection, request, usage);
+                      m_events.on_chunk(connection, request, usage);
                     });
   }
   End(connection, serving::AttemptEnd::kWhole);
--- a/tests/scenarios/engine.h
+++ b/tests/scenarios/engine.h
@@ -25,7 +25,7 @@
 struct EngineEvents {
   std::function<void(const Connection&, int status)> on_head;
   std::function<void(const Connection&, RequestId from, const serving::Chunk&)>
-      on_piece;
+      on_chunk;
   std::function<void(const Connection&, serving::AttemptEnd)> on_end;
 };
 
--- a/tests/scenarios/world.cc
+++ b/tests/scenarios/world.cc
@@ -121,7 +121,7 @@
   events.on_head = [this](const Connection& connection, int status) {
     FindEntry(connection.entry)->OnHead(connection, status);
   };
-  events.on_piece = [this](const Connection& connection, RequestId from,
+  events.on_chunk = [this](const Connection& connection, RequestId from,
                            const serving::Chunk& piece) {
     FindEntry(connection.entry)->OnChunk(connection, from, piece);
   };
--- a/tests/support/run_until.h
+++ b/tests/support/run_until.h
@@ -21,10 +21,11 @@
                      const std::function<bool()>& reached) {
   const Instant start = loop.Now();
   // Some conditions ask another process, whose change wakes nothing here.
-  constexpr Duration kAskAgain = 20ms;
+  constexpr Duration kRetryInterval = 20ms;
   std::unique_ptr<loop::Timer> wake;
-  wake = std::make_unique<loop::Timer>(loop, [&] { wake->ArmIn(kAskAgain); });
-  wake->ArmIn(kAskAgain);
+  wake =
+      std::make_unique<loop::Timer>(loop, [&] { wake->ArmIn(kRetryInterval); });
+  wake->ArmIn(kRetryInterval);
   while (!reached()) {
     if (loop.Now() - start >= kHangGuard) CPPUNIT_FAIL("never came: " + what);
     ev_run(loop.Raw(), EVRUN_ONCE);
--- a/tools/fake_endpoint/main.cc
+++ b/tools/fake_endpoint/main.cc
@@ -193,7 +193,7 @@
   }
 
   static void SendEvent(http::Exchange& exchange, const json& event) {
-    exchange.SendPiece("data: " + event.dump() + "\n\n");
+    exchange.WriteChunk("data: " + event.dump() + "\n\n");
   }
 
   static void WriteToken(Served& served) {
@@ -241,7 +241,7 @@
       usage["usage"] = Usage(served);
       SendEvent(*exchange, usage);
     }
-    exchange->SendPiece("data: [DONE]\n\n");
+    exchange->WriteChunk("data: [DONE]\n\n");
     exchange->Finish();
     End(number, "whole");
   }
