--- a/include/dotterelshift/callers/caller_request.h
+++ b/include/dotterelshift/callers/caller_request.h
@@ -17,32 +17,39 @@
 
 enum class RequestKind { kChat, kCompletion, kService };
 
-// A caller's request after its checks, in the form that the cores and the
-// endpoints' side need.
+// A validated caller request, in the form used by the request cores and by the
+// code that talks to endpoints.
 struct CallerRequest {
   RequestKind kind = RequestKind::kChat;
-  state::KeyHash key_hash{};  // of the bearer key
-  std::string claimed_team;   // header Dotterelshift-Team, or empty
-  std::string
-      budget;  // header Dotterelshift-Budget, or empty: the team's first
-  std::string target;  // model, or name of the plain service
+  state::KeyHash key_hash{};  // hash of the bearer key
+  // From the header Dotterelshift-Team; empty if absent.
+  std::string claimed_team;
+  // From the header Dotterelshift-Budget; empty selects the team's first
+  // budget.
+  std::string budget;
+  std::string target;  // name of the model or of the plain service
   std::string method = "POST";
-  std::string path;  // towards the endpoint
+  std::string path;  // sent to the endpoint
   std::string content_type;
-  std::string body;  // towards the endpoint: with the output limit, and asking
-                     // for the usage
+  // Sent to the endpoint. For a model call it contains the output limit, and a
+  // stream also requests the usage.
+  std::string body;
   bool stream = false;
-  bool wants_usage = false;     // the caller itself asked for the usage piece
-  Tokens prompt_bound = 0;      // no tokenizer makes more tokens of the prompt
-  Tokens output_limit = 0;      // sent along and enforced
-  std::string idempotency_key;  // empty: none
+  // Whether the caller itself requested the usage event of a stream.
+  bool wants_usage = false;
+  // Upper bound of the prompt's tokens, whatever the tokenizer.
+  Tokens prompt_bound = 0;
+  // Output limit of a model call, sent to the endpoint and enforced by the
+  // entry. For a plain service, its charge.
+  Tokens output_limit = 0;
+  std::string idempotency_key;  // empty if absent
   bool idempotent = true;
-  int priority = 0;        // -10 (first) to 10 (last)
-  Duration deadline = 0s;  // from arrival
-  uint64_t content_hash =
-      0;  // of kind, target and body: what quarantine and claims compare
-  std::vector<uint64_t>
-      prefix_hashes;  // of the prompt's leading blocks, shortest first
+  int priority = 0;        // -10 (most urgent) to 10 (least urgent)
+  Duration deadline = 0s;  // measured from arrival
+  // Hash of kind, target, path and body. Quarantine and claims compare it.
+  uint64_t content_hash = 0;
+  // Hashes of the prompt's leading blocks, shortest prefix first.
+  std::vector<uint64_t> prefix_hashes;
 };
 
 struct CallerLimits {
@@ -50,7 +57,7 @@
   Tokens max_output_limit = 32768;
   Duration default_deadline = 60s;
   Duration max_deadline = 600s;
-  Tokens service_charge = 1;  // tokens a call of a plain service costs
+  Tokens service_charge = 1;  // cost of one call of a plain service, in tokens
   size_t prefix_block_bytes = 256;
   size_t max_prefix_blocks = 64;
 };
@@ -60,7 +67,8 @@
   std::string detail;
 };
 
-// Checks and translates a request of /v1/...; never throws for bad input.
+// Validates a request for a path below /v1/ and converts it to the form sent to
+// endpoints. Invalid input yields a Refusal; nothing is thrown.
 std::variant<CallerRequest, Refusal> ParseCallerRequest(
     const http::Request& request, const CallerLimits& limits,
     const std::string& fleet_secret);
--- a/include/dotterelshift/callers/front.h
+++ b/include/dotterelshift/callers/front.h
@@ -15,41 +15,42 @@
 namespace dotterelshift::callers {
 
 struct FrontEvents {
-  // `request` may be moved from.
+  // A valid request has arrived. The callback may move from `request`.
   std::function<void(RequestId, CallerRequest request)> on_request;
-  // A request refused by its own checks; it has been answered already.
+  // A request failed validation. The error response has already been sent.
   std::function<void(RequestId, const Refusal&)> on_refused;
+  // The caller disconnected before its response was complete.
   std::function<void(RequestId)> on_gone;
-  // The caller has taken what was handed over: the endpoint may go on.
+  // The caller has read its backlog, so a paused endpoint may resume.
   std::function<void(RequestId)> on_drained;
 };
 
 struct FrontOptions {
   CallerLimits limits;
   std::string fleet_secret;
-  size_t pause_above_bytes =
-      256
-      << 10;  // backlog of one slow reader above which its endpoint is paused
+  // A caller's unread backlog above which its endpoint is paused.
+  size_t pause_above_bytes = 256 << 10;
 };
 
-// The callers' side of an entry: parses requests, writes heads, pieces, ends
-// and errors. Errors are JSON:
+// The caller-facing side of an entry: parses requests and writes response
+// heads, chunks, end markers and errors. Errors are JSON:
 //   {"error": {"kind", "message", "detail", "ran": "no|yes|unknown", "retry":
 //   "never|later|now", "request_id"}}
-// with the table's status, Retry-After, and the headers Dotterelshift-Ran and
-// Dotterelshift-Request-Id. After pieces have gone out the error is a last
-// event of the stream, without the end mark.
+// with the status and Retry-After of the error table, and the headers
+// Dotterelshift-Ran and Dotterelshift-Request-Id. Once the head of a stream has
+// been sent, the error is the last event of the stream, and no end marker
+// follows.
 class Front {
  public:
   virtual ~Front() = default;
-  // Takes over an exchange whose path begins with /v1/.
+  // Handles an exchange whose path begins with /v1/.
   virtual void Accept(std::shared_ptr<http::Exchange> exchange) = 0;
   virtual void SendHead(RequestId request, int status,
                         std::string_view content_type) = 0;
-  // False when the caller's backlog is above the bound: pause the endpoint
-  // until on_drained.
+  // Returns false if the caller's backlog exceeds pause_above_bytes: the
+  // endpoint must then be paused until on_drained.
   virtual bool WriteChunk(RequestId request, std::string_view bytes) = 0;
-  // Writes the end mark (for a stream) and ends the answer.
+  // Completes the response; a stream gets its end marker first.
   virtual void Finish(RequestId request) = 0;
   virtual void Fail(RequestId request, ErrorKind kind, std::string_view detail,
                     int retry_after_seconds) = 0;
@@ -59,16 +60,18 @@
 std::unique_ptr<Front> MakeFront(const FrontOptions& options,
                                  FrontEvents events);
 
-// The JSON body of an error, as all of the daemon's HTTP interfaces use it.
+// The JSON error body that all HTTP interfaces of the daemon use.
 std::string ErrorBody(ErrorKind kind, std::string_view detail,
                       std::string_view request_id = {});
 
-// Answers an exchange with an error by its row of the table.
+// Responds with the status, headers and body that the error table defines for
+// `kind`. Retry-After, if sent, is the larger of the table's value and
+// `retry_after_seconds`.
 void AnswerError(http::Exchange& exchange, ErrorKind kind,
                  std::string_view detail, int retry_after_seconds = 0);
 
-// The status and the JSON body of what the callers' server refuses by itself:
-// for ServerOptions::refusal.
+// Status and JSON body for requests that the HTTP server itself refuses; used
+// as ServerOptions::refusal.
 std::pair<int, std::string> RefusalAnswer(http::ServerRefusal refusal);
 
 }  // namespace dotterelshift::callers
--- a/src/dotterelshift/callers/caller_request.cc
+++ b/src/dotterelshift/callers/caller_request.cc
@@ -18,24 +18,27 @@
 
 constexpr size_t kMaxKeyBytes = 512;
 constexpr size_t kMaxNameBytes = 128;
-// Keys that entries make for requests without one begin with it.
+// First character of the keys that entries generate for requests without one;
+// callers may not use it.
 constexpr char kEntryMadeKeyMark = '~';
 constexpr size_t kMaxIdempotencyKeyBytes = 255;
 constexpr int kMostUrgent = -10;
 constexpr int kLeastUrgent = 10;
 
-// What a chat template may add around each message, and once around all.
+// Upper bounds of the tokens that a chat template adds once per prompt and once
+// per message.
 constexpr Tokens kTemplateTokens = 64;
 constexpr Tokens kTemplateTokensPerMessage = 16;
 
-// The most that an engine makes of one part that is not text.
+// Upper bound of the tokens that an engine makes of one content item that is
+// not text.
 constexpr Tokens kTokensPerMediaPart = 16384;
 
 constexpr std::string_view kServicePrefix = "/v1/services/";
 constexpr std::array<std::string_view, 6> kServiceMethods = {
     "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"};
 
-// Leaves a check at its first fault; caught in this file only.
+// Thrown at the first invalid field; caught in ParseCallerRequest.
 struct Fault {
   Refusal refusal;
 };
@@ -48,7 +51,7 @@
   return std::ranges::all_of(text, [](char c) { return c > ' ' && c <= '~'; });
 }
 
-// A whole number in a header; refuses anything else, and what is out of bounds.
+// Parses a header as an integer; refuses anything else and values out of range.
 int64_t NumberIn(std::string_view text, std::string_view header, int64_t least,
                  int64_t most) {
   int64_t number = 0;
@@ -117,7 +120,7 @@
   }
 }
 
-// The value of an optional field of a type; null counts as absent.
+// An optional field, or nullptr if it is absent or null.
 const json* FieldOf(const json& body, const char* name) {
   const auto found = body.find(name);
   return found == body.end() || found->is_null() ? nullptr : &*found;
@@ -131,12 +134,12 @@
   return field->get<bool>();
 }
 
-// One of the two names of the output limit; 0 when it is absent.
+// Reads the output limit from the field `name`; 0 if the field is absent.
 Tokens LimitOf(const json& body, const char* name, const CallerLimits& limits) {
   const json* field = FieldOf(body, name);
   if (field == nullptr) return 0;
   const bool whole = field->is_number_integer();
-  // A number past the signed range reads as unsigned.
+  // The JSON parser stores a number above the signed range as unsigned.
   const bool huge =
       field->is_number_unsigned() &&
       field->get<uint64_t>() > static_cast<uint64_t>(limits.max_output_limit);
@@ -149,7 +152,8 @@
   return field->get<Tokens>();
 }
 
-// Reads the output limit, and writes the one in force back for the endpoint.
+// Determines the output limit (the smaller one if both fields are given) and
+// writes it into the body for the endpoint.
 Tokens SetOutputLimit(json& body, const CallerLimits& limits) {
   const Tokens older = LimitOf(body, "max_tokens", limits);
   const Tokens newer = LimitOf(body, "max_completion_tokens", limits);
@@ -164,7 +168,8 @@
   return limit;
 }
 
-// More than one answer to a prompt would multiply the worst case.
+// Refuses several completions of one prompt: they would multiply the worst-case
+// cost.
 void CheckSingleAnswer(const json& body) {
   for (const char* name : {"n", "best_of"}) {
     const json* field = FieldOf(body, name);
@@ -173,7 +178,8 @@
   }
 }
 
-// Adds a message's text to the prompt; returns the bound of what is not text.
+// Appends a message's text to the prompt. Returns an upper bound of the tokens
+// of the content items that are not text.
 Tokens AddContent(const json& content, std::string* prompt) {
   if (content.is_null()) return 0;
   if (content.is_string()) {
@@ -284,8 +290,8 @@
   parsed.path = request.path;
   parsed.content_type = "application/json";
   parsed.body = body.dump();
-  // A token stands for at least one byte, of whatever part of the body the
-  // engine puts into the prompt.
+  // Each token represents at least one byte, so the body's size bounds the
+  // tokens of any fields that the engine puts into the prompt.
   parsed.prompt_bound = static_cast<Tokens>(parsed.body.size()) + extra;
 }
 
--- a/src/dotterelshift/callers/caller_request_test.cc
+++ b/src/dotterelshift/callers/caller_request_test.cc
@@ -43,7 +43,7 @@
   return kGood.substr(0, kGood.size() - 1) + "," + field + "}";
 }
 
-// A request that is at fault, and the kind it is refused with.
+// An invalid request and the error kind that it is refused with.
 struct Row {
   std::string name;
   ErrorKind kind;
@@ -282,7 +282,8 @@
       return MustParse(MakeRequest(kChatPath, body, more)).content_hash;
     };
     const uint64_t first = hash(kGood, {});
-    // Neither the key it comes with nor the layout of the JSON makes another.
+    // The idempotency key and the whitespace of the JSON do not affect the
+    // hash.
     CPPUNIT_ASSERT_EQUAL(first, hash(kGood, {{"idempotency-key", "k"}}));
     CPPUNIT_ASSERT_EQUAL(first, hash(" " + kGood + "\n", {}));
     CPPUNIT_ASSERT(first != hash(WithField("\"temperature\":1"), {}));
--- a/src/dotterelshift/callers/front.cc
+++ b/src/dotterelshift/callers/front.cc
@@ -53,8 +53,8 @@
   return ErrorKind::kSlowCaller;
 }
 
-// An answer is a stream when its head says so; any other is kept until its end
-// is certain, so that its length and its status are true.
+// A response is streamed if its content type is text/event-stream. Any other is
+// buffered until it is complete, so that its status and length are correct.
 struct OpenRequest {
   std::shared_ptr<http::Exchange> exchange;
   bool streaming = false;
@@ -190,7 +190,8 @@
   error["retry"] = NameOf(row.retry);
   if (!request_id.empty()) error["request_id"] = request_id;
   const nlohmann::ordered_json body = {{"error", std::move(error)}};
-  // A detail may quote what a caller or an endpoint sent.
+  // A detail may quote bytes from a caller or an endpoint that are not valid
+  // UTF-8; these are replaced.
   return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
--- a/src/dotterelshift/callers/front_test.cc
+++ b/src/dotterelshift/callers/front_test.cc
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-// Records an answer, and plays the caller.
+// Records the response and simulates the caller.
 class RecordingExchange : public http::Exchange {
  public:
   explicit RecordingExchange(const std::string& body) {
@@ -147,7 +147,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("data: {}\n\ndata: [DONE]\n\n"),
                          m_exchange->bytes);
     CPPUNIT_ASSERT(m_exchange->finished);
-    // What still comes for it goes nowhere.
+    // Later calls for a finished request have no effect.
     m_front->WriteChunk(request, "late");
     m_front->Fail(request, ErrorKind::kStreamCut, "", 0);
     CPPUNIT_ASSERT(m_exchange->bytes.ends_with("[DONE]\n\n"));
@@ -223,7 +223,7 @@
                                  exchange.HeaderOf("Content-Type"));
     CPPUNIT_ASSERT_MESSAGE(name, exchange.finished && exchange.heads == 1);
     json body = json::parse(exchange.bytes);
-    // A refusal by the parser words its own detail.
+    // The request parser sets its own detail, so it is not compared.
     if (row.kind == ErrorKind::kBadJson) body["error"]["detail"] = "why";
     CheckBody(row, body);
   }
--- a/src/dotterelshift/callers/prompt.cc
+++ b/src/dotterelshift/callers/prompt.cc
@@ -5,8 +5,9 @@
 namespace dotterelshift::callers {
 namespace {
 
-// Length of the sequence that begins with a byte, 0 for none; and the bounds of
-// its second byte, which tell overlong forms and surrogates.
+// Length of the UTF-8 sequence that a lead byte starts (0 for an invalid lead
+// byte), and the valid range of the second byte. The range excludes overlong
+// forms, surrogates and code points above U+10FFFF.
 struct Lead {
   size_t length = 0;
   uint8_t least = 0x80;
--- a/src/dotterelshift/callers/prompt.h
+++ b/src/dotterelshift/callers/prompt.h
@@ -7,13 +7,14 @@
 
 namespace dotterelshift::callers {
 
-// Whether the bytes are UTF-8 by RFC 3629: no overlong forms, no surrogates,
-// nothing past U+10FFFF.
+// Whether the bytes are valid UTF-8 (RFC 3629): no overlong forms, no
+// surrogates, nothing above U+10FFFF.
 bool IsUtf8(std::string_view bytes);
 
-// Hashes of the leading whole blocks of a prompt, shortest prefix first. Each
-// is XXH64 of its block, seeded by the one before; the first by the model's
-// name, so that the same text under two models differs.
+// Hashes of the leading full blocks of a prompt, shortest prefix first. Each is
+// the XXH64 of its block, seeded with the previous hash. The first is seeded
+// with the hash of the model's name, so that the same text hashes differently
+// for different models.
 std::vector<uint64_t> PrefixHashes(std::string_view model,
                                    std::string_view text, size_t block_bytes,
                                    size_t max_blocks);
--- a/src/dotterelshift/callers/relay_test.cc
+++ b/src/dotterelshift/callers/relay_test.cc
@@ -18,17 +18,17 @@
 constexpr size_t kPauseAbove = 64 << 10;
 constexpr size_t kPieceBytes = 16 << 10;
 
-// Far more than the kernel holds between an endpoint and a caller.
+// Far more than the kernel buffers between an endpoint and a caller.
 constexpr size_t kStreamBytes = 24 << 20;
 
-// The protocol's own end of an answer sent in chunks.
+// End of a response in HTTP chunked transfer encoding.
 constexpr std::string_view kChunksEnd = "\r\n0\r\n\r\n";
 
 const std::string kRequest =
     R"({"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]})";
 
-// The callers' side and the endpoints' side joined as an entry joins them, with
-// nothing decided between: what the one reports goes straight to the other.
+// Connects a Front and an AttemptRunner as an entry does, but without the
+// request core: each one's events are passed directly to the other.
 class RelayTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RelayTest);
   CPPUNIT_TEST(StreamPassesWhole);
@@ -74,7 +74,8 @@
     size_t produced = 0;
     const std::string piece =
         "data: {\"text\":\"" + std::string(kPieceBytes, 'x') + "\"}\n\n";
-    // Writes when its last piece has been taken, so that it holds one at most.
+    // Writes the next chunk once the previous one has been sent, so that the
+    // endpoint buffers at most one.
     m_endpoint = [&](Exchange& exchange) {
       exchange.SendHead(200, {{"Content-Type", "text/event-stream"}});
       exchange.OnDrained([&] {
@@ -92,7 +93,7 @@
     RunUntil([this] { return m_paused; });
     for (int i = 0; i < 2000; ++i) {
       ev_run(m_loop.Raw(), EVRUN_NOWAIT);
-      // One read of the endpoint's socket may pass the bound.
+      // One read from the endpoint's socket may exceed the limit.
       CPPUNIT_ASSERT(m_exchange->Backlog() <= kPauseAbove + 2 * piece.size());
     }
     CPPUNIT_ASSERT(produced < kStreamBytes);
