--- a/include/dotterelshift/endpoints/announcement.h
+++ b/include/dotterelshift/endpoints/announcement.h
@@ -11,21 +11,21 @@
 
 namespace dotterelshift::endpoints {
 
-// What an endpoint says of itself: also its heartbeat, its load report, and the
-// carrier of its cache events.
+// The state that an endpoint reports about itself. It also serves as the
+// endpoint's heartbeat and load report, and carries its cache events.
 struct Announcement {
   wire::EndpointRecordT record;
   std::vector<wire::CacheEventT> cache_events;
 };
 
-// Reads the JSON body of POST /endpoint/v1/announce:
+// Parses the JSON body of POST /endpoint/v1/announce:
 //   {"id", "incarnation", "sequence", "address": "IP:port", "data_centre",
 //   "role"?, "draining"?, "checks_fencing"?,
 //    "models"?: [{"model", "version"?, "adapters"?}], "services"?: [..],
 //    "slots"?, "running"?, "waiting"?, "tokens_per_second"?, "cache_events"?:
 //    [{"sequence", "prefix_hash", "stored"}]}
-// Refuses unknown types, missing fields and addresses that are not IP:port with
-// a detail for the endpoint's operator.
+// Refuses fields of the wrong type, missing required fields and addresses that
+// are not IP:port, with a detail for the endpoint's operator.
 std::variant<Announcement, callers::Refusal> ParseAnnouncement(
     std::string_view json);
 
--- a/include/dotterelshift/endpoints/attempt_runner.h
+++ b/include/dotterelshift/endpoints/attempt_runner.h
@@ -13,13 +13,14 @@
 
 namespace dotterelshift::endpoints {
 
-// What the runner reports of an attempt, on the loop's thread; nothing after
-// Cancel().
+// Progress of an attempt, reported on the event loop's thread. Nothing is
+// reported after Cancel().
 struct AttemptEvents {
   std::function<void(AttemptId, int status, std::string_view content_type)>
       on_head;
-  // One piece whole by the protocol (for a stream: events without the end mark,
-  // which is withheld). Returns false to pause the endpoint, until Resume().
+  // A chunk of complete protocol units: for a stream, complete events without
+  // the end marker; otherwise the complete body. Return false to pause the
+  // endpoint until Resume().
   std::function<bool(AttemptId, const serving::Chunk&, std::string_view bytes)>
       on_chunk;
   std::function<void(AttemptId, serving::AttemptEnd)> on_end;
@@ -27,12 +28,13 @@
 
 struct AttemptRunnerOptions {
   Duration connect_timeout = 1s;
-  size_t max_whole_answer_bytes = 16
-                                  << 20;  // of an answer that is not streamed
+  // Limit for a response that is not streamed.
+  size_t max_whole_answer_bytes = 16 << 20;
 };
 
-// Carries attempts to endpoints over HTTP: sends the request, reads server-sent
-// events or a whole body, counts tokens, finds the usage and the end mark.
+// Runs attempts on endpoints over HTTP: sends the request, reads server-sent
+// events or a complete body, counts tokens, and detects the usage and the end
+// marker.
 class AttemptRunner {
  public:
   virtual ~AttemptRunner() = default;
--- a/include/dotterelshift/endpoints/order_sender.h
+++ b/include/dotterelshift/endpoints/order_sender.h
@@ -10,9 +10,9 @@
 namespace dotterelshift::endpoints {
 
 // Sends one order: POST /endpoint/v1/orders {"id", "fencing", "kind", "model",
-// "version", "argument"}. The engine answers 200 when it has carried it out,
-// 409 when it knows a higher fencing number. The callback comes once: Done,
-// Refused, or Lost when nobody can tell.
+// "version", "argument"}. The engine responds with 200 once it has executed the
+// order, and with 409 if it knows a higher fencing number. The callback is
+// called once: with Done, Refused, or Lost if the outcome is unknown.
 void SendOrder(
     http::Client& client, const std::string& address, const wire::OrderT& order,
     Duration timeout,
--- a/src/dotterelshift/endpoints/announcement.cc
+++ b/src/dotterelshift/endpoints/announcement.cc
@@ -21,7 +21,7 @@
 constexpr size_t kMaxListed = 256;
 constexpr size_t kMaxCacheEvents = 4096;
 
-// Leaves the reading at its first fault; caught in this file only.
+// Thrown at the first invalid field; caught in ParseAnnouncement.
 struct Fault {
   Refusal refusal;
 };
@@ -97,7 +97,7 @@
   return fault == std::errc() && stop == end && port > 0;
 }
 
-// IP:port, an IPv6 number in brackets.
+// Whether the text is IP:port, with an IPv6 address in brackets.
 bool IsAddress(std::string_view text) {
   const size_t colon = text.rfind(':');
   if (colon == std::string::npos) return false;
--- a/src/dotterelshift/endpoints/announcement_test.cc
+++ b/src/dotterelshift/endpoints/announcement_test.cc
@@ -24,7 +24,8 @@
                       "stored": true}]})");
 }
 
-// A change to a good announcement that makes it bad, and the field named.
+// A change that makes a valid announcement invalid, and the field that the
+// error must name.
 struct Row {
   std::string path;
   json value;
--- a/src/dotterelshift/endpoints/attempt_runner.cc
+++ b/src/dotterelshift/endpoints/attempt_runner.cc
@@ -17,7 +17,7 @@
 
 constexpr std::string_view kEventStream = "text/event-stream";
 
-// One event of a stream may be this large; engines send far smaller ones.
+// Maximum size of one event in a stream. Engines send far smaller ones.
 constexpr size_t kMaxEventBytes = 1 << 20;
 
 std::string_view HeaderOf(const http::Headers& headers, std::string_view name) {
@@ -26,7 +26,7 @@
   return found == headers.end() ? std::string_view() : found->second;
 }
 
-// What the head of an answer makes of its body.
+// How a response's body is handled, as determined by its head.
 enum class BodyKind { kNone, kStream, kWhole, kCallerError, kRefused, kFailed };
 
 struct Attempt {
@@ -95,7 +95,8 @@
     sent.connect_timeout = m_options.connect_timeout;
     sent.total_timeout = std::max<Duration>(time_left, 1ms);
     http::TransferCallbacks callbacks;
-    // Each holds the attempt, which its own report may end.
+    // Each callback shares ownership of the attempt, because an event that it
+    // reports may end the attempt.
     callbacks.on_head = [this, id, attempt](int status,
                                             const http::Headers& headers) {
       OnHead(id, *attempt, status, headers);
@@ -123,7 +124,8 @@
   size_t Open() const override { return m_attempts.size(); }
 
  private:
-  // A transfer may outlast its attempt, and the number be used again.
+  // A transfer may outlive its attempt, and the attempt's ID may be reused;
+  // hence the comparison of the objects.
   bool IsOpen(AttemptId id, const Attempt& attempt) const {
     const auto found = m_attempts.find(id);
     return found != m_attempts.end() && found->second.get() == &attempt;
@@ -166,7 +168,7 @@
     if (state == EventStream::State::kBroken) {
       Give(id, attempt, AttemptEnd::kDied);
     } else if (state == EventStream::State::kEnded) {
-      // The transfer goes on to its own end, so that its connection is kept.
+      // The transfer runs to its own end, so that the connection can be reused.
       m_attempts.erase(id);
       m_events.on_end(id, AttemptEnd::kWhole);
       return true;
@@ -204,12 +206,13 @@
         break;
     }
     if (attempt.body == BodyKind::kCallerError) return AttemptEnd::kCallerError;
-    // A stream that reaches its transfer's end has not shown its end mark.
+    // A stream that is still open at the end of its transfer had no end marker.
     return attempt.body == BodyKind::kWhole ? AttemptEnd::kWhole
                                             : AttemptEnd::kDied;
   }
 
-  // Counts a whole answer; false when it is not what the protocol promises.
+  // Determines the tokens and usage of a complete response. Returns false if
+  // the response of a model call is not a JSON object.
   static bool ReadWhole(const Attempt& attempt, Chunk* piece) {
     if (attempt.body == BodyKind::kCallerError) return true;
     if (attempt.kind == RequestKind::kService) {
@@ -221,7 +224,7 @@
     return true;
   }
 
-  // Ends an attempt before its transfer has ended.
+  // Ends an attempt and cancels its transfer.
   void Give(AttemptId id, const Attempt& attempt, AttemptEnd end) {
     m_client.Cancel(attempt.transfer);
     Close(id, end);
--- a/src/dotterelshift/endpoints/attempt_runner_test.cc
+++ b/src/dotterelshift/endpoints/attempt_runner_test.cc
@@ -16,7 +16,7 @@
 using http::Exchange;
 using serving::AttemptEnd;
 
-// What the runner reported of one attempt.
+// The events that the runner reported for one attempt.
 struct Report {
   int heads = 0;
   int status = 0;
@@ -38,7 +38,7 @@
     "\"completion_tokens\":3}}\n\n";
 const std::string kDone = "data: [DONE]\n\n";
 
-// One behaviour of an endpoint, and what the runner has to make of it.
+// An endpoint's behaviour and the result that the runner must report.
 struct Row {
   std::string name;
   bool stream;
--- a/src/dotterelshift/endpoints/event_stream.cc
+++ b/src/dotterelshift/endpoints/event_stream.cc
@@ -15,8 +15,8 @@
 constexpr std::string_view kEndMark = "[DONE]";
 constexpr size_t kBytesPerToken = 4;
 
-// Fields whose text an engine generated. An event with text in any of them
-// holds at least one token.
+// Fields that contain generated text. An event with text in any of them is
+// counted as one token.
 constexpr std::array<std::string_view, 5> kTextFields = {
     "content", "text", "reasoning_content", "reasoning", "arguments"};
 
@@ -30,14 +30,14 @@
   return std::ranges::find(kTextFields, name) != kTextFields.end();
 }
 
-// What a look at an event's JSON tells without reading it.
+// Result of scanning an event's JSON without parsing it.
 struct Glance {
-  bool has_text = false;   // a text field that is not empty
-  bool has_usage = false;  // a usage that is not null
+  bool has_text = false;   // contains a non-empty text field
+  bool has_usage = false;  // contains a usage other than null
 };
 
-// Looks at each name before a colon. A quote inside a JSON string is escaped,
-// so what looks like a name there ends in a backslash and is none of ours.
+// Checks each name before a colon. Quotes inside a JSON string are escaped, so
+// text there that resembles a field name ends in a backslash and never matches.
 Glance GlanceAt(std::string_view data) {
   Glance glance;
   for (size_t colon = data.find(':'); colon != std::string_view::npos;
@@ -89,7 +89,7 @@
   if (m_state != State::kOpen) return m_state;
   size_t used = 0;
   if (m_rest.empty()) {
-    // The usual case: whole events, handed over where they lie.
+    // The usual case: complete events are passed on without copying.
     TakeEvents(bytes, sink, &used);
     m_rest.assign(bytes.substr(used));
   } else {
@@ -105,7 +105,7 @@
 
 void EventStream::TakeEvents(std::string_view bytes, const Sink& sink,
                              size_t* used) {
-  size_t run = 0;  // where the events not yet handed over begin
+  size_t run = 0;  // start of the events not yet passed to `sink`
   size_t at = 0;
   serving::Chunk piece;
   const auto hand_over = [&](size_t end) {
@@ -156,7 +156,7 @@
   }
   const Glance glance = GlanceAt(data);
   if (glance.has_text) ++piece->tokens;
-  // Most events hold no usage; only the others are parsed.
+  // Only events with a usage are parsed; most have none.
   if (!glance.has_usage) return true;
   if (!ReadUsage(data, piece)) {
     m_state = State::kBroken;
--- a/src/dotterelshift/endpoints/event_stream.h
+++ b/src/dotterelshift/endpoints/event_stream.h
@@ -10,43 +10,46 @@
 
 namespace dotterelshift::endpoints {
 
-// Splits the bytes of an engine's server-sent events into whole events, counts
-// their tokens and finds the usage and the end mark.
+// Splits an engine's server-sent event stream into complete events, counts
+// their tokens, and detects the usage and the end marker.
 class EventStream {
  public:
   enum class State { kOpen, kEnded, kBroken };
 
-  // `bytes` are whole events, and live until the call returns.
+  // `bytes` holds complete events and is valid only during the call.
   using Sink = std::function<void(const serving::Chunk&, std::string_view)>;
 
-  // Without `forward_usage` the event that holds nothing but the usage is not
-  // part of the bytes.
+  // Without `forward_usage`, an event that contains only the usage is removed
+  // from the forwarded bytes.
   EventStream(bool forward_usage, size_t max_event_bytes)
       : m_forward_usage(forward_usage), m_max_event_bytes(max_event_bytes) {}
 
-  // Hands the whole events over in as few pieces as possible, the end mark
-  // never. Broken: a line that is no part of the protocol, an event past its
-  // bound, or an error that the engine reports; nothing is handed over after.
+  // Passes complete events to `sink` in as few chunks as possible, without the
+  // end marker. The stream is broken by a line that is not valid in the
+  // protocol, an incomplete event larger than max_event_bytes, or an error
+  // reported by the engine. Once it has ended or is broken, later bytes are
+  // ignored.
   State Add(std::string_view bytes, const Sink& sink);
 
  private:
   void TakeEvents(std::string_view bytes, const Sink& sink, size_t* used);
-  // Reads one event into the piece; false when the event is not for the caller.
+  // Adds one event's tokens and usage to `piece`. Returns false if the event is
+  // not forwarded to the caller.
   bool ReadEvent(std::string_view event, serving::Chunk* piece);
   bool ReadData(std::string_view data, serving::Chunk* piece);
 
   bool m_forward_usage;
   size_t m_max_event_bytes;
   State m_state = State::kOpen;
-  std::string m_rest;  // of an event that is not whole yet
+  std::string m_rest;  // start of an event that is still incomplete
 };
 
-// Reads a usage object of an engine's JSON answer into the piece. False when
-// the text is no JSON object.
+// Copies the usage of an engine's JSON response, if it has one, to `piece`.
+// Returns false if the text is not a JSON object.
 bool ReadUsage(std::string_view json, serving::Chunk* piece);
 
-// The entry's own count of the tokens in a whole answer without usage: a
-// quarter of the bytes of its texts, rounded up.
+// Estimates the tokens of a complete response that reports no usage: a quarter
+// of the bytes of its generated text, rounded up.
 Tokens EstimateTokens(std::string_view json);
 
 }  // namespace dotterelshift::endpoints
--- a/src/dotterelshift/endpoints/fake_endpoint_test.cc
+++ b/src/dotterelshift/endpoints/fake_endpoint_test.cc
@@ -20,16 +20,16 @@
 using nlohmann::json;
 using serving::AttemptEnd;
 
-// How a fake is started, what it is asked for, and what has to come of it.
+// How the fake endpoint is started, the request, and the expected result.
 struct Row {
   std::string name;
   std::vector<std::string> options;
   bool stream;
   int limit;
   AttemptEnd end;
-  Tokens tokens;       // the entry's own count
-  Tokens usage;        // the fake's report
-  std::string served;  // the fake's own record; empty: none
+  Tokens tokens;       // counted by the entry
+  Tokens usage;        // reported by the fake
+  std::string served;  // outcome recorded by the fake; empty if none
 };
 
 std::vector<Row> Rows() {
@@ -76,7 +76,8 @@
   };
 }
 
-// The contract of an endpoint, held by the fake as a process of its own.
+// Checks that the fake endpoint, run as a separate process, follows the
+// endpoint protocol.
 class FakeEndpointTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FakeEndpointTest);
   CPPUNIT_TEST(AttemptsEndAsTheyShould);
@@ -156,7 +157,7 @@
     StartFake({"--cache-gap", "2"});
     Run(true, 9, std::string(1100, 'x'));
     RunUntil([this] { return !m_cache_events.empty(); });
-    // Of four blocks the second and the fourth are lost.
+    // The cache events of the second and fourth of four blocks are lost.
     CPPUNIT_ASSERT_EQUAL(size_t{2}, m_cache_events.size());
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, m_cache_events[0].sequence);
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, m_cache_events[1].sequence);
@@ -186,7 +187,8 @@
  private:
   using ExchangePtr = std::shared_ptr<http::Exchange>;
 
-  // Waits for the first announcement, which also says where it listens.
+  // Starts the fake and waits for its first announcement, which contains its
+  // address.
   void StartFake(const std::vector<std::string>& options) {
     m_fake.reset();
     m_announced.reset();
@@ -203,7 +205,7 @@
         "1",
         "--models",
         "m"};
-    // A later value of an option takes the place of the one before.
+    // A given option replaces the default value of the same option.
     for (size_t i = 0; i < options.size(); ++i) {
       const auto given = std::ranges::find(arguments, options[i]);
       if (given == arguments.end() || !options[i].starts_with("--")) {
--- a/src/dotterelshift/endpoints/order_sender.cc
+++ b/src/dotterelshift/endpoints/order_sender.cc
@@ -11,7 +11,7 @@
 using http::TransferEnd;
 using wire::OrderState;
 
-// Of the engine's answer only this much is kept as detail.
+// Maximum number of bytes of the engine's response kept as detail.
 constexpr size_t kMaxDetailBytes = 512;
 
 std::string_view NameOf(wire::OrderKind kind) {
@@ -43,7 +43,7 @@
   std::string detail;
 };
 
-// Only a whole answer tells what became of an order that has left.
+// Once an order has been sent, only a complete response tells its outcome.
 OrderState StateOf(const Answer& answer, TransferEnd end) {
   if (end == TransferEnd::kNotSent) return OrderState::Refused;
   if (end != TransferEnd::kWhole) return OrderState::Lost;
--- a/src/dotterelshift/endpoints/order_sender_test.cc
+++ b/src/dotterelshift/endpoints/order_sender_test.cc
@@ -15,7 +15,7 @@
 using http::Exchange;
 using wire::OrderState;
 
-// An engine's behaviour, and the state it leaves the order in.
+// An engine's behaviour and the resulting state of the order.
 struct Row {
   std::string name;
   std::function<void(Exchange&)> engine;
@@ -60,7 +60,7 @@
     }
   }
 
-  // The order has not left, so it was not carried out either.
+  // The order was never sent, so it cannot have been executed.
   void NobodyListensIsRefused() {
     m_server.reset();
     Send(5s);
