--- a/src/dotterelshift/endpoints/event_stream.h
+++ b/src/dotterelshift/endpoints/event_stream.h
@@ -33,8 +33,8 @@
 
  private:
   void TakeEvents(std::string_view bytes, const Sink& sink, size_t* used);
-  // Adds one event's tokens and usage to `piece`. Returns false if the event is
-  // not forwarded to the caller.
+  // Adds one event's tokens and usage to the chunk. Returns false if the event
+  // is not forwarded to the caller.
   bool ReadEvent(std::string_view event, serving::Chunk* piece);
   bool ReadData(std::string_view data, serving::Chunk* piece);
 
@@ -44,7 +44,7 @@
   std::string m_rest;  // start of an event that is still incomplete
 };
 
-// Copies the usage of an engine's JSON response, if it has one, to `piece`.
+// Copies the usage of an engine's JSON response, if it has one, to the chunk.
 // Returns false if the text is not a JSON object.
 bool ReadUsage(std::string_view json, serving::Chunk* piece);
 
