--- a/tests/ctl_process_test.cc
+++ b/tests/ctl_process_test.cc
@@ -1,5 +1,5 @@
-// dotterelshiftctl as a process against an HTTP server on loopback: what its
-// transport does on the wire.
+// Runs dotterelshiftctl as a process against an HTTP server on loopback and
+// checks the requests that it sends and how it handles redirects and errors.
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include <functional>  // for function
@@ -15,10 +15,10 @@
 namespace dotterelshift::ctl {
 namespace {
 
-// A port on which nothing listens.
+// An address on which nothing listens.
 const std::string kNobody = "127.0.0.1:1";
 
-// Answers as a test wants, and keeps what was asked.
+// An HTTP server that responds as the test specifies and records the requests.
 class FakeDaemon {
  public:
   using Answerer = std::function<void(http::Exchange&)>;
@@ -32,7 +32,7 @@
   std::string Address() const {
     return "127.0.0.1:" + std::to_string(m_server->Port());
   }
-  // Whether so many requests have come and been answered to the end.
+  // Whether at least `count` requests have arrived and none is still open.
   bool Answered(size_t count) const {
     return requests.size() >= count && m_server->OpenExchanges() == 0;
   }
@@ -89,7 +89,7 @@
     const auto process =
         Start({"plan", "-f", m_folder->File("intent.yaml"), "-o", "json"},
               follower.Address());
-    testing::RunUntil(m_loop, "the leader is asked",
+    testing::RunUntil(m_loop, "the request at the leader",
                       [&] { return leader.Answered(1); });
     AssertEnd(*process, ExitCode::kOk);
     const http::Request& request = leader.requests.at(0);
@@ -109,7 +109,7 @@
     });
     address = daemon.Address();
     const auto process = Start({"status"}, address);
-    testing::RunUntil(m_loop, "the circle is given up",
+    testing::RunUntil(m_loop, "the last redirect",
                       [&] { return daemon.Answered(6); });
     AssertEnd(*process, ExitCode::kNotReachable);
     CPPUNIT_ASSERT_EQUAL(size_t{6}, daemon.requests.size());
@@ -122,7 +122,7 @@
       exchange.Abort();
     });
     const auto process = Start({"confirm", "p1"}, daemon.Address());
-    testing::RunUntil(m_loop, "the answer breaks off",
+    testing::RunUntil(m_loop, "the aborted response",
                       [&] { return daemon.Answered(1); });
     AssertEnd(*process, ExitCode::kNotReachable);
   }
--- a/tests/docs_test.cc
+++ b/tests/docs_test.cc
@@ -1,5 +1,5 @@
-// The pages hold what the code has: each error kind, setting, verb and exit
-// code.
+// Checks that the documentation lists every error kind, setting, verb and exit
+// code of the code.
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include <fstream>  // for ifstream
@@ -19,7 +19,7 @@
   return content.str();
 }
 
-// The lines of a page that begin with `start`.
+// Returns the lines of a page that begin with `start`.
 std::vector<std::string> LinesOf(const std::string& page,
                                  const std::string& start) {
   std::vector<std::string> lines;
--- a/tests/main.cc
+++ b/tests/main.cc
@@ -1,6 +1,6 @@
-// Runs the CppUnit tests of every package: all of them, or the suites and tests
-// whose path holds one of the words given. `--except SUITE::TEST` leaves that
-// one test out and says so.
+// Runs the CppUnit tests of all packages, or only those whose name contains one
+// of the given words. `--except SUITE::TEST` skips that test and prints its
+// name.
 #include <cppunit/BriefTestProgressListener.h>  // for BriefTestProgressListener
 #include <cppunit/CompilerOutputter.h>          // for CompilerOutputter
 #include <cppunit/Test.h>                       // for Test
@@ -41,7 +41,8 @@
                      });
 }
 
-// Collects the single tests below `test` whose name holds one of the words.
+// Collects the leaf tests below `test` whose name contains one of the words, or
+// all of them if there are no words, without the excepted ones.
 void Select(CppUnit::Test* test, const Choice& choice,
             std::vector<CppUnit::Test*>* selected) {
   if (test->getChildTestCount() > 0) {
--- a/tests/process/control_group_test.cc
+++ b/tests/process/control_group_test.cc
@@ -14,7 +14,7 @@
 
 const Names kControls = {"c1", "c2", "c3"};
 
-// Three control daemons as processes: killed, cut off, wiped.
+// Runs three control daemons as processes and kills, partitions and wipes them.
 class ControlGroupTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ControlGroupTest);
   CPPUNIT_TEST(KilledLeadersLoseNothing);
@@ -23,8 +23,8 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // The leader is killed in the middle of each confirm; the confirm is sent
-  // again until it is answered, and counts once.
+  // The leader is killed right after each confirm is sent. The confirm is
+  // resent until it is answered, and must be applied exactly once.
   void KilledLeadersLoseNothing() {
     Fleet fleet;
     StartThree(fleet);
@@ -38,7 +38,7 @@
       fleet.Kill(leader);
       const int version = Confirm(fleet, plan);
       CPPUNIT_ASSERT_EQUAL(1 + round, version);
-      // A resent confirm gets its first answer.
+      // A repeated confirm returns the first answer.
       CPPUNIT_ASSERT_EQUAL(version, Confirm(fleet, plan));
       fleet.Restart(leader);
     }
@@ -49,7 +49,8 @@
     CPPUNIT_ASSERT_EQUAL(kRounds * 1000, Purchased(fleet));
   }
 
-  // Each pair of replicas is joined by a link that the test can freeze.
+  // Each pair of replicas is connected by a proxy that the test can freeze. A
+  // leader cut off from the majority must not accept a top-up.
   void CutOffLeaderRefusesTopUps() {
     Fleet fleet;
     fleet.StartControl("c1", kControls, {});
@@ -111,7 +112,7 @@
           return member["voter"].get<bool>();
       return false;
     });
-    // A second loss right after the repair.
+    // A second replica is lost right after the first was replaced.
     fleet.Kill(fleet.AwaitLeader(kControls));
     Confirm(fleet, Plan(fleet, TopUp(1)));
     CPPUNIT_ASSERT_EQUAL(1000, Purchased(fleet));
@@ -140,7 +141,8 @@
            "\n    budget: main\n    tokens: 1000\n";
   }
 
-  // A plan's id, asked of whoever leads until one answers.
+  // Sends the intent to the current leader until a plan is made. Returns its
+  // id.
   static std::string Plan(Fleet& fleet, const std::string& intent,
                           const Names& hosts = kControls) {
     HttpAnswer answer;
@@ -152,7 +154,8 @@
     return json::parse(answer.body).at("plan").get<std::string>();
   }
 
-  // The version that the confirm made, sent until it is answered.
+  // Sends the confirm to the current leader until it succeeds. Returns the
+  // configuration version that it made.
   static int Confirm(Fleet& fleet, const std::string& plan,
                      const Names& hosts = kControls) {
     HttpAnswer answer;
@@ -166,7 +169,7 @@
     return json::parse(answer.body).at("version").get<int>();
   }
 
-  // Sends a confirm and does not wait for what comes of it.
+  // Sends a confirm without waiting for the response.
   static void SendConfirmUnheard(Fleet& fleet, const std::string& host,
                                  const std::string& plan) {
     http::TransferCallbacks callbacks;
@@ -180,7 +183,7 @@
          .headers = {{"authorization", std::string("Bearer ") + kOperatorKey}},
          .body = {}},
         callbacks);
-    // A few turns, so that it leaves; whether it arrives is open.
+    // A few loop iterations send the request; it may or may not arrive.
     constexpr int kTurns = 3;
     for (int turn = 0; turn < kTurns; ++turn)
       ev_run(fleet.GetLoop().Raw(), EVRUN_NOWAIT);
--- a/tests/process/fleet.cc
+++ b/tests/process/fleet.cc
@@ -92,7 +92,7 @@
   AwaitFile(m_folder.Path(), name + ".ports", *member.process);
   const auto ports =
       nlohmann::json::parse(ReadFile(m_folder.File(name + ".ports")));
-  // A fake endpoint writes its one port, a daemon an object with both.
+  // A fake endpoint writes a single port, a daemon a JSON object with both.
   member.peer_port = ports.is_object() ? ports.value("peer_port", 0) : 0;
   member.http_port =
       ports.is_object() ? ports.value("http_port", 0) : ports.get<int>();
@@ -109,7 +109,7 @@
 
 int Fleet::AwaitEnd(const std::string& name) {
   Process& process = ProcessOf(name);
-  // The end of a child is no event of the loop, so it is looked for.
+  // The loop is not notified when a child process exits, so this polls.
   constexpr Duration kLookEvery = 20ms;
   loop::Timer look(m_loop, [&] { look.ArmIn(kLookEvery); });
   look.ArmIn(kLookEvery);
--- a/tests/process/fleet.h
+++ b/tests/process/fleet.h
@@ -19,7 +19,7 @@
 inline constexpr char kFleetSecret[] = "test-fleet-secret";
 
 struct HttpAnswer {
-  int status = 0;  // 0: no head came
+  int status = 0;  // 0: no response head arrived
   http::Headers headers;
   std::string body;
   http::TransferEnd end = http::TransferEnd::kNotSent;
@@ -27,8 +27,8 @@
   std::string Header(const std::string& name) const;
 };
 
-// Real daemons and fake endpoints on loopback, in a folder of their own. Ports
-// are chosen by the system at the first start and kept for the next ones.
+// Runs real daemons and fake endpoints on loopback in a temporary folder. The
+// system chooses a daemon's ports at its first start; restarts reuse them.
 class Fleet {
  public:
   Fleet();
@@ -37,8 +37,8 @@
   http::Client& GetClient() { return *m_client; }
   const TemporaryFolder& Folder() const { return m_folder; }
 
-  // Starts a daemon, or starts it again under the settings it had. `dial` are
-  // hub addresses.
+  // These start a process and wait until it has written its ports. `dial` holds
+  // the addresses of the peers to connect to.
   void StartControl(const std::string& name,
                     const std::vector<std::string>& first_members,
                     const std::vector<std::string>& dial);
@@ -46,15 +46,16 @@
                   const std::string& extra = {});
   void StartEndpoint(const std::string& id, const std::string& announce_to,
                      const std::vector<std::string>& options);
+  // Starts a process again with the same settings and arguments.
   void Restart(const std::string& name);
 
   Process& ProcessOf(const std::string& name) {
     return *m_members.at(name).process;
   }
-  void Kill(const std::string& name);  // as by kill -9
+  void Kill(const std::string& name);  // with SIGKILL
 
-  // Turns the loop, and with it the links that run on it, until the daemon has
-  // ended by itself; its exit status.
+  // Runs the event loop, and with it the links on it, until the daemon has
+  // exited. Returns its exit status.
   int AwaitEnd(const std::string& name);
 
   std::string PeerAddress(const std::string& name) const;
@@ -63,23 +64,26 @@
     return ReadFile(m_folder.File(name + ".log"));
   }
 
-  // One HTTP exchange, turned on this fleet's loop until it ends.
+  // Sends one HTTP request and runs the event loop until the exchange ends.
   HttpAnswer Send(const std::string& method, const std::string& url,
                   const http::Headers& headers, const std::string& body);
+  // Sends a request to the operator API and follows one redirect (307).
   HttpAnswer Operate(const std::string& host, const std::string& method,
                      const std::string& path, const std::string& body);
+  // Sends a chat completion request with the team's `key`.
   HttpAnswer Ask(const std::string& entry, const std::string& key,
                  const nlohmann::json& body, const http::Headers& headers = {});
 
-  // Asks until the answer has the status, within the guard against hanging.
+  // Waits until /readyz returns 200. Like the other waits, it fails the test
+  // after kHangGuard.
   void AwaitReady(const std::string& name);
-  // Waits until the daemon has this version of the configuration in force.
+  // Waits until the daemon reports this configuration version in its metrics.
   void AwaitVersion(const std::string& name, uint64_t version);
-  // A control daemon that leads, of those named.
+  // Waits until one of the named control daemons leads. Returns its name.
   std::string AwaitLeader(const std::vector<std::string>& names);
 
-  // Plans and confirms an intent at a control host that leads; returns the
-  // confirmation.
+  // Plans and confirms an intent through a control host. Fails the test if the
+  // plan is refused; returns the response to the confirm.
   HttpAnswer PlanAndConfirm(const std::string& host, const std::string& intent);
 
  private:
--- a/tests/process/link_proxy.cc
+++ b/tests/process/link_proxy.cc
@@ -13,7 +13,7 @@
 namespace dotterelshift::testing {
 namespace {
 
-// One direction's bytes that are not written yet.
+// One socket of a link, with the bytes that are not written to it yet.
 struct Side {
   int descriptor = -1;
   std::string out;
@@ -75,7 +75,7 @@
     const int to =
         socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     const auto address = ParseAddress(m_target);
-    // Its outcome shows in the first event.
+    // The socket is non-blocking: the first event shows the result.
     (void)connect(to, reinterpret_cast<const sockaddr*>(&*address),
                   sizeof *address);
     auto link = std::make_shared<Link>();
@@ -93,8 +93,8 @@
     Watch(*link);
   }
 
-  // While frozen nothing is watched, so bytes pile up in the kernel as they
-  // would behind a dead switch.
+  // While frozen, no events are watched, so bytes accumulate in the kernel
+  // buffers as they would behind a failed switch.
   void Watch(Link& link) const {
     if (link.closed) return;
     for (Side& side : link.sides) {
--- a/tests/process/link_proxy.h
+++ b/tests/process/link_proxy.h
@@ -9,19 +9,19 @@
 
 namespace dotterelshift::testing {
 
-// A TCP link between two daemons that a test can cut: what connects to the
-// proxy reaches the target. Runs on the test's loop, so it forwards only while
-// the test turns it.
+// A TCP proxy between two daemons that a test can cut or freeze. It forwards
+// connections to Address() to the target. It runs on the test's event loop, so
+// it forwards only while the test runs that loop.
 class LinkProxy {
  public:
   virtual ~LinkProxy() = default;
   virtual std::string Address() const = 0;
-  // Closes what is open and lets nothing through any more.
+  // Closes all connections, and closes new ones at once until Heal().
   virtual void Cut() = 0;
-  // Lets new connections through again.
+  // Forwards new connections again.
   virtual void Heal() = 0;
-  // Holds all bytes back, with the connections left open: a silent partition.
-  // Heal() ends it too.
+  // Stops forwarding but leaves the connections open, as in a silent partition.
+  // Heal() resumes forwarding.
   virtual void Freeze() = 0;
 };
 
--- a/tests/process/process.cc
+++ b/tests/process/process.cc
@@ -17,7 +17,7 @@
 
 constexpr int kSignalStatus = 128;
 constexpr int kGuardMs = 60'000;
-// While nothing happens in the folder the writer is looked at this often.
+// How often to check that the writer still runs while the folder is unchanged.
 constexpr int kLookMs = 200;
 
 }  // namespace
@@ -97,7 +97,7 @@
     while (read(watch, events, sizeof events) > 0) continue;
   }
   close(watch);
-  CPPUNIT_ASSERT_MESSAGE(name + " never came", !ReadFile(path).empty());
+  CPPUNIT_ASSERT_MESSAGE(name + " was not written", !ReadFile(path).empty());
 }
 
 }  // namespace dotterelshift::testing
--- a/tests/process/process.h
+++ b/tests/process/process.h
@@ -8,10 +8,11 @@
 
 namespace dotterelshift::testing {
 
-// A child process of a test. Killed and waited for at the end of its scope.
+// A child process of a test. The destructor kills it and waits for it.
 class Process {
  public:
-  // Starts `arguments[0]`; what it writes goes to the end of the log file.
+  // Starts `arguments[0]`, with its standard output and standard error appended
+  // to the log file.
   Process(const std::vector<std::string>& arguments,
           const std::string& log_path);
   ~Process();
@@ -20,9 +21,10 @@
 
   pid_t Pid() const { return m_pid; }
   void Signal(int signal) const;
-  // Whether it has ended by itself or by a signal.
+  // Whether the process has exited or was ended by a signal.
   bool Ended();
-  // Waits for the end; the exit status, or 128 + the signal that ended it.
+  // Waits for the process to end. Returns its exit status, or 128 + the signal
+  // that ended it.
   int Wait();
 
  private:
@@ -34,10 +36,11 @@
 };
 
 void WriteFile(const std::string& path, const std::string& text);
-// Empty when it is not there.
+// Returns an empty string if the file cannot be opened.
 std::string ReadFile(const std::string& path);
 
-// Waits until the file is there and not empty; watched, not polled.
+// Waits, using inotify, until the file exists and is not empty. Fails the test
+// if `writer` ends first, or after 60 s without a change in the folder.
 void AwaitFile(const std::string& folder, const std::string& name,
                Process& writer);
 
--- a/tests/process/serving_process_test.cc
+++ b/tests/process/serving_process_test.cc
@@ -1,5 +1,5 @@
-// Real daemons on loopback under kills, drains and cuts: what callers see,
-// against what the endpoints ran and what control billed.
+// Runs real daemons on loopback under kills, drains and partitions. Compares
+// what callers receive with what the endpoints ran and what control billed.
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include <csignal>  // for SIGTERM
@@ -21,7 +21,7 @@
 constexpr char kTeamKey[] = "team-key-0123456789";
 constexpr Tokens kPurchased = 5'000'000;
 constexpr int kTokensOfAnAnswer = 30;
-// Ends an endpoint that is asked about it.
+// Text in a prompt that makes a fake endpoint exit.
 constexpr char kCrashMark[] = "crash-mark";
 
 std::string Intent(const std::string& grant_way) {
@@ -44,11 +44,11 @@
           {"messages", {{{"role", "user"}, {"content", text}}}}};
 }
 
-// One caller's request under a key of its own, as the caller sees it.
+// One caller's request with its own idempotency key, as the caller sees it.
 struct Call {
   std::string key;
   std::string entry;
-  std::string text;  // of the question; empty: the key
+  std::string text;  // the prompt; if empty, the key
   std::string body;
   int status = 0;
   bool ended = false;
@@ -59,7 +59,7 @@
            body.ends_with("data: [DONE]\n\n") &&
            body.find("\"error\"") == std::string::npos;
   }
-  // "no", "yes", "unknown", or empty where the connection broke without a word.
+  // "no", "yes" or "unknown" as the error reports; empty if it reports nothing.
   std::string Ran() const {
     const size_t at = body.find("\"ran\":\"");
     if (at == std::string::npos) return {};
@@ -88,7 +88,7 @@
       calls[i].entry = i % 2 == 0 ? "e1" : "e2";
       Start(calls[i], &ended);
     }
-    // All are under way, and some have had pieces.
+    // All requests are in flight, and some have received chunks.
     RunUntil(Loop(), "first pieces", [&] {
       int begun = 0;
       for (const Call& call : calls) begun += call.body.empty() ? 0 : 1;
@@ -101,8 +101,8 @@
     const std::map<std::string, int> ran = RunsByKey();
     for (const Call& call : calls) CheckTruth(call, ran);
 
-    // Callers of the dead entry, and those who were told to, ask again with the
-    // same key at the other entry.
+    // Every caller without a complete response retries with the same key at the
+    // entry that is still running.
     std::set<std::string> whole;
     for (Call& call : calls) {
       if (call.WholeAnswer()) whole.insert(call.key);
@@ -149,7 +149,7 @@
     }
     CPPUNIT_ASSERT_EQUAL(0, m_fleet->AwaitEnd("e1"));
     CheckBooks(kCalls);
-    // What the entry held has gone back.
+    // The entry has returned the tokens that it held.
     const json report = Report();
     for (const json& budget : report.at("budgets")) {
       CPPUNIT_ASSERT_EQUAL(Tokens{0}, budget.at("granted").get<Tokens>());
@@ -158,7 +158,7 @@
 
   void TopUpWhileAnEntryIsCutOff() {
     StartFleet("unwitnessed");
-    // The entry holds a standing grant from its first answer.
+    // From its first response on, the entry holds a pre-authorized amount.
     CPPUNIT_ASSERT(AskOnce("e2", "before").WholeAnswer());
     m_links[1]->Cut();
     RunUntil(Loop(), "cut off", [&] {
@@ -167,8 +167,8 @@
     const HttpAnswer confirmed = m_fleet->PlanAndConfirm(
         "c1", "top_ups: [{id: second, budget: lib-b, tokens: 1M}]\n");
     CPPUNIT_ASSERT_EQUAL_MESSAGE(confirmed.body, 200, confirmed.status);
-    // What cannot be settled anywhere is not called whole; see the table for
-    // bill_not_recorded. The other entry knows nothing of it.
+    // An entry that can record a settlement nowhere does not finish its
+    // responses (bill_not_recorded). The other entry is not affected.
     CPPUNIT_ASSERT(AskOnce("e1", "meanwhile").WholeAnswer());
     m_links[1]->Heal();
     m_fleet->AwaitReady("e2");
@@ -205,7 +205,7 @@
       calls[i].entry = i % 2 == 0 ? "e1" : "e2";
       Start(calls[i], &ended);
     }
-    // The caller sends it again and again, at one entry and the other.
+    // The caller resends the crashing request, alternating between the entries.
     std::string last;
     for (int round = 0; round < 12 && last.find("quarantined") == last.npos;
          ++round) {
@@ -220,10 +220,10 @@
       last = poison.body;
     }
     CPPUNIT_ASSERT_MESSAGE(last, last.find("quarantined") != std::string::npos);
-    // A process's connections are closed before its parent sees its end.
+    // The connections of a process close before its parent sees that it ended.
     RunUntil(Loop(), "three dead", [&] { return CountDead() >= 3; });
-    // The innocent were cut before their first byte or not at all; those that
-    // were told to come back do so, and get a whole answer.
+    // The other requests must not be reported as quarantined. Those without a
+    // complete response are retried, and the retry must complete.
     RunUntil(Loop(), "all ends", [&] { return ended == kInnocent; });
     for (Call& call : calls) {
       if (call.WholeAnswer()) continue;
@@ -241,7 +241,8 @@
     return "http://" + m_fleet->HttpAddress(name) + path;
   }
 
-  // One control, two entries, each behind a link of its own, four endpoints.
+  // Starts one control, two entries, each connected to it through a proxy of
+  // its own, and four endpoints.
   void StartFleet(const std::string& grant_way) {
     m_links.clear();
     m_fleet = std::make_unique<Fleet>();
@@ -271,7 +272,7 @@
     }
   }
 
-  // An entry that knows all four endpoints says so to operators.
+  // Waits until the entry's metrics show all four endpoints as usable.
   void AwaitEndpoints(const std::string& entry) {
     RunUntil(Loop(), entry + " knows the endpoints", [&] {
       const HttpAnswer answer =
@@ -322,7 +323,7 @@
     return dead;
   }
 
-  // How often the endpoints that live began each request key.
+  // How often the endpoints that still run received each request key.
   std::map<std::string, int> RunsByKey() {
     std::map<std::string, int> runs;
     for (const char* id : {"f0", "f1", "f2", "f3"}) {
@@ -336,7 +337,9 @@
     return runs;
   }
 
-  // "Not run" is said only of what no endpoint ran; a whole answer has run.
+  // Checks that a request reported as not run was run by no endpoint that still
+  // exists, that callers of e1 get a complete response or a reported outcome,
+  // and that all content belongs to the caller's own request.
   static void CheckTruth(const Call& call,
                          const std::map<std::string, int>& ran) {
     if (call.Ran() == "no") {
@@ -347,7 +350,7 @@
       const bool spoken = call.WholeAnswer() || !call.Ran().empty();
       CPPUNIT_ASSERT_MESSAGE(call.key + ": " + call.body, spoken);
     }
-    // Nobody has a piece of another's answer.
+    // No caller received content of another request.
     for (size_t at = call.body.find("\"content\":\""); at != std::string::npos;
          at = call.body.find("\"content\":\"", at + 1)) {
       const std::string text = call.body.substr(at + 11, call.key.size() + 1);
@@ -362,7 +365,8 @@
     return json::parse(answer.body);
   }
 
-  // Bills equal whole answers by key, spend stays within the budget.
+  // Checks that there are as many bills as complete responses, and that spend
+  // stays within the budget.
   void CheckBooks(int whole_answers) {
     const json report = Report();
     int answered = 0;
--- a/tests/process/slow_link.cc
+++ b/tests/process/slow_link.cc
@@ -17,7 +17,7 @@
 namespace dotterelshift::testing {
 namespace {
 
-// Of the kernel, for each socket and direction.
+// Size of the kernel buffer of each socket and direction, in bytes.
 constexpr int kKernelBuffer = 16 << 10;
 
 LinkWay Back(LinkWay way) {
@@ -33,43 +33,44 @@
   }
 }
 
-// One end of a connection: its socket, and what has passed the link towards it.
+// One end of a connection: its socket, and the bytes that have passed the link
+// towards it.
 struct End {
   int descriptor = -1;
   std::unique_ptr<loop::IoWatcher> watcher;
-  bool reads = false;     // what comes from it is taken
+  bool reads = false;     // bytes from it are read
   bool read_end = false;  // it has closed its side
   bool was_reset = false;
-  size_t in_transit = 0;  // from it, not at the other end yet
-  std::string out;        // to it, not taken by the kernel yet
-  bool out_end = false;   // after that the other side has closed
+  size_t in_transit = 0;  // bytes from it that the other end has not taken yet
+  std::string out;        // bytes to it that the kernel has not taken yet
+  bool out_end = false;   // the other side has closed; shut down after `out`
 };
 
-// The end that connected is ends[0].
+// A connection through the link; ends[0] is the connecting side.
 struct Connection {
   uint64_t number = 0;
   uint16_t port = 0;
   LinkWay way = LinkWay::kIn;  // from ends[0] to ends[1]
   std::string target;
   std::array<End, 2> ends;
-  std::unique_ptr<loop::Timer> gives_up;  // until it is open
+  std::unique_ptr<loop::Timer> gives_up;  // armed until the connection is open
   bool connecting = false;
   bool closed = false;
 };
 
 enum class Kind : uint8_t { kOpen, kOpened, kBytes, kEnd, kReset };
 
-// One packet in the queue.
+// One queued packet.
 struct Packet {
   Kind kind = Kind::kBytes;
   std::shared_ptr<Connection> connection;
-  size_t to = 0;  // which end
+  size_t to = 0;  // index of the receiving end
   std::string bytes;
 };
 
 struct Queue {
   std::deque<Packet> packets;
-  Instant free_at{};  // when the last packet's last byte has passed
+  Instant free_at{};  // when the last queued byte has passed
   std::deque<Instant> passes;
   std::unique_ptr<loop::Timer> timer;
 };
@@ -191,7 +192,7 @@
     Watch(*connection);
   }
 
-  // The other side has closed or reset.
+  // Whether the peer has closed or reset the connection.
   static bool HasGone(int descriptor) {
     pollfd look{.fd = descriptor, .events = POLLRDHUP, .revents = 0};
     return ::poll(&look, 1, 0) == 1;
@@ -231,7 +232,7 @@
     }
   }
 
-  // What comes from this end is over; the other one is still to hear of it.
+  // Stops reading from this end and queues a reset for the other one.
   void SendReset(const std::shared_ptr<Connection>& connection, size_t index) {
     End& end = connection->ends.at(index);
     end.read_end = true;
@@ -301,7 +302,8 @@
       case Kind::kOpened:
         connection->gives_up->Cancel();
         if (connection->ends[0].was_reset) return;
-        // Who has gone meanwhile has never sent anything.
+        // If the connecting side has closed meanwhile, none of its bytes are
+        // forwarded.
         if (HasGone(connection->ends[0].descriptor))
           return SendReset(connection, 0);
         connection->ends[0].reads = true;
@@ -326,7 +328,7 @@
         ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     BoundBuffers(end.descriptor);
     const auto address = ParseAddress(connection->target);
-    // Its outcome shows in the first event.
+    // The socket is non-blocking: the first event shows the result.
     (void)::connect(end.descriptor,
                     reinterpret_cast<const sockaddr*>(&*address),
                     sizeof *address);
@@ -343,8 +345,8 @@
     ::close(std::exchange(end.descriptor, -1));
   }
 
-  // In order where both sides have ended so; else with resets, so that nothing
-  // lies in the kernel after it.
+  // Closes an end normally if both directions have ended, else with a reset so
+  // that no bytes remain in the kernel buffers.
   static void Close(Connection& connection) {
     if (std::exchange(connection.closed, true)) return;
     for (End& end : connection.ends) {
--- a/tests/process/slow_link.h
+++ b/tests/process/slow_link.h
@@ -10,48 +10,51 @@
 
 namespace dotterelshift::testing {
 
-// The two ways of a host's link.
+// The two directions of a host's link: inbound and outbound.
 enum class LinkWay : uint8_t { kIn, kOut };
 
-// What has come out at the far end of the link, of one connection through it.
+// An event of one connection through the link. kBytes and kEnd are reported
+// when they leave the far end of the link.
 struct LinkEvent {
   enum class What : uint8_t {
-    kAccepted,  // at the door, before anything has passed the link
+    kAccepted,  // by the listening socket, before anything passes the link
     kBytes,
-    kEnd,  // the close, or the reset, of one side
+    kEnd,  // one side has closed or reset the connection
   };
   What what = What::kBytes;
   uint64_t connection = 0;  // counted from 1
-  uint16_t port = 0;        // of the side that connected
+  uint16_t port = 0;        // local port of the connecting side
   LinkWay way = LinkWay::kIn;
   size_t bytes = 0;
 };
 
 struct SlowLinkOptions {
-  double bytes_per_second = 1'250'000;  // each way
-  // Packets carry this much, and cost so much more.
+  double bytes_per_second = 1'250'000;  // in each direction
+  // Maximum payload of a packet, and the bytes of headers added to each.
   size_t packet_bytes = 1448;
   size_t packet_overhead = 66;
-  // What one connection may have on its way in one direction, as TCP's window.
+  // Maximum bytes in transit per connection and direction, like a TCP window.
   size_t window = 16 << 10;
   std::function<void(const LinkEvent&)> on_event;
 };
 
-// The link of one host, as slow as said: all connections through its doors
-// share it, first in first out, each way by itself. Opening, closing and
-// resetting a connection take their place in the queue like bytes. What waits
-// stands here and not in the kernel. One thing is not as behind a slow link:
-// whoever connects is told so at once. What it then sends leaves only when the
-// other side's consent has come back over the link, and it is reset, with
-// nothing sent, where behind a real link it would have given up by then.
+// Simulates the link of one host at a limited rate. All connections through its
+// listening addresses share it, with one FIFO queue per direction. Opening,
+// closing and resetting a connection are queued like bytes. Queued data is held
+// here, not in the kernel. One difference from a real slow link: connect()
+// succeeds at once. The bytes that the connecting side then sends are forwarded
+// only after the target has accepted the connection and the acceptance has
+// returned over the link. If that takes longer than the connect timeout, the
+// connection is reset with nothing sent.
 class SlowLink {
  public:
   virtual ~SlowLink() = default;
-  // An address that leads to the target: into the host, or out of it. Who
-  // connects there gives up after the time given.
+  // Listens on a new address and forwards its connections to the target, into
+  // the host or out of it. A connection that is not open after `gives_up_after`
+  // is reset. Returns the address.
   virtual std::string AddDoor(const std::string& target, LinkWay way,
                               Duration gives_up_after) = 0;
-  // How long what comes now will wait.
+  // How long data queued now would wait.
   virtual Duration QueueOf(LinkWay way) const = 0;
 };
 
--- a/tests/process/slow_link_test.cc
+++ b/tests/process/slow_link_test.cc
@@ -12,7 +12,7 @@
 namespace dotterelshift::testing {
 namespace {
 
-constexpr double kRate = 1'000'000;  // bytes a second
+constexpr double kRate = 1'000'000;  // bytes per second
 constexpr size_t kBody = 100'000;
 
 class SlowLinkTest : public CppUnit::TestFixture {
@@ -63,7 +63,7 @@
     Transfer transfer;
     Start(door, kBody, transfer);
     RunUntil(m_loop, "the answer", [&] { return transfer.ended; });
-    // There and back.
+    // The body passes the link in both directions.
     CPPUNIT_ASSERT(m_loop.Now() - begin >= 2 * TimeOf(kBody));
   }
 
@@ -117,7 +117,8 @@
     CPPUNIT_ASSERT(transfer.end == http::TransferEnd::kFailedBeforeHead);
   }
 
-  // The consent stands behind what others send the same way.
+  // The acceptance of the connection is queued behind the filler's bytes in the
+  // same direction, so it arrives after the connect timeout.
   void WhoGivesUpBeforeItIsOpenHasSentNothing() {
     m_answers = false;
     MakeLink(kRate / 10, kBody);
--- a/tests/support/run_until.h
+++ b/tests/support/run_until.h
@@ -12,22 +12,25 @@
 
 namespace dotterelshift::testing {
 
-// How long a test waits for an event that never comes before it fails; far
-// above what any event takes.
+// Timeout after which a waiting test fails; far longer than any awaited event
+// takes.
 inline constexpr Duration kHangGuard = 60s;
 
-// Turns the loop until `reached` says so.
+// Runs the event loop until `reached` returns true. Fails the test after
+// kHangGuard, naming `what`.
 inline void RunUntil(loop::Loop& loop, const std::string& what,
                      const std::function<bool()>& reached) {
   const Instant start = loop.Now();
-  // Some conditions ask another process, whose change wakes nothing here.
+  // Some conditions depend on another process, whose changes do not wake this
+  // loop, so they are checked at this interval.
   constexpr Duration kRetryInterval = 20ms;
   std::unique_ptr<loop::Timer> wake;
   wake =
       std::make_unique<loop::Timer>(loop, [&] { wake->ArmIn(kRetryInterval); });
   wake->ArmIn(kRetryInterval);
   while (!reached()) {
-    if (loop.Now() - start >= kHangGuard) CPPUNIT_FAIL("never came: " + what);
+    if (loop.Now() - start >= kHangGuard)
+      CPPUNIT_FAIL("timed out waiting for: " + what);
     ev_run(loop.Raw(), EVRUN_ONCE);
   }
 }
