--- a/tests/scenarios/control_host.cc
+++ b/tests/scenarios/control_host.cc
@@ -5,8 +5,8 @@
 namespace dotterelshift::scenarios {
 namespace {
 
-// Entries after which a replica makes a snapshot: few, so that most scripts
-// restart from one.
+// Log entries after which a replica makes a snapshot. The number is small so
+// that replicas restart from a snapshot in most scripts.
 constexpr uint64_t kSnapshotEvery = 200;
 constexpr Duration kSpoolResend = 300ms;
 constexpr WallMs kWallAtStart = 1'800'000'000'000;
@@ -83,7 +83,8 @@
   Pump();
 }
 
-// Hands the spool to whichever replica leads, until it is applied.
+// Sends the spool to all replicas at intervals until its commands are applied;
+// only the leader proposes them.
 void ControlHost::HandSpoolOn() {
   m_spool_due = m_links.network->Now() + kSpoolResend;
   if (m_disk.spool.empty()) return;
--- a/tests/scenarios/control_host.h
+++ b/tests/scenarios/control_host.h
@@ -17,22 +17,22 @@
 
 class ControlHost;
 
-// What a control host needs of the world.
+// Connects a control host to the rest of the simulated fleet.
 struct ControlLinks {
   Network* network = nullptr;
   Records* records = nullptr;
   std::function<std::vector<ControlHost*>()> controls;
-  // An answer to a command, on its way to the host of its id.
+  // Sends the answer to a command to the host named in the command's id.
   std::function<void(const std::string& from, const wire::CommandAnswerT&)>
       answer;
-  // The leader asks a holder for idle tokens.
+  // Sends a holder the leader's request to return idle tokens.
   std::function<void(const std::string& from, const HostId& holder,
                      const wire::RecallT&)>
       recall;
 };
 
-// One control replica: the real node and state over a disk of the test's, which
-// lasts through kills.
+// One control replica: the real replication node and state over a simulated
+// disk that survives kills.
 class ControlHost {
  public:
   ControlHost(std::string name, ReplicaId replica, ControlLinks links);
@@ -47,7 +47,8 @@
   void StartGroup(const wire::MembershipT& members);
   void Start();
   void Kill();
-  // Loses the disk; the next start is that of a new, empty replica.
+  // Kills the replica and erases its disk. The next start is that of a new,
+  // empty replica with the given id.
   void Wipe(ReplicaId replica);
 
   void Tick();
@@ -55,7 +56,8 @@
   void Spool(const wire::CommandT& command);
   void OnHeartbeat(const HostId& entry, const wire::EntryBeatT& beat);
   void ProposeMember(const wire::ReplicaT& replica, bool remove);
-  // Calls back once a quorum has confirmed that this one leads; perhaps never.
+  // Calls back once a quorum has confirmed that this replica leads. If that
+  // does not happen, the callback is never called.
   void ConfirmedRead(std::function<void()> callback);
 
  private:
--- a/tests/scenarios/engine.h
+++ b/tests/scenarios/engine.h
@@ -13,7 +13,7 @@
 
 namespace dotterelshift::scenarios {
 
-// The connection of one attempt, as the engine sees it.
+// Identifies the connection of one attempt to an engine.
 struct Connection {
   std::string entry;
   Incarnation incarnation = 0;
@@ -21,7 +21,7 @@
   auto operator<=>(const Connection&) const = default;
 };
 
-// What comes back over a connection.
+// Callbacks for what an engine sends back over a connection.
 struct EngineEvents {
   std::function<void(const Connection&, int status)> on_head;
   std::function<void(const Connection&, RequestId from, const serving::Chunk&)>
@@ -29,16 +29,17 @@
   std::function<void(const Connection&, serving::AttemptEnd)> on_end;
 };
 
-// How an engine misbehaves.
+// Delays and faults of an engine.
 struct EngineFault {
   Duration first_token = 20ms;
   Duration between_pieces = 10ms;
-  bool refuses = false;        // before it runs anything
-  bool usage_missing = false;  // its answers end without a usage report
+  bool refuses = false;        // refuses requests before running them
+  bool usage_missing = false;  // responses end without a usage report
 };
 
-// One small stand-in for a model engine or a plain service: writes pieces of
-// tokens until the request's output is done, is cancelled, or dies.
+// A simulated model engine or plain service. It writes chunks of tokens until
+// the request's output is complete, the request is cancelled or the engine
+// dies.
 class Engine {
  public:
   Engine(const wire::EndpointRecordT& record, Network* network,
@@ -51,15 +52,15 @@
   void Drain() { m_record.draining = true; }
   void Die();
   void Start();
-  // The next announcement: news of the same run.
+  // Returns the next announcement of the current incarnation.
   wire::EndpointRecordT Announce();
 
   void Run(const Connection& connection, RequestId request);
   void Cancel(const Connection& connection);
-  // Connections of an entry that has gone.
+  // Cancels all requests of an entry that can no longer be reached.
   void CancelAll(const std::string& entry);
   int Running() const { return static_cast<int>(m_streams.size()); }
-  // When work last began here.
+  // When the engine last began to run a request.
   Instant LastStart() const { return m_last_start; }
 
  private:
--- a/tests/scenarios/entry_host.cc
+++ b/tests/scenarios/entry_host.cc
@@ -9,7 +9,8 @@
 constexpr Duration kCutOffAfter = 3s;
 constexpr Duration kResendEvery = 250ms;
 constexpr Duration kSpreadEvery = 100ms;
-// The registration's sequence; the core counts its own from one.
+// Sequence number of the registration command, out of the range of the core's
+// own commands, which are numbered from 1.
 constexpr uint64_t kRegistration = 1ULL << 40;
 
 }  // namespace
--- a/tests/scenarios/entry_host.h
+++ b/tests/scenarios/entry_host.h
@@ -20,7 +20,7 @@
 
 class EntryHost;
 
-// What an entry needs of the world.
+// Connects an entry to the rest of the simulated fleet.
 struct EntryLinks {
   Network* network = nullptr;
   Records* records = nullptr;
@@ -29,8 +29,8 @@
   std::function<Engine*(const EndpointId&)> engine;
 };
 
-// One entry: the real request core, ledger, router, queue and directory, and
-// what the daemon does around them in as few lines as will do.
+// One entry: the real request core, ledger, router, queue and directory, with a
+// minimal version of the daemon code around them.
 class EntryHost {
  public:
   EntryHost(std::string name, DataCentreId data_centre, bool serve_when_cut_off,
@@ -61,11 +61,11 @@
   void OnChunk(const Connection& connection, RequestId from,
                const serving::Chunk& piece);
   void OnEnd(const Connection& connection, serving::AttemptEnd end);
-  // The link to an endpoint has been cut: its connections break.
+  // The link to an endpoint was cut: the attempts there end as broken.
   void OnCut(const EndpointId& endpoint);
 
  private:
-  // A leader's beat, as an entry gets it back.
+  // The leader's reply to a heartbeat of this entry.
   struct Beat {
     Instant sent;
     uint64_t version = 0;
@@ -75,7 +75,7 @@
   };
   bool Is(const Connection& connection) const;
   void SendBeat();
-  // What it holds of each budget and has not reserved.
+  // The tokens of each budget that this entry holds and has not reserved.
   wire::EntryBeatT HeldNow() const;
   void OnHeartbeat(const Beat& beat);
   static Beat BeatOf(const ControlHost& control, Instant sent,
@@ -85,7 +85,7 @@
   void SendUnanswered();
   void SpreadDirectory();
   void Refresh();
-  // A replica has spooled a command.
+  // Reports to the core that a replica has spooled a command.
   void Acknowledge(const std::string& control, const wire::CommandIdT& id);
   void CarryOutAll();
   void CarryOut(const serving::StartAttempt& action);
--- a/tests/scenarios/expectations.cc
+++ b/tests/scenarios/expectations.cc
@@ -5,7 +5,7 @@
 namespace dotterelshift::scenarios {
 namespace {
 
-// A request's end as scripts name it.
+// The outcome of a request, as named in scripts.
 std::string NameOf(const RequestRecord& record) {
   constexpr std::array<std::string_view, 4> kNames = {"open", "answered", "",
                                                       "lost"};
@@ -40,7 +40,8 @@
   m_source.Refuse(what, "nothing is expected", "an expectation");
 }
 
-// Against `is`, `at_least` and `at_most`; without any, `is: 1`.
+// Compares a value with the fields `is`, `at_least` and `at_most`; without any
+// of them, with 1.
 void Expectations::Compare(const StepMap& map, const std::string& what,
                            int64_t value) {
   const bool bounded = map.Has("at_least") || map.Has("at_most");
@@ -110,7 +111,7 @@
   Compare(map, "ready entries", ready);
 }
 
-// Every ready entry has the leader's version.
+// Checks that every ready entry has the leader's configuration version.
 void Expectations::CheckVersions() {
   const ControlHost* leader = m_world.Leader();
   if (!leader) return Break("no leader");
--- a/tests/scenarios/expectations.h
+++ b/tests/scenarios/expectations.h
@@ -8,8 +8,8 @@
 
 namespace dotterelshift::scenarios {
 
-// Checks the `expect` steps of a script; what is not as expected becomes a
-// broken line of the world's records.
+// Checks the `expect` steps of a script and records each failed expectation in
+// the world's Records.
 class Expectations {
  public:
   Expectations(const YamlSource& source, World* world)
--- a/tests/scenarios/network.h
+++ b/tests/scenarios/network.h
@@ -12,26 +12,26 @@
 
 namespace dotterelshift::scenarios {
 
-// How a link treats messages.
+// Delay and faults of a link.
 struct LinkFault {
   Duration delay = 1500us;
-  Duration jitter = 0s;  // drawn for each message: reorders them
-  int double_every = 0;  // each n-th message arrives twice; 0: none
+  Duration jitter = 0s;  // bound of a random extra delay; reorders messages
+  int double_every = 0;  // every n-th message is delivered twice; 0: none
 };
 
-// The clock moved by hand, and the links between hosts. Everything that happens
-// later is an event here, in the order of time, then of making.
+// A simulated clock and the links between hosts. All later actions are events,
+// run in order of time and, at the same time, of creation.
 class Network {
  public:
   explicit Network(uint64_t seed) : m_random(seed) {}
 
   Instant Now() const { return m_now; }
   void After(Duration delay, std::function<void()> event);
-  // Runs all events up to `until`, which becomes the time.
+  // Runs all events up to and including `until`, then sets the clock to it.
   void RunUntil(Instant until);
 
-  // Has `deliver` called at the other end, unless the link is cut when the
-  // message leaves or arrives.
+  // Calls `deliver` after the link's delay, unless the link is cut when the
+  // message is sent or when it arrives.
   void Send(const std::string& from, const std::string& to,
             const std::function<void()>& deliver);
   void Cut(const std::string& one, const std::string& other);
--- a/tests/scenarios/records.cc
+++ b/tests/scenarios/records.cc
@@ -125,8 +125,8 @@
     const wire::SettleAnswerT* answer = answers[i].body.AsSettleAnswer();
     const wire::SettleT* settle = batch.commands[i]->body.AsSettle();
     if (!answer || !settle || !answer->first_bill) continue;
-    // A settlement sent again, by itself or out of a spool, gets its first
-    // answer: the attempt's bill counts once.
+    // A settlement that is resent, directly or from a spool, gets its first
+    // answer again, so the bill of an attempt is counted once.
     const std::string attempt = settle->holder + "." +
                                 std::to_string(settle->holder_incarnation) +
                                 "." + std::to_string(settle->attempt);
--- a/tests/scenarios/records.h
+++ b/tests/scenarios/records.h
@@ -19,10 +19,10 @@
 
 enum class Outcome { kOpen, kAnswered, kFailed, kLost };
 
-// One request as its caller knows it, and what the engines know of it.
+// One request, with what its caller and the engines have seen of it.
 struct RequestRecord {
   RequestId id = 0;
-  std::string group;  // the script's name of it and its like
+  std::string group;  // `id` of the step that sent it and others
   TeamId team;
   BudgetId budget;
   std::string target;
@@ -31,22 +31,22 @@
   bool idempotent = true;
   bool crashes_engines = false;
   Tokens prompt = 0;
-  Tokens output = 0;  // what the engine will write
-  Tokens limit = 0;   // what the caller allows
+  Tokens output = 0;  // tokens that the engine will write
+  Tokens limit = 0;   // maximum output that the caller allows
   Duration deadline = 30s;
   std::string entry;
-  // The caller's side.
+  // What the caller has seen.
   Outcome outcome = Outcome::kOpen;
   ErrorKind error = ErrorKind::kNone;
-  AttemptId shown = 0;  // the attempt whose pieces the caller has seen
+  AttemptId shown = 0;  // the attempt whose chunks were forwarded
   Tokens received = 0;
-  // The engines' side.
+  // What the engines have done.
   int runs = 0;
   bool refused_falsely = false;
 };
 
-// The trace, the requests, and the promises that hold whatever a script does. A
-// broken promise is kept as a line of Broken().
+// The trace, the requests, and the checks of the promises that hold in every
+// script. Each violation is recorded as a line of Broken().
 class Records {
  public:
   void Trace(Instant now, const std::string& text);
@@ -58,31 +58,32 @@
   RequestRecord& Of(RequestId id) { return m_requests.at(id); }
   std::vector<const RequestRecord*> Group(const std::string& group) const;
 
-  // What engines did.
+  // Actions of engines.
   void OnRun(RequestId id, const EndpointId& endpoint, Instant now);
   void OnConsumed(RequestId id, Tokens tokens);
-  // What callers saw.
+  // Events that callers see.
   void OnChunk(RequestId id, RequestId from, AttemptId attempt, Tokens tokens,
                Instant now);
   void OnAnswered(RequestId id, Instant now);
   void OnFailed(RequestId id, ErrorKind error, Instant now);
   void OnEntryLost(const std::string& entry);
-  // A batch that a replica applied at an index.
+  // A replica applied a batch at a log index. Checks that all replicas apply
+  // the same batch there and that no request key is billed twice.
   void OnApplied(uint64_t index, const std::string& payload,
                  const wire::CommandBatchT& batch,
                  const std::vector<wire::CommandAnswerT>& answers, Instant now);
 
   Tokens Consumed(const BudgetId& budget) const;
-  // What the budget has left for others, as the world knows it.
+  // The tokens of a budget that are neither consumed nor stranded, from the
+  // world's state.
   std::function<Tokens(const BudgetId&)> tokens_left;
-  // How many requests had which end. A false refusal was turned away for want
-  // of tokens while its budget still had enough that was neither consumed nor
-  // stranded.
+  // Counts requests by outcome. A false refusal was rejected for lack of tokens
+  // while its budget still had enough that were neither consumed nor stranded.
   void Count(int* answered, int* refused, int* false_refusals) const;
 
-  // Checks what can only be said at the end.
+  // Checks at the end of a script that no request refused as not run has run.
   void CheckRequests(Instant now);
-  // Whether each whole answer has its bill.
+  // Checks that each key with a complete response has exactly one bill.
   void CheckBills(Instant now);
 
  private:
--- a/tests/scenarios/scenarios_test.cc
+++ b/tests/scenarios/scenarios_test.cc
@@ -1,5 +1,5 @@
-// Runs every script of scenarios/ over the real cores, and compares the table
-// of docs/SCENARIOS.md with what the scripts say they cover.
+// Runs every script of scenarios/ over the real cores, and checks that the
+// table of docs/SCENARIOS.md matches the coverage that the scripts declare.
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include <fstream>  // for ifstream
@@ -11,7 +11,7 @@
 namespace dotterelshift::scenarios {
 namespace {
 
-// One script as one test, by its file's name.
+// Runs one script as a test named after its file.
 class ScriptTest : public CppUnit::TestCase {
  public:
   explicit ScriptTest(const std::string& file)
--- a/tests/scenarios/script.h
+++ b/tests/scenarios/script.h
@@ -8,7 +8,7 @@
 
 namespace dotterelshift::scenarios {
 
-// What a script says it covers, for the table of docs/SCENARIOS.md.
+// The coverage that a script declares, for the table of docs/SCENARIOS.md.
 struct Coverage {
   std::string file;
   std::string title;
@@ -16,10 +16,10 @@
   std::vector<std::string> failures;
 };
 
-// What a run of a script measured, over all budgets.
+// Measurements of one run of a script, over all budgets.
 struct Measures {
-  Tokens consumed = 0;  // at the engines
-  Tokens charged = 0;   // as spent
+  Tokens consumed = 0;  // by the engines
+  Tokens charged = 0;   // by settlements
   Tokens overspend = 0;
   Tokens stranded = 0;
   int answered = 0;
@@ -27,30 +27,31 @@
   int false_refusals = 0;
 };
 
-// What became of a run.
+// The result of running a script.
 struct ScriptResult {
-  std::vector<std::string> broken;  // promises and expectations
+  std::vector<std::string> broken;  // violated promises and failed expectations
   std::string trace;
   Measures measures;
 };
 
-// Overrides of a script's own choice, for the measures; empty: the script's.
+// Overrides the policy and grant mode of a script, for measurements. An empty
+// field keeps the script's own value.
 struct PolicyChoice {
   std::string policy;
   std::string grant_way;
 };
 
-// The files of scenarios/, in order.
+// The names of the .yaml files of scenarios/, sorted.
 std::vector<std::string> ScriptFiles();
 Coverage ReadCoverage(const std::string& file);
-// Promise by failure with the scripts that cover them, as docs/SCENARIOS.md has
-// it.
+// The table of docs/SCENARIOS.md: for each promise and failure, the scripts
+// that cover both.
 std::string CoverageTable();
 // Throws Error(kBadField) for a script that cannot be read.
 ScriptResult RunScript(const std::string& file,
                        const PolicyChoice& choice = {});
 
-// The words that a script's `promises` and `failures` may hold.
+// The words allowed in a script's `promises` and `failures`.
 const std::vector<std::string>& Promises();
 const std::vector<std::string>& Failures();
 
--- a/tests/scenarios/step_map.h
+++ b/tests/scenarios/step_map.h
@@ -9,7 +9,7 @@
 
 namespace dotterelshift::scenarios {
 
-// The fields of one step, with what they are when they are left out.
+// Reads the fields of one step, with default values for missing ones.
 class StepMap : public YamlMap {
  public:
   StepMap(const YamlSource& source, const YAML::Node& node,
--- a/tests/scenarios/steps.cc
+++ b/tests/scenarios/steps.cc
@@ -52,7 +52,7 @@
   return options;
 }
 
-// Runs the steps of one script over a world.
+// Runs the steps of one script in a World.
 class Runner {
  public:
   Runner(const YamlSource& source, const YAML::Node& root,
@@ -65,7 +65,7 @@
 
   ScriptResult Run() {
     for (const YAML::Node& step : m_source.Items(m_steps, "steps")) {
-      // A script that has failed once says nothing more of use.
+      // After the first violation the later steps give no useful results.
       if (m_stops && !m_world.GetRecords().Broken().empty()) break;
       Step(step);
     }
@@ -143,7 +143,7 @@
 
   void Expect(const YAML::Node& what) { m_expectations.Check(what); }
 
-  // The hosts that a list or a word names.
+  // Resolves a name or a list of names to hosts.
   std::vector<std::string> HostsOf(const YAML::Node& node) const {
     if (node.IsScalar()) return m_world.Names(node.Scalar());
     std::vector<std::string> hosts;
@@ -184,7 +184,7 @@
     });
   }
 
-  // "leader" stands for the control host that leads.
+  // Resolves "leader" to the control host that leads.
   std::string HostOf(const YAML::Node& what) {
     if (what.Scalar() != "leader") return what.Scalar();
     const ControlHost* leader = m_world.Leader();
@@ -198,7 +198,7 @@
     if (ControlHost* control = m_world.FindControl(m_killed)) control->Kill();
     if (Engine* engine = m_world.FindEngine(m_killed)) engine->Die();
   }
-  // "killed" stands for what was killed last.
+  // Starts a host or engine; "killed" is the one killed last.
   void Start(const YAML::Node& what) {
     const std::string name =
         what.Scalar() == "killed" ? m_killed : what.Scalar();
@@ -239,7 +239,7 @@
       engine->fault.usage_missing = map.Flag("usage_missing", false);
     }
   }
-  // The callers of a group's open requests go away.
+  // The callers of a group's open requests disconnect.
   void Gone(const YAML::Node& what) {
     for (const RequestRecord* record :
          m_world.GetRecords().Group(what.Scalar())) {
@@ -283,7 +283,8 @@
   const YamlSource& m_source;
   World m_world;
   Expectations m_expectations;
-  // A script whose policy is not its own may answer otherwise than it expects.
+  // Whether the run stops at the first violation. With an overridden policy the
+  // script's expectations may fail, so the run continues.
   bool m_stops;
   YAML::Node m_steps;
   std::string m_killed;
--- a/tests/scenarios/steps.h
+++ b/tests/scenarios/steps.h
@@ -9,10 +9,10 @@
 
 namespace dotterelshift::scenarios {
 
-// The fields of a script.
+// The names of the top-level fields of a script.
 const std::vector<std::string_view>& ScriptFields();
 
-// Makes the world that a script asks for and runs its steps.
+// Creates the world that a script describes and runs its steps in it.
 ScriptResult RunSteps(const YamlSource& source, const YAML::Node& root,
                       const PolicyChoice& choice);
 
--- a/tests/scenarios/world.cc
+++ b/tests/scenarios/world.cc
@@ -141,7 +141,7 @@
   std::ostringstream top_ups;
   for (int i = 1; i <= kTeams; ++i) {
     const std::string team = "t" + std::to_string(i);
-    // The first three teams are the large ones.
+    // The first three teams are large: they have a higher weight.
     teams << " - {id: " << team << ", policy: " << m_options.policy
           << ", grant_way: " << m_options.grant_way
           << ", partition: " << m_options.partition
@@ -192,7 +192,7 @@
   }
 }
 
-// An endpoint announces itself to the next entry that it reaches.
+// An endpoint announces itself to one entry that it can reach, in rotation.
 void World::Announce(Engine* engine) {
   if (!engine->Alive()) return;
   const std::string& id = engine->Record().id;
@@ -231,7 +231,8 @@
 
 void World::SetFault(const std::string& one, const std::string& other,
                      const LinkFault& fault) {
-  // A connection to an engine keeps the order of its bytes.
+  // A connection to an engine preserves the order of its bytes, so its link has
+  // no jitter and delivers no message twice.
   LinkFault kept = fault;
   if (FindEngine(one) || FindEngine(other)) kept = {.delay = fault.delay};
   m_network.SetFault(one, other, kept);
@@ -283,8 +284,8 @@
   request.idempotency_key = added.key;
   request.idempotent = added.idempotent;
   request.deadline = added.deadline;
-  // What has the same key, or crashes engines by the same name, is the same
-  // content.
+  // Requests with the same key have the same content, as do the crashing
+  // requests of one group.
   std::string content = std::to_string(added.id);
   if (added.crashes_engines) content = added.group;
   if (!added.key.empty()) content = added.team + added.key;
@@ -292,7 +293,7 @@
   EntryHost* entry = FindEntry(added.entry);
   m_network.After(1ms, [this, entry, request, id = added.id] {
     RequestRecord& sent = m_records.Of(id);
-    // As an entry names a request that came without a key.
+    // The key that an entry assigns to a request without one.
     if (sent.key.empty()) {
       sent.key = "~" + entry->Name() + "." +
                  std::to_string(entry->Self().incarnation) + "." +
--- a/tests/scenarios/world.h
+++ b/tests/scenarios/world.h
@@ -12,7 +12,7 @@
 
 namespace dotterelshift::scenarios {
 
-// The shape of a deployment.
+// Size and layout of a deployment.
 struct Deployment {
   std::vector<DataCentreId> data_centres;
   int entries = 0;
@@ -28,12 +28,12 @@
   std::string policy = "overspend_first";
   std::string grant_way = "witnessed";
   std::string partition = "10s";
-  Tokens tokens = 1'000'000;  // that each team's budget has at the start
+  Tokens tokens = 1'000'000;  // bought for each team's budget at the start
   bool serve_when_cut_off = true;
   uint64_t seed = 1;
 };
 
-// What an operator was told of a plan or a confirm.
+// The answer to an operator's plan or confirm.
 struct OperatorAnswer {
   bool answered = false;
   ErrorKind error = ErrorKind::kNone;
@@ -41,8 +41,8 @@
   uint64_t version = 0;
 };
 
-// The hosts of a deployment over one network: teams t1 to t10, each with a key,
-// a budget b1 to b10, and reach of everything.
+// A simulated deployment: its hosts on one network and the teams t1 to t10.
+// Each team has a key and a budget (b1 to b10) and may use all endpoints.
 class World {
  public:
   explicit World(const WorldOptions& options);
@@ -50,11 +50,11 @@
   Network& GetNetwork() { return m_network; }
   Records& GetRecords() { return m_records; }
 
-  // Moves the clock, in ticks.
+  // Advances the clock by `duration`, tick by tick.
   void Run(Duration duration);
 
-  // By name, or by data centre: all hosts and endpoints there. Throws
-  // Error(kBadField) for a name that is nowhere.
+  // Returns the host or endpoint of that name, or all those in the data centre
+  // of that name. Throws Error(kBadField) for an unknown name.
   std::vector<std::string> Names(const std::string& name) const;
   void Cut(const std::string& one, const std::string& other);
   void SetFault(const std::string& one, const std::string& other,
@@ -68,8 +68,8 @@
   void KillEntry(const std::string& name);
 
   void SendRequest(RequestRecord record);
-  // An operator plans an intent at a control host, or confirms; a later answer
-  // is kept under `name`.
+  // An operator plans an intent, or confirms a plan, at a control host. The
+  // answer is stored under `name` when it arrives.
   void Plan(const std::string& name, const std::string& author,
             const std::string& intent, const std::string& control);
   void Confirm(const std::string& name, const std::string& plan,
@@ -78,7 +78,7 @@
     return m_operator_answers[name];
   }
 
-  // The promises that can be checked at any time.
+  // Checks the promises that hold at any time.
   void CheckNow();
 
  private:
@@ -95,7 +95,7 @@
   template <typename Body>
   void ProposeAt(const std::string& control, const std::string& name,
                  Body body);
-  // Bought, and neither consumed nor stranded.
+  // The tokens bought for a budget that are neither consumed nor stranded.
   Tokens TokensLeft(const BudgetId& budget) const;
   void CheckBudgets();
   void CheckVersions();
--- a/tools/explore/main.cc
+++ b/tools/explore/main.cc
@@ -1,6 +1,6 @@
-// Runs seeded schedules of faults over control groups that found, heal and
-// replace themselves, and prints what they reached. Ends with 1 at the first
-// rule that does not hold, after the seed that shows it.
+// Runs seeded schedules of faults over simulated control groups that bootstrap,
+// recover and replace their members, and prints totals. Prints the seed of each
+// schedule that violates a rule, and exits with 1 if there was one.
 
 #include <tclap/CmdLine.h>  // for CmdLine
 
--- a/tools/fake_endpoint/announcer.h
+++ b/tools/fake_endpoint/announcer.h
@@ -16,18 +16,18 @@
 
 namespace dotterelshift::fake {
 
-// Prefix blocks that the cache holds.
+// Capacity of the simulated prefix cache, in blocks.
 constexpr size_t kCacheBlocks = 1024;
 
-// Requests that run and wait at an instant.
+// The number of running and waiting requests at one time.
 struct Load {
   Instant when;
   int running = 0;
   size_t waiting = 0;
 };
 
-// Tells the entries of the endpoint, with its load as it was some time ago and
-// its cache events late and with gaps.
+// Announces the endpoint to the entries. The options can delay the reported
+// load and the cache events, and drop some of the events.
 class Announcer {
  public:
   Announcer(loop::Loop& loop, const Options& options, uint16_t port)
@@ -63,7 +63,7 @@
       m_client->Start(std::move(request), {});
     }
   }
-  // Prefixes that a request has brought into the cache.
+  // Adds a request's prefixes to the cache and evicts the oldest ones.
   void OnPrefixes(const std::vector<uint64_t>& hashes) {
     for (const uint64_t hash : hashes) {
       if (!m_cached.insert(hash).second) continue;
@@ -141,7 +141,7 @@
   const Options& m_options;
   std::string m_address;
   std::string m_role;
-  std::map<std::string, std::string> m_models;  // versions by name
+  std::map<std::string, std::string> m_models;  // version by model name
   std::function<Load()> m_load;
   std::deque<Load> m_history;
   int64_t m_incarnation;
--- a/tools/fake_endpoint/main.cc
+++ b/tools/fake_endpoint/main.cc
@@ -1,4 +1,4 @@
-// A stand-in for a model engine and for plain services, for tests and the demo.
+// A fake model engine and plain service, for tests and the demo.
 #include <csignal>     // for signal
 #include <cstdlib>     // for _Exit
 #include <deque>       // for deque
@@ -23,13 +23,13 @@
 constexpr size_t kPauseAboveBytes = 256 << 10;
 const http::Headers kJson = {{"Content-Type", "application/json"}};
 
-// One request from its arrival; kept after its end as the truth that tests
-// compare with bills.
+// One request, from its arrival on. Kept after its end so that tests can
+// compare the tokens written with the bills.
 struct Served {
   std::string key;
   std::string state = "waiting";  // running, whole, cut, cancelled
   Tokens prompt_tokens = 0;
-  Tokens tokens = 0;  // written
+  Tokens tokens = 0;  // written so far
   Tokens wanted = 0;
   CallerRequest request;
   ExchangePtr exchange;
@@ -53,7 +53,8 @@
   }
 
  private:
-  // Written aside and renamed, so that nobody reads half a number.
+  // Writes a temporary file and renames it, so that no reader sees a partial
+  // number.
   void WritePort() {
     const std::string aside = m_options.port_file + ".new";
     std::ofstream(aside) << m_server->Port() << '\n';
@@ -81,7 +82,8 @@
                      json{{"error", {{"message", text}}}}.dump());
   }
 
-  // Takes one of so many; a negative count never ends.
+  // Decrements a positive count. Returns false at 0; a negative count is
+  // unlimited.
   static bool Take(int& count) {
     if (count > 0) return count-- > 0;
     return count < 0;
@@ -95,7 +97,8 @@
   }
 
   void OnWork(const ExchangePtr& exchange) {
-    // The callers' parser reads what the entry sends, but for the team's key.
+    // Entries send requests in the callers' format, but without the team's key.
+    // A placeholder key lets the callers' parser read them.
     http::Request request = exchange->GetRequest();
     request.headers.emplace_back("authorization", "Bearer none");
     auto parsed = callers::ParseCallerRequest(request, {}, "");
@@ -147,7 +150,8 @@
     }
   }
 
-  // Writes what is due of an answer.
+  // Writes the next part of a response, or all of it if there is no token
+  // interval.
   void Step(int number) {
     Served& served = m_served[number];
     if (served.request.kind == RequestKind::kService) return Finish(number);
@@ -165,7 +169,8 @@
     served.timer->ArmIn(at_once ? 1ms : m_options.token_interval);
   }
 
-  // Each token names its request, so that a crossed answer would show.
+  // Each token contains the key of its request, so that tests can detect
+  // content of another request.
   static std::string Token(const Served& served, Tokens index) {
     return (served.key.empty() ? "t" : served.key) + "-" +
            std::to_string(index) + " ";
@@ -296,7 +301,8 @@
     StopWhenDrained();
   }
 
-  // Waits for the announcement to leave and the answers to be taken.
+  // Once drained, allows time for the last announcement and responses to be
+  // sent.
   void StopWhenDrained() {
     if (m_stop_when_drained && m_running == 0 && m_queue.empty())
       m_stop.ArmIn(2 * m_options.announce_interval);
--- a/tools/fake_endpoint/options.h
+++ b/tools/fake_endpoint/options.h
@@ -15,13 +15,13 @@
 
 namespace dotterelshift::fake {
 
-// How the fake behaves; the defaults are those of a good endpoint.
+// Behaviour of the fake endpoint. By default it has no faults.
 struct Options {
   std::string id = "fake-1";
   std::string address = "127.0.0.1";
   uint16_t port = 0;
   std::string port_file;
-  std::vector<std::string> announce_to;  // IP:port of entries
+  std::vector<std::string> announce_to;  // addresses of entries, as IP:port
   Duration announce_interval = 500ms;
   std::string data_centre = "local";
   std::string role;
@@ -29,22 +29,22 @@
   std::vector<std::string> services;
   bool checks_fencing = false;
 
-  Tokens tokens = 16;  // of an answer, unless the request's limit is less
-  Duration token_interval = 5ms;  // 0: all at once
+  Tokens tokens = 16;  // per response, unless the request's limit is lower
+  Duration token_interval = 5ms;  // 0: all tokens at once
   Duration first_token_delay = 0ms;
-  int slots = 64;             // requests that run at once; others wait
-  size_t max_waiting = 1024;  // past it: 429
+  int slots = 64;             // requests that run concurrently; others wait
+  size_t max_waiting = 1024;  // further requests are refused with 429
 
-  int cut_after = -1;      // tokens; -1: never
-  int cut_count = -1;      // requests that are cut; -1: all
-  int refuse_count = 0;    // first requests refused before running; -1: all
-  std::string crash_mark;  // in a body: the process exits; empty: never
+  int cut_after = -1;      // tokens after which a stream is aborted; -1: never
+  int cut_count = -1;      // requests that are aborted; -1: all
+  int refuse_count = 0;    // first requests refused before they run; -1: all
+  std::string crash_mark;  // a body with it ends the process; empty: never
   bool no_usage = false;
-  bool ignore_limit = false;  // writes more than the limit sent along
+  bool ignore_limit = false;  // writes past the request's output limit
 
   Duration load_lag = 0ms;
   Duration cache_lag = 0ms;
-  int cache_gap = 0;  // each so many-th cache event is lost; 0: none
+  int cache_gap = 0;  // every n-th cache event is dropped; 0: none
 };
 
 inline std::vector<std::string> Split(const std::string& list) {
@@ -55,7 +55,7 @@
   return parts;
 }
 
-// Sets an option's place from its text on the command line.
+// Parses the text of a command-line option into `place`.
 inline void Set(const std::string& text, std::string* place) { *place = text; }
 inline void Set(const std::string& text, std::vector<std::string>* place) {
   *place = Split(text);
@@ -68,7 +68,7 @@
   std::istringstream(text) >> *place;
 }
 
-// Exits with a message when the command line is wrong.
+// Parses the command line; exits with a message if it is invalid.
 inline Options ReadOptions(int argc, char** argv) {
   Options o;
   TCLAP::CmdLine line("A stand-in for a model engine or a plain service.");
