--- a/tests/process/serving_process_test.cc
+++ b/tests/process/serving_process_test.cc
@@ -89,7 +89,7 @@
       Start(calls[i], &ended);
     }
     // All requests are in flight, and some have received chunks.
-    RunUntil(Loop(), "first pieces", [&] {
+    RunUntil(Loop(), "first chunks", [&] {
       int begun = 0;
       for (const Call& call : calls) begun += call.body.empty() ? 0 : 1;
       return begun > 20;
@@ -97,7 +97,8 @@
     m_fleet->Kill("f0");
     m_fleet->Send("POST", Url("f1", "/control/drain"), {}, {});
     m_fleet->Kill("e2");
-    RunUntil(Loop(), "all ends", [&] { return ended == kCalls; });
+    RunUntil(Loop(), "the end of all requests",
+             [&] { return ended == kCalls; });
     const std::map<std::string, int> ran = RunsByKey();
     for (const Call& call : calls) CheckTruth(call, ran);
 
@@ -119,7 +120,7 @@
       Start(call, &again);
       ++asked;
     }
-    RunUntil(Loop(), "the second round", [&] { return again == asked; });
+    RunUntil(Loop(), "the retries", [&] { return again == asked; });
     for (const Call& call : calls) {
       CPPUNIT_ASSERT_MESSAGE(call.key + ": " + call.body, call.WholeAnswer());
     }
@@ -136,14 +137,15 @@
       calls[i].entry = "e1";
       Start(calls[i], &ended);
     }
-    RunUntil(Loop(), "first pieces", [&] {
+    RunUntil(Loop(), "first chunks", [&] {
       int begun = 0;
       for (const Call& call : calls) begun += call.body.empty() ? 0 : 1;
       return begun == kCalls;
     });
     m_fleet->ProcessOf("e1").Signal(SIGTERM);
     m_fleet->ProcessOf("e1").Signal(SIGTERM);
-    RunUntil(Loop(), "all ends", [&] { return ended == kCalls; });
+    RunUntil(Loop(), "the end of all requests",
+             [&] { return ended == kCalls; });
     for (const Call& call : calls) {
       CPPUNIT_ASSERT_MESSAGE(call.key + ": " + call.body, call.WholeAnswer());
     }
@@ -221,10 +223,11 @@
     }
     CPPUNIT_ASSERT_MESSAGE(last, last.find("quarantined") != std::string::npos);
     // The connections of a process close before its parent sees that it ended.
-    RunUntil(Loop(), "three dead", [&] { return CountDead() >= 3; });
+    RunUntil(Loop(), "three dead endpoints", [&] { return CountDead() >= 3; });
     // The other requests must not be reported as quarantined. Those without a
     // complete response are retried, and the retry must complete.
-    RunUntil(Loop(), "all ends", [&] { return ended == kInnocent; });
+    RunUntil(Loop(), "the end of all requests",
+             [&] { return ended == kInnocent; });
     for (Call& call : calls) {
       if (call.WholeAnswer()) continue;
       CPPUNIT_ASSERT_MESSAGE(
--- a/tests/process/slow_link.cc
+++ b/tests/process/slow_link.cc
@@ -53,7 +53,7 @@
   LinkWay way = LinkWay::kIn;  // from ends[0] to ends[1]
   std::string target;
   std::array<End, 2> ends;
-  std::unique_ptr<loop::Timer> gives_up;  // armed until the connection is open
+  std::unique_ptr<loop::Timer> gives_up;  // armed until it is open
   bool connecting = false;
   bool closed = false;
 };
