--- a/bench/admission_bench.cc
+++ b/bench/admission_bench.cc
@@ -1,6 +1,6 @@
-// Admission under a flood: one team sends ten times what an engine carries,
-// nine others a little. The clock is moved by hand and the arrivals come from a
-// seed, so each run prints the same figures.
+// Measures admission under overload: one team sends ten times what an engine
+// can serve, nine other teams send little. The simulated clock and the seeded
+// arrivals make the output the same in each run.
 #include <algorithm>  // for sort
 #include <cstdio>     // for printf
 #include <map>        // for map
@@ -15,21 +15,21 @@
 namespace dotterelshift::admission {
 namespace {
 
-constexpr int kSlots = 16;          // requests the engine runs at once
+constexpr int kSlots = 16;  // requests that the engine runs concurrently
 constexpr double kPrefill = 0.030;  // seconds to the first token
-constexpr double kDecode = 0.400;   // mean seconds from there to the end
-constexpr double kFloodRate = 370;  // requests a second
-constexpr double kQuietRate = 1;    // of each quiet team
+constexpr double kDecode = 0.400;   // mean seconds from first token to end
+constexpr double kFloodRate = 370;  // requests per second
+constexpr double kQuietRate = 1;    // requests per second of each quiet team
 constexpr int kQuietTeams = 9;
 constexpr double kRunSeconds = 120;
 constexpr Duration kDeadline = 5s;
 const std::string kTarget = "m";
-constexpr int kLearned = 0;  // in place of a fixed limit
+constexpr int kLearned = 0;  // no fixed limit: it adapts to first-token latency
 
 struct Policy {
   const char* name;
   bool fair;
-  int limit;  // fixed, or kLearned
+  int limit;  // a fixed limit, or kLearned
   bool refuse_early;
 };
 
@@ -53,8 +53,8 @@
   std::vector<double> first_token;  // seconds from arrival
   int arrived = 0;
   int served = 0;
-  int refused = 0;  // at arrival
-  int expired = 0;  // at the deadline, after waiting for it
+  int refused = 0;  // rejected on arrival
+  int expired = 0;  // still queued at the deadline
 };
 
 Instant At(double seconds) {
@@ -62,7 +62,8 @@
       std::chrono::duration<double>(seconds + 1)));
 }
 
-// One entry with its queue before one engine with slots and a queue of its own.
+// Simulates one entry with a fair queue in front of one engine, which has slots
+// and its own queue.
 class Run {
  public:
   explicit Run(const Policy& policy) : m_policy(policy) {
@@ -186,7 +187,7 @@
   ConcurrencyLimit m_learned;
   std::queue<RequestId> m_engine_queue;
   std::map<RequestId, Sent> m_sent;
-  std::map<bool, Totals> m_totals;  // by whether the team is a quiet one
+  std::map<bool, Totals> m_totals;  // key: whether the team is a quiet one
   double m_now = 0;
   int m_in_flight = 0;
   int m_running = 0;
--- a/bench/commit_bench.cc
+++ b/bench/commit_bench.cc
@@ -1,6 +1,7 @@
-// The rate at which three control replicas commit, on loopback with real syncs;
-// the time without a leader after its death; the time of a restart. Each
-// replica is a process of this program, so that their files sync side by side.
+// Measures the commit rate of three control replicas on loopback with real file
+// syncs, the time from killing the leader to the next commit, and the restart
+// time. Each replica is a separate process of this program, so that the
+// replicas sync their files in parallel.
 
 #include <fcntl.h>     // for open
 #include <poll.h>      // for poll
@@ -36,7 +37,7 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-// Proposes the commands of one entry: attempts that are opened and settled.
+// Proposes the commands of one entry, which opens and settles attempts.
 class Load {
  public:
   Load(loop::Loop& loop, app::ControlReplica& replica, Incarnation incarnation)
@@ -45,7 +46,8 @@
         m_run(nullptr, "entry", incarnation),
         m_incarnation(incarnation) {}
 
-  // Makes a team and a budget, once, and takes a grant.
+  // Creates a team and a budget, unless an earlier leader did, and requests a
+  // grant. Then calls `done`.
   void Prepare(const std::function<void()>& done) {
     std::vector<wire::ChangeT> changes;
     changes.push_back(state::TeamChange("team"));
@@ -64,8 +66,9 @@
                       [done](ErrorKind, const auto&) { done(); });
   }
 
-  // Keeps this many commands under way, so many in a proposal, until `end`;
-  // then tells how many were carried out.
+  // Keeps `outstanding` commands in flight, `in_proposal` of them in each
+  // proposal, until `end`. Then calls `done` with the number of commands that
+  // succeeded.
   void RunUntil(Instant end, size_t outstanding, size_t in_proposal,
                 std::function<void(uint64_t)> done) {
     m_end = end;
@@ -76,7 +79,7 @@
     for (size_t i = 0; i < outstanding; i += in_proposal) ProposeSome();
   }
 
-  // As many commands as that.
+  // Like RunUntil(), but stops after at least `count` successes.
   void RunCount(uint64_t count, std::function<void(uint64_t)> done) {
     m_most = count;
     RunUntil(Instant::max(), kCommandsOutstanding, kCommandsInProposal,
@@ -128,7 +131,7 @@
   std::function<void(uint64_t)> m_done;
 };
 
-// ---- one replica's process ------------------------------------------------
+// ---- replica process ------------------------------------------------------
 
 std::string HostName(int replica) { return "r" + std::to_string(replica); }
 
@@ -173,7 +176,7 @@
   void Run() { m_loop.Run(); }
 
  private:
-  // A new leader commits a first command and says so.
+  // A new leader commits its first commands and then reports that it leads.
   void OnLeadershipChanged() {
     if (m_replica->GetNode().Role() != replication::NodeRole::kLeader) return;
     m_load.emplace(m_loop, *m_replica,
@@ -184,7 +187,8 @@
     });
   }
 
-  // A replica that follows a leader and holds all that is committed has joined.
+  // A replica has joined when it knows a leader, has applied a command, and its
+  // commit index has not changed since the previous check.
   void CheckJoined() {
     const replication::Node& node = m_replica->GetNode();
     const bool joined = node.Leader() != 0 && node.Commit() > 0 &&
@@ -225,7 +229,7 @@
   std::optional<Load> m_load;
 };
 
-// ---- the process that measures --------------------------------------------
+// ---- measuring process ----------------------------------------------------
 
 struct Child {
   pid_t pid = 0;
@@ -282,7 +286,7 @@
     child.output = -1;
   }
 
-  // The next line that any child says.
+  // Blocks until a child process has printed a line, and returns it.
   std::string Line() {
     while (true) {
       std::array<pollfd, kReplicas> polled{};
@@ -332,7 +336,7 @@
   std::array<Child, kReplicas> m_children;
 };
 
-// Appends and syncs a file again and again; writes a second.
+// Appends to a file and syncs it repeatedly for 1 s; returns writes per second.
 double BareSyncRate(size_t bytes) {
   const TemporaryFolder folder;
   const int file = open((folder.Path() + "/file").c_str(),
@@ -355,8 +359,9 @@
               BareSyncRate(256 << 10));
   Group group(program);
   int leader = group.WaitForLeader();
-  // The batches come last: the leader makes a snapshot under them, which may
-  // cost it its lead, and a rate measured after that would be nought.
+  // The batches run after the single commands: the leader takes a snapshot
+  // during them and may lose its leadership. A rate that is then measured on
+  // the former leader would be 0.
   std::printf("three replicas, one command at a time: %.0f a second\n",
               group.Rate(leader, 's'));
   std::printf("three replicas, batches: %.0f commands a second\n",
@@ -378,7 +383,7 @@
       kKills, gaps[kKills / 2], gaps.back());
 }
 
-// Fills a replica's folder, then starts it again.
+// Fills a replica's data folder, then measures a restart from it.
 void MeasureRestart(uint64_t commands, uint64_t snapshot_every_bytes) {
   const TemporaryFolder folder;
   app::ControlReplicaOptions options;
@@ -434,6 +439,6 @@
   dotterelshift::MeasureRestart(
       kCommands,
       dotterelshift::app::ControlReplicaOptions().snapshot.min_log_bytes);
-  dotterelshift::MeasureRestart(kCommands, 1 << 30);  // the log alone
+  dotterelshift::MeasureRestart(kCommands, 1 << 30);  // log only, no snapshot
   return 0;
 }
--- a/bench/entry_bench.cc
+++ b/bench/entry_bench.cc
@@ -1,7 +1,7 @@
-// Measures one entry daemon between a client and fake endpoints, beside the
-// same client straight at the endpoints: what it adds to the first token, short
-// requests a second, token events a second over many streams, memory. Usage:
-// entry_bench [latency|short|streams|traffic ...]
+// Measures one entry daemon between a client and fake endpoints, compared with
+// the same client connected directly to the endpoints: added latency of the
+// first token, short requests per second, token events per second over many
+// streams, and memory. Usage: entry_bench [latency|short|streams|traffic ...]
 #include <unistd.h>  // for sysconf
 
 #include <algorithm>   // for sort
@@ -46,7 +46,7 @@
   double peak_mb = 0;
 };
 
-// Processor time and peak memory of a process so far.
+// Returns the CPU time and peak memory that a process has used so far.
 Usage UsageOf(pid_t pid) {
   Usage usage;
   std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
@@ -81,7 +81,7 @@
   std::string key;
 };
 
-// What a run of many requests came to.
+// Totals of a run of many requests.
 struct RunResult {
   size_t whole = 0;
   size_t failed = 0;
@@ -99,7 +99,7 @@
   void Traffic();
 
  private:
-  // A number from the entry's /metrics.
+  // Reads a value from the entry's /metrics.
   double Metric(const std::string& name);
   void Wait(Duration duration);
   RunResult Run(const Target& target, size_t requests, size_t at_once,
@@ -136,7 +136,8 @@
   const auto confirmed = m_fleet.PlanAndConfirm("c1", kIntent);
   if (confirmed.status != 200) throw std::runtime_error(confirmed.body);
   m_fleet.AwaitVersion("e1", 1);
-  // Warm: holdings granted, connections open, every endpoint known.
+  // Warm up, so that grants are held, connections are open and all endpoints
+  // are known before anything is measured.
   Run(m_plain, 200, 8,
       R"({"model":"fast","max_tokens":1,"messages":[{"role":"user","content":"Which library?"}]})");
   Run(m_strict, 200, 8,
@@ -269,7 +270,7 @@
   testing::RunUntil(m_fleet.GetLoop(), "the time", [&] { return over; });
 }
 
-// What an entry and control exchange: idle, and for each request.
+// Measures the traffic between an entry and control, idle and per request.
 void Bench::Traffic() {
   constexpr size_t kRequests = 5000;
   constexpr int kIdleSeconds = 10;
@@ -280,7 +281,7 @@
            Metric("dotterelshift_peer_bytes_out_total");
   };
   std::printf("-- traffic between the entry and control, both ways\n");
-  Wait(12s);  // idle grants have flowed back
+  Wait(12s);  // until idle grants have been returned
   double before = bytes();
   Usage entry = UsageOf(m_fleet.ProcessOf("e1").Pid());
   Usage control = UsageOf(m_fleet.ProcessOf("c1").Pid());
--- a/bench/grant_policies.cc
+++ b/bench/grant_policies.cc
@@ -1,6 +1,6 @@
-// Compares the ways of holding grants on the two deployments' shapes, over the
-// real State, Ledger and RecallCore with a clock moved by hand. Prints a
-// Markdown table for docs/MEASURES.md; the same numbers each run.
+// Compares the grant modes under the load of two deployments, using the real
+// State, Ledger and RecallCore with a simulated clock. Prints a Markdown table
+// for docs/MEASURES.md; the numbers are the same in each run.
 #include <algorithm>  // for sort
 #include <cstdio>     // for snprintf
 #include <iostream>   // for cout
--- a/bench/grant_simulation.h
+++ b/bench/grant_simulation.h
@@ -27,13 +27,13 @@
 inline constexpr Duration kRun = 20 * kMinute;
 inline constexpr Duration kCutAt = 5 * kMinute;
 inline constexpr Duration kCutFor = 6 * kMinute;
-inline constexpr Duration kTopUpAt = 8 * kMinute;  // in the partition
+inline constexpr Duration kTopUpAt = 8 * kMinute;  // during the partition
 inline constexpr Duration kRestart = 5s;
 inline constexpr Duration kLookAgain = 100ms;
 inline constexpr size_t kTeams = 10;
 
-// One run of a deployment under one variant, by events in the order of a clock
-// moved by hand.
+// Discrete-event simulation of one deployment under one variant, with a
+// simulated clock.
 class Simulation {
  public:
   Simulation(const Deployment& deployment, const Variant& variant)
@@ -66,7 +66,7 @@
                                            : m_deployment.small_rate;
   }
 
-  // ---- the run's course
+  // ---- schedule of the run
 
   void SetUp() {
     m_state = state::MakeState();
@@ -86,13 +86,15 @@
     At(m_start + kCutAt + kCutFor, [this] { SetCut(false); });
     At(m_start + kTopUpAt, [this] { TopUpAll(); });
     const size_t last = m_deployment.entries - 1;
-    // An entry dies in the partition, cut off; another on the leader's side.
+    // Kill an entry that is cut off during the partition, and later one that
+    // can reach the leader.
     At(m_start + kCutAt + 3 * kMinute, [this, last] { Kill(last); });
     At(m_start + 14 * kMinute, [this] { Kill(0); });
   }
 
-  // Mean demand uses up nine tenths of what is bought before the top-up by the
-  // time of it, so that budgets run short in the partition.
+  // The first purchase is 1.1 times the mean demand until the top-up, so that
+  // about nine tenths of it are consumed by then and budgets run short during
+  // the partition.
   void SetUpTeam(size_t team) {
     std::vector<wire::ChangeT> changes;
     changes.push_back(state::TeamChange("t" + std::to_string(team),
@@ -120,7 +122,8 @@
     state::Accept(m_operator, *m_state, id, std::move(changes), Stamp());
   }
 
-  // The second purchase lasts until a little before the end.
+  // The second purchase is 0.8 times the mean demand until the end of the run,
+  // so that budgets run out shortly before the end.
   void TopUpAll() {
     for (size_t team = 0; team < kTeams; ++team)
       TopUp(team, 0.8 * DemandUntil(team, kRun - kTopUpAt));
@@ -145,7 +148,8 @@
     Send(entry, wire::RegisterHostT(), [](const auto&) {});
   }
 
-  // What its running attempts consumed until now is spent and not settled.
+  // Half of what each running attempt would have spent counts as consumed, but
+  // it is never settled.
   void Kill(size_t index) {
     Entry& entry = *m_entries[index];
     entry.up = false;
@@ -273,8 +277,8 @@
     Tend(entry);
   }
 
-  // A refusal is false when the worst case would have fitted into what nobody
-  // had consumed or reserved.
+  // A refusal is false when the tokens that were neither consumed nor reserved
+  // anywhere would have covered the worst case.
   void Refuse(const Entry& entry, const Request& request) {
     ++m_figures.refused;
     const Tokens purchased =
@@ -290,7 +294,8 @@
     }
   }
 
-  // What the leader could give out at once or recall.
+  // Tokens that the leader could grant immediately or recall from connected
+  // entries.
   Tokens InReach(size_t team) const {
     Tokens tokens = m_state->FindAccount(BudgetOf(team))->Free();
     for (const auto& entry : m_entries) {
@@ -316,7 +321,7 @@
     After(kLookAgain, [this, index] { LookAgain(index); });
   }
 
-  // ---- between entries and control
+  // ---- messages between entries and control
 
   WallMs Stamp() const { return 1 + ToMs(m_now.time_since_epoch()); }
 
@@ -334,7 +339,8 @@
     return entry.sequence;
   }
 
-  // A message is lost when the link is cut at its start or its end.
+  // A message is lost if the entry is cut off when the message is sent or when
+  // it arrives.
   void Transmit(Entry& entry, uint64_t sequence) {
     if (!entry.connected) return;
     const Incarnation incarnation = entry.run.incarnation;
@@ -456,7 +462,7 @@
   state::TestSender m_operator{nullptr, "", 0};
   budget::RecallCore m_recalls;
   std::vector<std::unique_ptr<Entry>> m_entries;
-  std::vector<Tokens> m_consumed;  // truly, by team
+  std::vector<Tokens> m_consumed;  // actual consumption, by team
   std::vector<Tokens> m_reserved;
   uint64_t m_requests = 0;
   uint64_t m_top_ups = 0;
--- a/bench/grant_simulation_types.h
+++ b/bench/grant_simulation_types.h
@@ -12,25 +12,26 @@
 #include "dotterelshift/budget/ledger.h"            // for Ledger
 #include "dotterelshift/wire/commands_generated.h"  // for CommandT
 
-// What the comparison of grant ways reckons with.
+// Types of the simulation that compares grant modes.
 
 namespace dotterelshift::bench {
 
-// A deployment's load: requests a second of each team, spread over all entries.
+// The size and load of a deployment. The rates are requests per second of each
+// team, distributed over all entries.
 struct Deployment {
   const char* name;
   wire::TeamPolicy policy;
   size_t entries;
-  size_t cut;  // how many of them the partition cuts off: one data centre's
+  size_t cut;  // entries of one data centre, which the partition cuts off
   double large_rate;
   size_t large_teams;
   double small_rate;
   Tokens least_worst_case;
   Tokens most_worst_case;
-  Duration timeout;  // how long a request waits for tokens
+  Duration timeout;  // maximum time that a request waits for tokens
 };
 
-// What is varied.
+// The settings that differ between the compared runs.
 struct Variant {
   const char* name;
   wire::GrantWay way;
@@ -41,11 +42,11 @@
 struct Figures {
   uint64_t served = 0;
   uint64_t refused = 0;
-  uint64_t false_refusals = 0;   // budget remained somewhere: free or held
-  uint64_t false_while_cut = 0;  // of them: at entries that were cut off
-  uint64_t avoidable = 0;  // of them: tokens in the leader's reach were enough
+  uint64_t false_refusals = 0;   // enough budget was free or held somewhere
+  uint64_t false_while_cut = 0;  // of these, at entries that were cut off
+  uint64_t avoidable = 0;  // of these, the leader could reach enough tokens
   Tokens overspend = 0;
-  Tokens stranded = 0;  // lost at the end
+  Tokens stranded = 0;  // counted as lost at the end of the run
   Tokens purchased = 0;
   Tokens consumed = 0;
   uint64_t commits_before_dispatch = 0;
@@ -85,7 +86,7 @@
   std::vector<budget::BudgetHandle> budgets;
   uint64_t sequence = 0;
   std::map<uint64_t, Pending> outbox;
-  std::vector<uint64_t> asks;  // sequence of the ask under way, by team
+  std::vector<uint64_t> asks;  // sequence of the pending grant request, by team
   std::vector<Request> waiting;
   std::map<AttemptId, Request> running;
 };
--- a/bench/http_bench.cc
+++ b/bench/http_bench.cc
@@ -1,7 +1,7 @@
-// What the HTTP plumbing of an entry carries on one core: an endpoint, a relay
-// (callers' front and endpoints' runner, nothing decided or metered between)
-// and callers, each a process of its own on loopback; the relay's processor
-// time is what counts.
+// Measures the throughput of an entry's HTTP layer on one core. An endpoint, a
+// relay and the callers run on loopback, each in its own process. The
+// relay joins callers::Front and endpoints::AttemptRunner without routing or
+// metering; its CPU time is the measured quantity.
 //
 //   http_bench [streams] [tokens per stream] [short requests] [token interval
 //              in ms]
@@ -44,8 +44,8 @@
   Duration interval = 10ms;
 };
 
-// Streams a token to all who listen each interval, so that an entry meets them
-// as engines send them: many streams, one token each.
+// Sends one token to every open stream in each interval, which is the pattern
+// in which engines send tokens: many streams, one token each.
 class Endpoint {
  public:
   Endpoint(loop::Loop& loop, const Size& size)
@@ -76,7 +76,7 @@
 
   void Tick() {
     m_timer.ArmIn(m_size.interval);
-    // Nobody gets a token before all are there.
+    // No token is sent until all streams are open.
     m_started =
         m_started || m_streams.size() == static_cast<size_t>(m_size.streams);
     if (!m_started) return;
@@ -99,7 +99,7 @@
   loop::Timer m_timer;
 };
 
-// Joins the callers' side and the endpoints' side.
+// Connects callers::Front directly to endpoints::AttemptRunner.
 class Relay {
  public:
   Relay(loop::Loop& loop, uint16_t endpoint)
@@ -152,7 +152,7 @@
   std::unique_ptr<http::Server> m_server;
 };
 
-// Sends requests and counts what comes back.
+// Sends requests and counts response bytes and failures.
 class Callers {
  public:
   Callers(loop::Loop& loop, uint16_t port)
@@ -161,7 +161,8 @@
               "/v1/chat/completions"),
         m_client(http::MakeClient(loop)) {}
 
-  // Keeps `open` requests going until `total` have ended; returns the seconds.
+  // Keeps `open` requests in flight until `total` have ended. Returns the
+  // elapsed seconds.
   double Run(int open, int total, bool stream) {
     m_stream = stream;
     m_left = total;
@@ -176,7 +177,7 @@
   size_t Bytes() const { return m_bytes; }
   int Failed() const { return m_failed; }
 
-  // Median time to the first byte, in milliseconds.
+  // Median time to the response head, in milliseconds.
   double MedianFirstByte() {
     std::ranges::sort(m_first_byte);
     return m_first_byte.empty() ? 0 : m_first_byte[m_first_byte.size() / 2];
@@ -228,10 +229,11 @@
   uint16_t port = 0;
 };
 
-// Runs a part in a process of its own, which reports its port.
+// Forks a process that runs the server made by `make_part`. The child reports
+// its port through a pipe; the port is 0 if that fails.
 template <typename MakePart>
 Child Spawn(const MakePart& make_part) {
-  std::fflush(stdout);  // or the child writes it again
+  std::fflush(stdout);  // else the child prints the buffer again
   int ends[2];
   if (pipe(ends) != 0) return {};
   const pid_t process = fork();
@@ -252,7 +254,7 @@
   return child;
 }
 
-// Ends a part; returns what it used.
+// Terminates a child process and returns its resource usage.
 rusage End(const Child& child) {
   rusage used{};
   kill(child.process, SIGTERM);
--- a/bench/routes_bench.cc
+++ b/bench/routes_bench.cc
@@ -1,6 +1,7 @@
-// What a change of the published routes costs, by the size of the document:
-// bytes and time to tell it as a step, to take the step, and to read the
-// document; and the document by itself, for who has none.
+// Measures the cost of a change of the published routes by document size: bytes
+// and time to encode the change as a delta, to apply the delta and to parse the
+// document. Also measures the full document, which is sent to receivers that
+// have no earlier version.
 #include <chrono>   // for steady_clock
 #include <cstdio>   // for printf
 #include <string>   // for string
@@ -14,7 +15,7 @@
 namespace dotterelshift {
 namespace {
 
-// The shortest of some runs, in milliseconds.
+// Returns the shortest duration of 20 runs, in milliseconds.
 template <typename Work>
 double TimeOf(Work work) {
   constexpr int kRuns = 20;
--- a/bench/routing_bench.cc
+++ b/bench/routing_bench.cc
@@ -1,6 +1,7 @@
-// Routing policies side by side. Without arguments: a small queue model of the
-// two deployments under each policy, as a markdown table that is the same each
-// run. With "choice": the time of one choice among 710 endpoints.
+// Compares the routing policies. Without arguments, simulates a queueing model
+// of two deployments under each policy and prints a Markdown table, which is
+// the same in each run. With "choice", measures the time of one routing choice
+// among 710 endpoints.
 #include <algorithm>  // for sort
 #include <chrono>     // for steady_clock
 #include <cstdio>     // for printf
@@ -70,7 +71,8 @@
   }
 }
 
-// The median time of a choice, in batches, for each policy.
+// Prints the median and p99 time of a choice, measured in batches, for each
+// policy.
 void TimeChoices() {
   constexpr size_t kEndpoints = 710;
   constexpr size_t kBatches = 4000;
--- a/bench/routing_model.h
+++ b/bench/routing_model.h
@@ -40,7 +40,7 @@
   size_t models;    // drafting or copy model servers
   size_t services;  // loan-desk or layout and rate servers
   double requests_per_second;
-  size_t shared_blocks;  // of a typical prompt
+  size_t shared_blocks;  // shared prefix of a typical prompt
 };
 
 struct PolicyRow {
@@ -54,13 +54,14 @@
   return (static_cast<double>(random->Below(kSteps)) + 0.5) / kSteps;
 }
 
-// The prompt prefixes that an engine has cached, least recently used out first.
+// The prompt prefix blocks that an engine has cached, with LRU eviction.
 class PrefixCache {
  public:
   explicit PrefixCache(size_t capacity) : m_capacity(capacity) {}
 
-  // How many leading blocks are there; all are afterwards. Tells what was
-  // stored and dropped.
+  // Returns the number of leading blocks that were cached, then caches all of
+  // them. Calls event(hash, true) for each block stored and event(hash, false)
+  // for each block evicted.
   template <typename Event>
   size_t Use(const std::vector<uint64_t>& hashes, const Event& event) {
     size_t hits = 0;
@@ -161,13 +162,14 @@
   return record;
 }
 
-// One deployment under one policy.
+// Simulates one deployment under one policy.
 //
-// An endpoint has slots and a prefix cache of limited size; a
-// request waits for a slot, its prompt is worked through except for what is
-// cached, and its tokens come slower the more slots are in use. Six entries
-// choose, each with a router of its own; load reports come once a second and
-// 300 ms late, cache events 500 ms late and one in twenty is lost.
+// An endpoint has slots and a prefix cache of limited size. A request waits for
+// a slot, the blocks of its prompt that are not cached are prefilled, and
+// prefill and decoding slow down as more slots are in use. Six entries route
+// requests, each with its own router. Load reports are sent once a second and
+// arrive 300 ms late; cache events arrive 500 ms late, and one in twenty is
+// lost.
 class Model {
  public:
   Model(const Deployment& deployment, const PolicyRow& policy)
@@ -228,7 +230,7 @@
         std::chrono::duration<double, std::milli>(ms));
   }
 
-  // Once a second each engine says how it is.
+  // Each engine reports its load about once a second.
   void Report(size_t engine) {
     Publish(engine);
     if (Elapsed() < kRun)
@@ -254,8 +256,8 @@
       router->Refresh(m_directory, m_configuration, m_now);
   }
 
-  // Requests come at random; a few teams send most of them, each from a few
-  // templates that begin the same.
+  // Requests arrive at random times. A few teams send most of them, and each
+  // team uses a few templates, whose prompts share a prefix.
   void Arrive() {
     if (Elapsed() >= kRun) return;
     const double gap_ms =
@@ -371,7 +373,8 @@
     if (m_engines[job.engine].slowness > 1) ++m_result.to_slow;
   }
 
-  // An engine's events reach the entry to which it announces itself.
+  // Cache events of an engine are sent to one entry only, the one to which the
+  // engine announces itself.
   void SendEvent(size_t number, uint64_t hash, bool stored) {
     wire::CacheEventT event;
     event.endpoint = m_engines[number].id;
--- a/bench/scenario_measures.cc
+++ b/bench/scenario_measures.cc
@@ -1,6 +1,6 @@
-// Runs the scripts of scenarios/ that concern budgets under each policy and
-// grant way, and prints what was overspent, refused and stranded as a table.
-// The numbers are the same each run.
+// Runs the scripts in scenarios/ that concern budgets under each policy and
+// grant mode, and prints a table of what was overspent, refused and stranded.
+// The numbers are the same in each run.
 #include <algorithm>  // for find
 #include <array>      // for array
 #include <iostream>   // for cout
--- a/bench/spread_bench.cc
+++ b/bench/spread_bench.cc
@@ -1,6 +1,7 @@
-// How fast news of an endpoint reaches all daemons, and what that costs each of
-// them, at several fleet sizes: the spread core of the directory over a clock
-// moved by hand and links of 2 ms. Prints a markdown table; the same each run.
+// Measures how fast a change of an endpoint reaches all daemons, and the
+// traffic that this costs each daemon, at several fleet sizes. Runs the
+// directory's gossip core with a simulated clock and links of 2 ms. Prints a
+// Markdown table, which is the same in each run.
 #include <flatbuffers/flatbuffers.h>  // for FlatBufferBuilder
 
 #include <algorithm>  // for max, max_element
@@ -27,7 +28,7 @@
   HostId host;
   Directory directory;
   std::unique_ptr<Spread> spread;
-  uint64_t bytes = 0;  // in and out
+  uint64_t bytes = 0;  // sent and received
 };
 
 struct OnTheWay {
@@ -55,8 +56,8 @@
   return builder.GetSize() + kLengthBytes;
 }
 
-// A fleet in which endpoint e announces itself once a second to daemon e mod
-// the number of daemons.
+// A fleet in which endpoint e announces itself once a second to daemon
+// e % daemons.
 class Fleet {
  public:
   explicit Fleet(Size size) : m_size(size) {
@@ -85,12 +86,13 @@
     Announce();
     Deliver();
     for (size_t i = 0; i < m_daemons.size(); ++i) {
-      // Rounds of the daemons are not in step with each other.
+      // The gossip rounds of the daemons are staggered.
       if ((m_now.time_since_epoch() / kStep + i) % 10 == 0) Send(i);
     }
   }
 
-  // Time until all daemons find the endpoint unusable, or give-up.
+  // Returns the time until all daemons consider the endpoint unusable, at most
+  // kGiveUp.
   Duration UntilUnusable(size_t endpoint) {
     const Instant start = m_now;
     while (m_now - start < kGiveUp) {
--- a/bench/state_bench.cc
+++ b/bench/state_bench.cc
@@ -1,6 +1,6 @@
-// Bytes of state for each kind of record, as slopes over several sizes; the
-// state of the two-year size; commands applied a second; the time of a
-// reservation on a held grant.
+// Measures the memory per record of each kind, as the slope over several sizes;
+// the state at the size expected after two years; the commands applied per
+// second; and the time of a reservation on a held grant.
 #include <malloc.h>  // for mallinfo2
 
 #include <algorithm>   // for sort
@@ -29,7 +29,7 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-// A state with its operator, filled step by step.
+// Builds a state by submitting batches of changes as its operator.
 class Filled {
  public:
   Filled()
@@ -92,14 +92,16 @@
   size_t m_plans = 0;
 };
 
-// Bytes in use after `fill` made n records, above those of an empty one.
+// Returns the bytes of state that n records of one kind take.
 using Fill = std::function<size_t(size_t)>;
 
+// Returns the bytes by which `fill` grows the memory in use after `prepare`.
 size_t Measured(const std::function<void(Filled&)>& prepare,
                 const std::function<void(Filled&)>& fill) {
   Filled filled;
   prepare(filled);
-  // A plan that waits in the history is not part of the slope.
+  // Memory that `prepare` uses, such as a plan kept in the history, is not
+  // counted.
   const size_t before = UsedBytes();
   fill(filled);
   return UsedBytes() - before;
--- a/examples/streaming_client.cc
+++ b/examples/streaming_client.cc
@@ -1,4 +1,4 @@
-// Asks for a streamed chat completion and prints the answer as it arrives.
+// Requests a streamed chat completion and prints the response as it arrives.
 //
 //   streaming_client http://127.0.0.1:8080 KEY MODEL "What to ask"
 #include <iostream>           // for cout
@@ -16,8 +16,8 @@
 using dotterelshift::http::TransferEnd;
 using nlohmann::json;
 
-// Prints the text of one event; true when it is the stream's end mark. An
-// answer without the end mark is not whole.
+// Prints the text of one event. Returns true for the end marker of the stream;
+// a response without it is incomplete.
 bool PrintEvent(const std::string& line) {
   constexpr std::string_view kData = "data: ";
   if (!line.starts_with(kData)) return false;
@@ -72,6 +72,6 @@
   client->Start(std::move(request), std::move(callbacks));
   loop.Run();
   std::cout << '\n';
-  if (!done) std::cerr << rest << "the answer is not whole\n";
+  if (!done) std::cerr << rest << "response incomplete: no [DONE] event\n";
   return done ? 0 : 1;
 }
