--- a/bench/admission_bench.cc
+++ b/bench/admission_bench.cc
@@ -24,7 +24,7 @@
 constexpr double kRunSeconds = 120;
 constexpr Duration kDeadline = 5s;
 const std::string kTarget = "m";
-constexpr int kLearned = 0;  // no fixed limit: it adapts to first-token latency
+constexpr int kLearned = 0;  // adapts to first-token latency
 
 struct Policy {
   const char* name;
--- a/bench/grant_simulation_types.h
+++ b/bench/grant_simulation_types.h
@@ -43,7 +43,7 @@
   uint64_t served = 0;
   uint64_t refused = 0;
   uint64_t false_refusals = 0;   // enough budget was free or held somewhere
-  uint64_t false_while_cut = 0;  // of these, at entries that were cut off
+  uint64_t false_while_cut = 0;  // of these, at cut-off entries
   uint64_t avoidable = 0;  // of these, the leader could reach enough tokens
   Tokens overspend = 0;
   Tokens stranded = 0;  // counted as lost at the end of the run
@@ -86,7 +86,7 @@
   std::vector<budget::BudgetHandle> budgets;
   uint64_t sequence = 0;
   std::map<uint64_t, Pending> outbox;
-  std::vector<uint64_t> asks;  // sequence of the pending grant request, by team
+  std::vector<uint64_t> asks;  // sequence, by team
   std::vector<Request> waiting;
   std::map<AttemptId, Request> running;
 };
