--- a/ctl/main.cc
+++ b/ctl/main.cc
@@ -1,4 +1,4 @@
-// The operators' command: dotterelshiftctl VERB [OPTIONS].
+// Command-line tool for operators: dotterelshiftctl VERB [OPTIONS].
 #include <iostream>  // for cout, cerr
 
 #include "dotterelshift/ctl/ctl.h"  // for Run
--- a/daemon/main.cc
+++ b/daemon/main.cc
@@ -1,5 +1,5 @@
-// dotterelshiftd: one daemon of the fleet, in the role that its settings give
-// it.
+// dotterelshiftd: runs one daemon of the fleet in the role set in its settings
+// file.
 #include <sodium.h>         // for sodium_init
 #include <sys/stat.h>       // for stat
 #include <tclap/CmdLine.h>  // for CmdLine
@@ -30,7 +30,8 @@
 constexpr int kExitBadSettings = 2;
 constexpr int kExitFailed = 1;
 
-// Tells scripts which ports were chosen; whole or not there.
+// Writes the bound ports to `path`, for scripts. The file is renamed into
+// place, so that readers never see a partial one.
 void WritePorts(const std::string& path, const app::Daemon& daemon) {
   if (path.empty()) return;
   const std::string partial = path + ".partial";
@@ -60,8 +61,8 @@
                                adapter::MakeDialect());
 }
 
-// Reads the settings file again, at SIGHUP or when it has changed. One that
-// cannot be used changes nothing.
+// Reloads the settings file on SIGHUP and when its modification time changes.
+// If the file is invalid, the error is logged and nothing changes.
 class SettingsWatch {
  public:
   SettingsWatch(loop::Loop& loop, std::string path, app::Daemon& daemon)
@@ -76,7 +77,8 @@
  private:
   static constexpr Duration kLookEvery = 1s;
 
-  // When the file was changed, in nanoseconds; 0: it cannot be seen.
+  // Time of the file's last modification in nanoseconds since 1970; 0 when it
+  // cannot be read.
   static int64_t ChangeOf(const std::string& path) {
     struct stat status {};
     if (stat(path.c_str(), &status) != 0) return 0;
@@ -138,7 +140,7 @@
         "s", "settings", "YAML settings file", true, "", "FILE", line);
     line.parse(argc, argv);
     if (sodium_init() < 0)
-      throw Error(ErrorKind::kInternal, "libsodium cannot start");
+      throw Error(ErrorKind::kInternal, "libsodium failed to initialize");
     const settings::Settings settings =
         settings::ReadSettings(settings_path.getValue());
     telemetry::StartLog(settings.host, LevelOf(settings.log_level));
--- a/include/dotterelshift/ctl/ctl.h
+++ b/include/dotterelshift/ctl/ctl.h
@@ -11,14 +11,14 @@
 
 namespace dotterelshift::ctl {
 
-// What dotterelshiftctl tells scripts.
+// Exit codes of dotterelshiftctl, for scripts.
 enum class ExitCode {
   kOk = 0,
-  kRefused = 1,       // the system or a check said no; nothing has changed
+  kRefused = 1,       // rejected by the system or a check; nothing changed
   kUsage = 2,         // the command line is wrong
   kNotReachable = 3,  // no host answered, or none knows a leader
-  kConflict = 4,      // another change came first, or the plan is stale
-  kDisagreement = 5,  // the report's totals do not agree
+  kConflict = 4,      // another change was committed first, or stale plan
+  kDisagreement = 5,  // the totals of the report do not agree
 };
 
 struct ExitRow {
@@ -44,11 +44,12 @@
   Verb verb;
   std::string_view name;
   std::string_view summary;  // one sentence
-  std::string_view help;     // what its help shows below the options
+  std::string_view help;     // printed below the options by --help
 };
 std::span<const VerbRow> VerbTable();
 
-// Runs one command line, without the program's name.
+// Runs one command line. `arguments` does not include the program name.
+// Results go to `out`, errors to `err`.
 ExitCode Run(const std::vector<std::string>& arguments, Transport& transport,
              std::ostream& out, std::ostream& err);
 
--- a/include/dotterelshift/ctl/transport.h
+++ b/include/dotterelshift/ctl/transport.h
@@ -14,23 +14,24 @@
 };
 
 struct TransportAnswer {
-  bool reached = false;  // an answer came back whole
+  bool reached = false;  // a complete response was received
   int status = 0;
   std::string body;
-  std::string failure;  // why nothing came back
+  std::string failure;  // why there is no response; empty if `reached`
 };
 
-// Carries one request of an operator to a host and follows it to the leader.
-// Blocking: the command-line tool does one thing at a time.
+// Sends an operator's request to a host and follows its redirects to the
+// leader. Blocking: the command-line tool makes one request at a time.
 class Transport {
  public:
   virtual ~Transport() = default;
-  // `host` is IP:port.
+  // `host` is IP:port. Failures are returned, not thrown.
   virtual TransportAnswer Send(const std::string& host,
                                const TransportRequest& request) = 0;
 };
 
-// Over HTTP by libcurl. A 307 is followed with the key.
+// Returns a transport over HTTP that uses libcurl. It sends the operator key
+// along when it follows a 307 redirect.
 std::unique_ptr<Transport> MakeTransport();
 
 }  // namespace dotterelshift::ctl
--- a/include/dotterelshift/operators/api.h
+++ b/include/dotterelshift/operators/api.h
@@ -16,27 +16,28 @@
 
 namespace dotterelshift::operators {
 
-// What the operators' interface needs of the daemon that it runs in; a mock of
-// it serves the contract tests.
+// What the operator API needs of the daemon that it runs in. Contract tests use
+// a mock.
 class Backend {
  public:
   virtual ~Backend() = default;
-  // Commits a command; kNone and its answer, or why it was not accepted.
+  // Commits a command. Calls back with kNone and the answer, or with the error
+  // that kept it from being accepted.
   virtual void Propose(
       wire::CommandT command,
       std::function<void(ErrorKind, wire::CommandAnswerT)> callback) = 0;
-  // Calls back with kNone when GetState() is current, by a quorum.
+  // Calls back with kNone once a quorum has confirmed that GetState() is
+  // current, or with an error.
   virtual void ConfirmedRead(std::function<void(ErrorKind)> callback) = 0;
   virtual const state::State* GetState() const = 0;  // null on an entry
   virtual const directory::Directory* GetDirectory() const = 0;
   virtual std::vector<peers::PeerInfo> Peers() const = 0;
-  // HTTP address of the leader, IP:port; empty when it is not known. Equal to
-  // `SelfHttpAddress` when this one leads.
+  // HTTP address of the leader, IP:port; empty when the leader is unknown.
+  // Equal to SelfHttpAddress() when this daemon leads.
   virtual std::string LeaderHttpAddress() const = 0;
   virtual std::string SelfHttpAddress() const = 0;
-  virtual std::string StatusText()
-      const = 0;  // JSON of this daemon's own state: role, term, commit, lease,
-                  // reach
+  // This daemon's own state as JSON: role, term, commit, lease, reach.
+  virtual std::string StatusText() const = 0;
   virtual WallMs WallNow() const = 0;
   virtual std::string NewPlanId() = 0;
 };
@@ -46,10 +47,11 @@
   std::string fleet_secret;
 };
 
-// Serves /operator/v1/...: POST plan (body: YAML intent), POST confirm/ID, GET
-// status, report, budget, endpoints, hosts, orders; bearer operator key.
-// Answers are JSON. A daemon that does not lead answers 307 to the leader, or
-// kNoQuorum.
+// Serves /operator/v1/: POST plan (body: YAML intent), POST confirm/ID, and GET
+// status, report, budget, endpoints, hosts, orders. Requests carry an operator
+// key as bearer token; responses are JSON. A daemon that does not lead
+// redirects to the leader with 307, or returns kNoQuorum when the leader is
+// unknown.
 class Api {
  public:
   virtual ~Api() = default;
--- a/src/dotterelshift/ctl/arguments.cc
+++ b/src/dotterelshift/ctl/arguments.cc
@@ -73,7 +73,7 @@
   out << "\n" << kProgram << " VERB --help tells more of each.\n";
 }
 
-// Writes help and faults of one verb's command line.
+// Writes the help text of one verb. Errors are reported by ParseArguments().
 class Output : public TCLAP::CmdLineOutput {
  public:
   Output(const VerbRow& verb, std::ostream& out) : m_verb(verb), m_out(out) {}
@@ -96,7 +96,7 @@
   std::ostream& m_out;
 };
 
-// The options of one verb, and what they were set to.
+// Parser for the command line of one verb.
 class VerbLine {
  public:
   VerbLine(const VerbRow& row, std::ostream& out)
@@ -118,7 +118,7 @@
 
   void ShowHelp() { m_output.usage(m_line); }
 
-  // Throws TCLAP's exceptions.
+  // Throws TCLAP::ArgException when the command line is invalid.
   Arguments Parse(std::vector<std::string> words) {
     words.insert(words.begin(), std::string(kProgram));
     m_line.parse(words);
@@ -255,7 +255,7 @@
     return ExitCode::kUsage;
   }
   const std::vector<std::string> rest(arguments.begin() + 1, arguments.end());
-  // Asked for help, a verb needs none of its required options.
+  // Help is shown even when required options are missing.
   const bool help = std::any_of(rest.begin(), rest.end(), [](const auto& one) {
     return one == "--help" || one == "-h";
   });
--- a/src/dotterelshift/ctl/arguments.h
+++ b/src/dotterelshift/ctl/arguments.h
@@ -12,7 +12,7 @@
 
 enum class OutputForm { kTable, kJson, kCsv };
 
-// One command line, checked.
+// A parsed and validated command line.
 struct Arguments {
   Verb verb = Verb::kStatus;
   std::vector<std::string> hosts;  // IP:port, tried in order
@@ -29,8 +29,8 @@
   std::vector<std::string> logs;  // explain: files, - for standard input
 };
 
-// Reads a command line. Gives an exit code instead when there is nothing more
-// to do: the help has been written to `out`, or a fault to `err`.
+// Parses a command line. Returns an exit code instead when nothing is left to
+// run: the help has been written to `out`, or an error to `err`.
 std::variant<Arguments, ExitCode> ParseArguments(
     const std::vector<std::string>& arguments, std::ostream& out,
     std::ostream& err);
--- a/src/dotterelshift/ctl/ctl.cc
+++ b/src/dotterelshift/ctl/ctl.cc
@@ -20,7 +20,7 @@
 constexpr std::string_view kBase = "/operator/v1/";
 constexpr int kHttpOk = 200;
 
-// A fault on the way to an answer, with the exit code it gives.
+// Thrown when a verb fails: the error message and the exit code.
 struct Failure {
   ExitCode code;
   std::string text;
@@ -36,8 +36,9 @@
           std::istreambuf_iterator<char>()};
 }
 
-// The operator key: the last word of the file's first line that is no comment,
-// so that a line NAME KEY of the daemons' file serves as well as a bare key.
+// Returns the operator key: the last word of the first line that is neither
+// empty nor a comment. The file may so hold a bare key or a line NAME KEY, as
+// in the daemons' key file.
 std::string ReadKey(const std::string& path) {
   std::istringstream content(ReadAll(path));
   for (std::string line; std::getline(content, line);) {
@@ -49,7 +50,8 @@
   throw Failure{ExitCode::kUsage, path + " holds no operator key"};
 }
 
-// A file's name as a query may carry it.
+// Returns the base name of `path` with all characters replaced that are not
+// safe in a URL query.
 std::string QueryName(const std::string& path) {
   std::string name = path.substr(path.rfind('/') + 1);
   for (char& c : name) {
@@ -60,7 +62,7 @@
   return name;
 }
 
-// Adds NAME=VALUE to a path unless the value is empty.
+// Appends the query parameter NAME=VALUE to `path` unless the value is empty.
 void AddQuery(std::string* path, const std::string& name,
               const std::string& value) {
   if (value.empty()) return;
@@ -68,8 +70,8 @@
   *path += name + "=" + value;
 }
 
-// Words of the command line that go into a path may hold no bytes that a URL
-// reads otherwise.
+// Throws a usage error if `word`, which becomes part of a URL, contains
+// characters with a special meaning in URLs.
 void CheckWord(const std::string& word) {
   for (char c : word) {
     if (c <= ' ' || c > '~' ||
@@ -108,7 +110,7 @@
   return request;
 }
 
-// What an error's body says: its kind's name, and a line for people.
+// An error response: the name of its error kind, and a readable message.
 struct Refusal {
   std::string kind;
   std::string text;
@@ -139,9 +141,10 @@
   return conflict ? ExitCode::kConflict : ExitCode::kRefused;
 }
 
-// Asks the hosts in order until one has an answer that another would not
-// better. A change may so be sent twice: a confirm gets its first answer, and
-// a second plan changes nothing.
+// Sends the request to the hosts in order. Tries the next host when one cannot
+// be reached, does not return JSON, or knows no leader; any other error is
+// final. The request may thus arrive twice, which is safe: a repeated confirm
+// gets its first answer, and a second plan changes nothing.
 Json Ask(const Arguments& arguments, Transport& transport) {
   const TransportRequest request = RequestOf(arguments);
   Failure failure{ExitCode::kNotReachable, "no host answered"};
--- a/src/dotterelshift/ctl/ctl_test.cc
+++ b/src/dotterelshift/ctl/ctl_test.cc
@@ -48,7 +48,7 @@
 ucad,,budget_free,b1,845
 )";
 
-// Answers by host, and remembers what was sent.
+// Returns a prepared response per host, and records what was sent.
 class MockTransport : public Transport {
  public:
   TransportAnswer Send(const std::string& host,
@@ -93,7 +93,7 @@
     m_err.str("");
     return Run(words, m_transport, m_out, m_err);
   }
-  // With one host and the key.
+  // Runs a command line with one host and the key file added.
   ExitCode RunAt(std::vector<std::string> words) {
     words.insert(words.end(), {"--host", "h1", "--key-file", m_path});
     return RunWith(words);
--- a/src/dotterelshift/ctl/explain.h
+++ b/src/dotterelshift/ctl/explain.h
@@ -7,27 +7,28 @@
 
 namespace dotterelshift::ctl {
 
-// One line of a daemon's log.
+// One record of a daemon's log.
 struct LogLine {
-  std::string time;  // as it was written; sorts by time
+  std::string time;  // as logged; text order is time order
   std::string host;
   std::string event;
-  std::string request;  // empty: of the daemon itself
+  std::string request;  // empty if the line is about the daemon
   std::string rest;     // the other fields, NAME=VALUE
 };
 
-// Collects the lines of logs that tell of one request, and what its hosts
-// believed while it lived. Lines that are none of ours are passed over; text
-// before a line's JSON object (a collector's own stamp) is, too.
+// Collects the log lines of one request, and the lines that the hosts involved
+// logged about themselves between its first and its last line. Lines that are
+// not log records are skipped, as is text before a line's JSON object (such as
+// a log collector's time stamp).
 class RequestStory {
  public:
   explicit RequestStory(std::string request) : m_request(std::move(request)) {}
 
   void ReadLog(std::istream& log);
-  // False when no line told of the request.
+  // Whether any line belongs to the request.
   bool Found() const;
-  // The request's lines in order, and between them those of the daemons that
-  // took part.
+  // The request's lines and, in between, those about the daemons that handled
+  // it; ordered by time.
   std::vector<LogLine> Lines() const;
 
  private:
--- a/src/dotterelshift/ctl/output.cc
+++ b/src/dotterelshift/ctl/output.cc
@@ -13,7 +13,8 @@
 
 using Row = std::vector<std::string>;
 
-// One value as a cell: lists joined, maps as their size.
+// Formats a value as a table cell: strings as they are, lists joined by commas,
+// null and empty lists as "-", anything else as JSON.
 std::string CellOf(const Json& value) {
   if (value.is_null()) return "-";
   if (value.is_string()) return value.get<std::string>();
@@ -26,7 +27,8 @@
   return joined.empty() ? "-" : joined;
 }
 
-// Columns as wide as their widest cell; the first row is the head.
+// Writes rows with each column as wide as its widest cell; the first row is the
+// header.
 void WriteRows(const std::vector<Row>& rows, std::ostream& out) {
   std::vector<size_t> widths(rows[0].size(), 0);
   for (const Row& row : rows)
@@ -43,7 +45,8 @@
   }
 }
 
-// A list of maps of the same keys.
+// Writes a list of objects as a table. The keys of the first object are the
+// columns.
 void WriteList(const Json& list, std::ostream& out) {
   if (list.empty()) {
     out << "none\n";
@@ -59,7 +62,8 @@
   WriteRows(rows, out);
 }
 
-// A member of an answer; null where a daemon of another version left it out.
+// Returns a member of a response object; null if it is missing, as in the
+// responses of daemons of another version.
 const Json& At(const Json& object, const std::string& name) {
   static const Json nothing;
   const auto member = object.find(name);
@@ -101,7 +105,7 @@
       << CellOf(At(answer, "version")) << "\n";
 }
 
-// The budgets without their holders, who follow as a list of their own.
+// Writes the budgets as one table and all their holders as a second one.
 void WriteBudgets(const Json& budgets, std::ostream& out) {
   Json list = Json::array();
   Json holders = Json::array();
@@ -131,7 +135,8 @@
   return sum;
 }
 
-// "<=50" and so on; the last bucket has no bound.
+// Names a histogram bucket, such as "<=50". The last bucket has no upper bound
+// and is named after the one before, such as ">50".
 std::string BucketName(const Json& bounds, size_t bucket) {
   if (bucket < bounds.size()) return "<=" + bounds[bucket].dump();
   return ">" + bounds.back().dump();
@@ -194,8 +199,8 @@
   if (At(report, "disagreements").empty()) out << "totals agree\n";
 }
 
-// One line of the CSV. Names hold neither commas nor quotes: the intent's
-// reader lets none in.
+// Writes one CSV line. Names need no quoting: the parser of intents accepts
+// neither commas nor quotes in them.
 void WriteCsvLine(const Json& team, const Json& day, const std::string& measure,
                   const std::string& detail, const Json& value,
                   std::ostream& out) {
--- a/src/dotterelshift/ctl/output.h
+++ b/src/dotterelshift/ctl/output.h
@@ -10,14 +10,14 @@
 
 using Json = nlohmann::ordered_json;
 
-// Writes the answer to a verb for people.
+// Writes the response to a verb as readable text.
 void WriteTable(Verb verb, const Json& answer, std::ostream& out);
 
-// Writes a report as CSV: one measure a line, so that the columns stay the same
-// whatever classes and error kinds occur.
+// Writes a report as CSV with one measure per line, so that the columns do not
+// depend on the request classes and error kinds that occur.
 void WriteReportCsv(const Json& report, std::ostream& out);
 
-// Writes the table of settings as docs/SETTINGS.md holds it; and as JSON.
+// The table of all settings: as Markdown for docs/SETTINGS.md, and as JSON.
 void WriteSettingTable(std::ostream& out);
 Json SettingTableJson();
 
--- a/src/dotterelshift/ctl/transport.cc
+++ b/src/dotterelshift/ctl/transport.cc
@@ -42,8 +42,8 @@
                        const TransportRequest& request) override {
     std::string url = "http://" + host + request.path;
     TransportAnswer answer;
-    // The redirects are followed here, for libcurl would drop the key on the
-    // way to another host.
+    // Redirects are followed here because libcurl drops the Authorization
+    // header when it is redirected to another host.
     for (int i = 0; i <= kMostRedirects && !url.empty(); ++i)
       answer = SendOnce(request, &url);
     if (answer.status == kTemporaryRedirect) {
@@ -54,7 +54,8 @@
   }
 
  private:
-  // Sets `url` to where the answer leads; empty when it is the last one.
+  // Sends one request to `url`, and sets `url` to the target of the redirect,
+  // or to empty if there is none.
   static TransportAnswer SendOnce(const TransportRequest& request,
                                   std::string* url) {
     const Easy easy(curl_easy_init());
--- a/src/dotterelshift/operators/api.cc
+++ b/src/dotterelshift/operators/api.cc
@@ -31,8 +31,8 @@
 
 struct VerbRow {
   Verb verb;
-  std::string_view path;    // behind the prefix
-  std::string_view method;  // the one it takes
+  std::string_view path;    // after the prefix
+  std::string_view method;  // the only one allowed
 };
 
 constexpr std::array kVerbs = {
@@ -70,8 +70,8 @@
       json.dump(2, ' ', false, Json::error_handler_t::replace) + "\n");
 }
 
-// The parts of a query, each allowed name once. Names and values are plain
-// words, so nothing needs to be unescaped.
+// The parameters of a query; each may be given once. Names and values are plain
+// words, so no percent-decoding is needed.
 struct Query {
   std::string team;
   std::string budget;
@@ -80,7 +80,7 @@
   std::string file;
 };
 
-// Where a query's name puts its value; null for a name that is not known.
+// Returns the field for a query parameter; null if the name is unknown.
 std::string* FieldOf(Query& query, std::string_view name) {
   if (name == "team") return &query.team;
   if (name == "budget") return &query.budget;
@@ -90,7 +90,7 @@
   return nullptr;
 }
 
-// Reads a query; false when a name is unknown or stands twice.
+// Parses a query; false if a parameter is unknown, repeated or has no '='.
 bool ParseQuery(std::string_view text, Query* query) {
   while (!text.empty()) {
     const std::string_view part = text.substr(0, text.find('&'));
@@ -104,7 +104,7 @@
   return true;
 }
 
-// One request whose key and form have been checked.
+// A request of an operator; Check() fills in all but the exchange.
 struct Call {
   ExchangePointer exchange;
   Verb verb;
@@ -143,10 +143,12 @@
     callers::AnswerError(*call.exchange, kind, detail);
   }
 
-  // Whether a call may go on; if not, it has been answered.
+  // Authenticates and routes a call. If it returns false, the call has been
+  // answered with an error.
   bool Check(Call* call) const {
     const http::Request& request = call->exchange->GetRequest();
-    // An entry without keys leads every operator to the leader, which checks.
+    // A host without keys that does not lead redirects every call to the
+    // leader, which checks the key.
     const bool checked_elsewhere = m_operators.empty() && !Leads();
     if (!checked_elsewhere && !FindOperator(BearerOf(request), call)) {
       Refuse(*call, ErrorKind::kUnauthorized, "the operator key is not known");
@@ -157,7 +159,8 @@
     return error == ErrorKind::kNone;
   }
 
-  // Compares with every key, in a time that does not tell which one is near.
+  // Compares with every key in constant time, so that the response time does
+  // not reveal which key is similar.
   bool FindOperator(std::string_view bearer, Call* call) const {
     const Digest digest = DigestOf(bearer);
     const Operator* found = nullptr;
@@ -196,7 +199,8 @@
            leader == m_backend.SelfHttpAddress();
   }
 
-  // Leads a call to the leader; says so when there is none.
+  // Redirects a call to the leader; answers kNoQuorum if no other host is known
+  // to lead.
   void LeadAway(http::Exchange& exchange) const {
     const std::string leader = m_backend.LeaderHttpAddress();
     if (leader.empty() || leader == m_backend.SelfHttpAddress())
@@ -208,7 +212,7 @@
     exchange.Answer(kTemporaryRedirect, {{"Location", url}}, "");
   }
 
-  // Answers from the state, which is current by a quorum.
+  // Answers from the state, which a quorum has confirmed to be current.
   void AnswerRead(const Call& call) {
     const state::State& state = *m_backend.GetState();
     switch (call.verb) {
@@ -279,7 +283,8 @@
         call);
   }
 
-  // Commits one command and answers the call, also when it is refused.
+  // Commits one command. Calls `on_done` with its answer, or answers `call`
+  // with an error if the command is refused.
   template <typename Body>
   void Propose(Body body,
                std::function<void(const wire::CommandAnswerT&)> on_done,
--- a/src/dotterelshift/operators/api_test.cc
+++ b/src/dotterelshift/operators/api_test.cc
@@ -20,7 +20,7 @@
     "top_ups: [{id: po-1, budget: ucad-2026, tokens: 1k}]\n"
     "endpoint_sets: [{id: drafting, endpoints: [draft-1], models: [m]}]\n";
 
-// What a bad request holds, and the kind of its refusal.
+// A bad request, and the error kind and part of the detail that it must get.
 struct BadCase {
   std::string method;
   std::string target;  // path, and query after a '?'
@@ -260,7 +260,8 @@
     CPPUNIT_ASSERT(SendGood("GET", "orders").is_array());
   }
 
-  // A state whose days say less than its accounts.
+  // A state whose days do not match its accounts, and that reports a
+  // disagreement of its own.
   class DisagreeingState : public MockState {
    public:
     using MockState::MockState;
@@ -276,7 +277,8 @@
     }
   };
 
-  // A team is refused though it has not spent its total: who holds the rest?
+  // A team can be refused before its total is spent, because holders keep the
+  // rest. Operators must see which holders, and which of them are dead.
   void WhereTheTokensOfATotalAreIsShown() {
     wire::PublishRoutesT routes;
     routes.version = 1;
--- a/src/dotterelshift/operators/render.cc
+++ b/src/dotterelshift/operators/render.cc
@@ -10,7 +10,7 @@
 namespace dotterelshift::operators {
 namespace {
 
-// The keys of a map in their order, so that answers read the same each time.
+// Returns the keys of a map, sorted so that responses have a stable order.
 template <typename Map>
 std::vector<std::string> SortedKeys(const Map& map) {
   std::vector<std::string> keys;
@@ -20,7 +20,7 @@
   return keys;
 }
 
-// What one change touches, in words.
+// Describes what a change applies to.
 std::string SubjectOf(const wire::ChangeT& change) {
   const auto& body = change.body;
   using enum wire::ChangeBody;
@@ -116,7 +116,7 @@
   return range.team.empty() || range.team == team;
 }
 
-// Sums over the days of one team.
+// Sums of one team, over its days or over its budgets.
 struct TeamSums {
   Tokens spent = 0;
   Tokens billed = 0;
--- a/src/dotterelshift/operators/render.h
+++ b/src/dotterelshift/operators/render.h
@@ -14,18 +14,19 @@
 
 using Json = nlohmann::ordered_json;
 
-// A day of a report as "2026-12-02" and as days since 1970 (UTC).
+// Convert between days since 1970-01-01 (UTC) and text such as "2026-12-02".
+// ParseDay() returns nullopt if `text` is not a valid date from 1970 on.
 std::string FormatDay(int64_t day);
 std::optional<int64_t> ParseDay(std::string_view text);
 
-// What a report covers; an empty team means all of them.
+// What a report covers. Both days are included; an empty team means all teams.
 struct ReportRange {
   TeamId team;
   int64_t first_day = 0;
   int64_t last_day = 0;
 };
 
-// The operators' answers as JSON; docs/CTL.md lists their fields.
+// The responses of the operator API as JSON; docs/CTL.md lists their fields.
 Json RenderPlan(const wire::PlanT& plan);
 Json RenderStatus(const Backend& backend);
 Json RenderReport(const state::State& state, const ReportRange& range);
@@ -35,8 +36,9 @@
 Json RenderHosts(const Backend& backend);
 Json RenderOrders(const state::State& state);
 
-// Sums of a report that must agree and don't, one line each: the state's own
-// cross-checks, and the days of the report against its totals.
+// Returns a line for each mismatch between sums that must agree: the state's
+// own cross-checks, and each team's days against its budgets. The latter cover
+// all days, not only those of `range`.
 std::vector<std::string> ReportDisagreements(const state::State& state,
                                              const ReportRange& range);
 
--- a/src/dotterelshift/operators/test_mocks.h
+++ b/src/dotterelshift/operators/test_mocks.h
@@ -8,10 +8,10 @@
 
 #include "dotterelshift/operators/api.h"  // for Backend
 
-// Mocks at the operators' borders, for the contract tests.
+// Mocks of the interfaces around the operator API, for the contract tests.
 namespace dotterelshift::operators {
 
-// Keeps the one answer it is given.
+// Records the response and counts how often one was given.
 class MockExchange : public http::Exchange {
  public:
   const http::Request& GetRequest() const override { return request; }
@@ -37,7 +37,8 @@
   std::string body;
 };
 
-// Passes everything on to another state; tests override what should lie.
+// Forwards every call to another state; tests override what should return
+// inconsistent data.
 class MockState : public state::State {
  public:
   explicit MockState(state::State& real) : m_real(real) {}
@@ -98,8 +99,8 @@
   state::State& m_real;
 };
 
-// A daemon that leads over a real state, which carries each command out at
-// once.
+// A daemon that leads by default, with a real state that applies each command
+// immediately.
 class MockBackend : public Backend {
  public:
   MockBackend() {
