--- a/include/dotterelshift/ctl/transport.h
+++ b/include/dotterelshift/ctl/transport.h
@@ -14,7 +14,7 @@
 };
 
 struct TransportAnswer {
-  bool reached = false;  // a complete response was received
+  bool reached = false;  // the final response was received in full
   int status = 0;
   std::string body;
   std::string failure;  // why there is no response; empty if `reached`
--- a/src/dotterelshift/ctl/ctl.cc
+++ b/src/dotterelshift/ctl/ctl.cc
@@ -37,8 +37,8 @@
 }
 
 // Returns the operator key: the last word of the first line that is neither
-// empty nor a comment. The file may so hold a bare key or a line NAME KEY, as
-// in the daemons' key file.
+// empty nor a comment. This accepts a file with a bare key as well as the
+// daemons' key file, whose lines are NAME KEY.
 std::string ReadKey(const std::string& path) {
   std::istringstream content(ReadAll(path));
   for (std::string line; std::getline(content, line);) {
--- a/src/dotterelshift/ctl/output.cc
+++ b/src/dotterelshift/ctl/output.cc
@@ -199,8 +199,9 @@
   if (At(report, "disagreements").empty()) out << "totals agree\n";
 }
 
-// Writes one CSV line. Names need no quoting: the parser of intents accepts
-// neither commas nor quotes in them.
+// Writes one CSV line. Values are not quoted: the parser of intents accepts
+// neither commas nor quotes in names. Names in published routes are not checked
+// for them.
 void WriteCsvLine(const Json& team, const Json& day, const std::string& measure,
                   const std::string& detail, const Json& value,
                   std::ostream& out) {
--- a/src/dotterelshift/operators/api.cc
+++ b/src/dotterelshift/operators/api.cc
@@ -160,7 +160,7 @@
   }
 
   // Compares with every key in constant time, so that the response time does
-  // not reveal which key is similar.
+  // not reveal how much of a key was guessed.
   bool FindOperator(std::string_view bearer, Call* call) const {
     const Digest digest = DigestOf(bearer);
     const Operator* found = nullptr;
--- a/src/dotterelshift/operators/test_mocks.h
+++ b/src/dotterelshift/operators/test_mocks.h
@@ -37,8 +37,8 @@
   std::string body;
 };
 
-// Forwards every call to another state; tests override what should return
-// inconsistent data.
+// Forwards every call to another state. Tests override the functions that are
+// to return inconsistent data.
 class MockState : public state::State {
  public:
   explicit MockState(state::State& real) : m_real(real) {}
