--- a/include/dotterelshift/callers/front.h
+++ b/include/dotterelshift/callers/front.h
@@ -61,18 +61,18 @@
                                  FrontEvents events);
 
 // The JSON error body that all HTTP interfaces of the daemon use.
-std::string ErrorBody(ErrorKind kind, std::string_view detail,
-                      std::string_view request_id = {});
+std::string MakeErrorBody(ErrorKind kind, std::string_view detail,
+                          std::string_view request_id = {});
 
 // Responds with the status, headers and body that the error table defines for
 // `kind`. Retry-After, if sent, is the larger of the table's value and
 // `retry_after_seconds`.
-void AnswerError(http::Exchange& exchange, ErrorKind kind,
-                 std::string_view detail, int retry_after_seconds = 0);
+void SendErrorResponse(http::Exchange& exchange, ErrorKind kind,
+                       std::string_view detail, int retry_after_seconds = 0);
 
 // Status and JSON body for requests that the HTTP server itself refuses; used
 // as ServerOptions::refusal.
-std::pair<int, std::string> RefusalAnswer(http::ServerRefusal refusal);
+std::pair<int, std::string> ServerRefusalResponse(http::ServerRefusal refusal);
 
 }  // namespace dotterelshift::callers
 
--- a/include/dotterelshift/endpoints/attempt_runner.h
+++ b/include/dotterelshift/endpoints/attempt_runner.h
@@ -29,7 +29,7 @@
 struct AttemptRunnerOptions {
   Duration connect_timeout = 1s;
   // Limit for a response that is not streamed.
-  size_t max_whole_answer_bytes = 16 << 20;
+  size_t max_response_bytes = 16 << 20;
 };
 
 // Runs attempts on endpoints over HTTP: sends the request, reads server-sent
--- a/src/dotterelshift/app/control.cc
+++ b/src/dotterelshift/app/control.cc
@@ -15,7 +15,7 @@
 #include "dotterelshift/app/routes_port.h"         // for MakeRoutesControl
 #include "dotterelshift/base/address.h"            // for ParseAddress
 #include "dotterelshift/budget/recall_core.h"      // for RecallCore
-#include "dotterelshift/callers/front.h"           // for AnswerError
+#include "dotterelshift/callers/front.h"           // for SendErrorResponse
 #include "dotterelshift/endpoints/order_sender.h"  // for SendOrder
 #include "dotterelshift/orders/order_core.h"       // for OrderCore
 #include "dotterelshift/replication/membership.h"  // for VoterCount
@@ -185,7 +185,7 @@
 
 http::ServerOptions Control::ServerOptions() const {
   http::ServerOptions options = ListenOptions(m_settings);
-  options.refusal = callers::RefusalAnswer;
+  options.refusal = callers::ServerRefusalResponse;
   return options;
 }
 
@@ -265,7 +265,7 @@
     exchange->Answer(200, {{"content-type", "text/plain; version=0.0.4"}},
                      m_metrics->Text());
   } else {
-    callers::AnswerError(*exchange, ErrorKind::kUnknownPath, path);
+    callers::SendErrorResponse(*exchange, ErrorKind::kUnknownPath, path);
   }
 }
 
--- a/src/dotterelshift/app/directory_exchange.cc
+++ b/src/dotterelshift/app/directory_exchange.cc
@@ -4,7 +4,7 @@
 #include <utility>  // for move, exchange
 #include <variant>  // for get_if
 
-#include "dotterelshift/callers/front.h"           // for AnswerError
+#include "dotterelshift/callers/front.h"           // for SendErrorResponse
 #include "dotterelshift/endpoints/announcement.h"  // for ParseAnnouncement
 
 namespace dotterelshift::app {
@@ -37,7 +37,7 @@
 void DirectoryExchange::OnAnnounce(http::Exchange& exchange) {
   auto parsed = endpoints::ParseAnnouncement(exchange.GetRequest().body);
   if (const auto* refusal = std::get_if<callers::Refusal>(&parsed)) {
-    callers::AnswerError(exchange, refusal->kind, refusal->detail);
+    callers::SendErrorResponse(exchange, refusal->kind, refusal->detail);
     return;
   }
   const auto& announcement = std::get<endpoints::Announcement>(parsed);
--- a/src/dotterelshift/app/entry.cc
+++ b/src/dotterelshift/app/entry.cc
@@ -187,7 +187,7 @@
   options.max_body_bytes = m_settings.max_body_bytes;
   options.max_connections = m_settings.max_connections;
   options.receive_timeout = m_settings.receive_timeout;
-  options.refusal = callers::RefusalAnswer;
+  options.refusal = callers::ServerRefusalResponse;
   return options;
 }
 
@@ -229,7 +229,7 @@
     exchange->Answer(200, {{"content-type", "text/plain; version=0.0.4"}},
                      m_metrics->Text());
   } else {
-    callers::AnswerError(*exchange, ErrorKind::kUnknownPath, path);
+    callers::SendErrorResponse(*exchange, ErrorKind::kUnknownPath, path);
   }
 }
 
--- a/src/dotterelshift/app/gateway_entry.cc
+++ b/src/dotterelshift/app/gateway_entry.cc
@@ -14,7 +14,7 @@
 #include "dotterelshift/app/listen_options.h"      // for ListenOptions
 #include "dotterelshift/app/other_entries.h"       // for OtherEntries
 #include "dotterelshift/app/registration.h"        // for Registration
-#include "dotterelshift/callers/front.h"           // for AnswerError
+#include "dotterelshift/callers/front.h"           // for SendErrorResponse
 #include "dotterelshift/gateway/drain.h"           // for MakeDrainSchedule
 #include "dotterelshift/telemetry/log.h"           // for Log
 
@@ -392,7 +392,7 @@
   } else if (path == "/healthz") {
     exchange.Answer(200, {{"content-type", "text/plain"}}, "ok\n");
   } else {
-    callers::AnswerError(exchange, ErrorKind::kUnknownPath, path);
+    callers::SendErrorResponse(exchange, ErrorKind::kUnknownPath, path);
   }
 }
 
--- a/src/dotterelshift/app/gateway_traffic.cc
+++ b/src/dotterelshift/app/gateway_traffic.cc
@@ -5,7 +5,7 @@
 #include <utility>    // for move
 #include <variant>    // for visit
 
-#include "dotterelshift/callers/front.h"     // for ErrorBody
+#include "dotterelshift/callers/front.h"     // for MakeErrorBody
 #include "dotterelshift/http/hop_headers.h"  // for RemoveHopByHopHeaders
 #include "dotterelshift/telemetry/log.h"     // for Log
 
@@ -278,7 +278,7 @@
                             : std::chrono::seconds(row.retry_after_seconds);
   if (row.retry != RetryAdvice::kNever)
     headers.emplace_back("Retry-After", SecondsText(wait));
-  std::string body = callers::ErrorBody(refuse.kind, "");
+  std::string body = callers::MakeErrorBody(refuse.kind, "");
   headers = ResponseHeaders(headers, MayKeep());
   m_own_response_bytes += http::BytesOf(headers) + body.size();
   exchange->Answer(status, headers, std::move(body));
--- a/src/dotterelshift/callers/caller_request.cc
+++ b/src/dotterelshift/callers/caller_request.cc
@@ -20,10 +20,10 @@
 constexpr size_t kMaxNameBytes = 128;
 // First character of the keys that entries generate for requests without one;
 // callers may not use it.
-constexpr char kEntryMadeKeyMark = '~';
+constexpr char kReservedKeyPrefix = '~';
 constexpr size_t kMaxIdempotencyKeyBytes = 255;
-constexpr int kMostUrgent = -10;
-constexpr int kLeastUrgent = 10;
+constexpr int kMinPriority = -10;
+constexpr int kMaxPriority = 10;
 
 // Upper bounds of the tokens that a chat template adds once per prompt and once
 // per message.
@@ -32,7 +32,7 @@
 
 // Upper bound of the tokens that an engine makes of one content item that is
 // not text.
-constexpr Tokens kTokensPerMediaPart = 16384;
+constexpr Tokens kMaxTokensPerMediaItem = 16384;
 
 constexpr std::string_view kServicePrefix = "/v1/services/";
 constexpr std::array<std::string_view, 6> kServiceMethods = {
@@ -52,15 +52,17 @@
 }
 
 // Parses a header as an integer; refuses anything else and values out of range.
-int64_t NumberIn(std::string_view text, std::string_view header, int64_t least,
-                 int64_t most) {
+int64_t NumberIn(std::string_view text, std::string_view header,
+                 int64_t min_allowed, int64_t max_allowed) {
   int64_t number = 0;
   const char* end = text.data() + text.size();
   const auto [stop, fault] = std::from_chars(text.data(), end, number);
-  if (fault != std::errc() || stop != end || number < least || number > most) {
-    Refuse(ErrorKind::kBadHeader,
-           std::string(header) + ": a whole number from " +
-               std::to_string(least) + " to " + std::to_string(most));
+  if (fault != std::errc() || stop != end || number < min_allowed ||
+      number > max_allowed) {
+    Refuse(ErrorKind::kBadHeader, std::string(header) +
+                                      ": a whole number from " +
+                                      std::to_string(min_allowed) + " to " +
+                                      std::to_string(max_allowed));
   }
   return number;
 }
@@ -89,7 +91,7 @@
   if (key.size() > kMaxIdempotencyKeyBytes || !IsVisibleAscii(key))
     Refuse(ErrorKind::kBadHeader,
            "Idempotency-Key: at most 255 visible ASCII characters");
-  if (key.starts_with(kEntryMadeKeyMark))
+  if (key.starts_with(kReservedKeyPrefix))
     Refuse(ErrorKind::kBadHeader, "Idempotency-Key: not with a leading '~'");
   parsed.idempotency_key = key;
   const std::string_view idempotent =
@@ -116,7 +118,7 @@
   if (const auto priority = request.Header("dotterelshift-priority");
       !priority.empty()) {
     parsed.priority = static_cast<int>(NumberIn(
-        priority, "Dotterelshift-Priority", kMostUrgent, kLeastUrgent));
+        priority, "Dotterelshift-Priority", kMinPriority, kMaxPriority));
   }
 }
 
@@ -135,15 +137,16 @@
 }
 
 // Reads the output limit from the field `name`; 0 if the field is absent.
-Tokens LimitOf(const json& body, const char* name, const CallerLimits& limits) {
+Tokens ReadOutputLimit(const json& body, const char* name,
+                       const CallerLimits& limits) {
   const json* field = FieldOf(body, name);
   if (field == nullptr) return 0;
   const bool whole = field->is_number_integer();
   // The JSON parser stores a number above the signed range as unsigned.
-  const bool huge =
+  const bool exceeds_limit =
       field->is_number_unsigned() &&
       field->get<uint64_t>() > static_cast<uint64_t>(limits.max_output_limit);
-  if (!whole || huge || field->get<int64_t>() < 1 ||
+  if (!whole || exceeds_limit || field->get<int64_t>() < 1 ||
       field->get<int64_t>() > limits.max_output_limit) {
     Refuse(ErrorKind::kBadOutputLimit,
            std::string(name) + ": a whole number from 1 to " +
@@ -155,22 +158,23 @@
 // Determines the output limit (the smaller one if both fields are given) and
 // writes it into the body for the endpoint.
 Tokens SetOutputLimit(json& body, const CallerLimits& limits) {
-  const Tokens older = LimitOf(body, "max_tokens", limits);
-  const Tokens newer = LimitOf(body, "max_completion_tokens", limits);
+  const Tokens max_tokens = ReadOutputLimit(body, "max_tokens", limits);
+  const Tokens max_completion_tokens =
+      ReadOutputLimit(body, "max_completion_tokens", limits);
   Tokens limit = limits.default_output_limit;
-  if (older > 0 && newer > 0) {
-    limit = std::min(older, newer);
-  } else if (older + newer > 0) {
-    limit = older + newer;
+  if (max_tokens > 0 && max_completion_tokens > 0) {
+    limit = std::min(max_tokens, max_completion_tokens);
+  } else if (max_tokens + max_completion_tokens > 0) {
+    limit = max_tokens + max_completion_tokens;
   }
   body["max_tokens"] = limit;
-  if (newer > 0) body["max_completion_tokens"] = limit;
+  if (max_completion_tokens > 0) body["max_completion_tokens"] = limit;
   return limit;
 }
 
 // Refuses several completions of one prompt: they would multiply the worst-case
 // cost.
-void CheckSingleAnswer(const json& body) {
+void CheckSingleChoice(const json& body) {
   for (const char* name : {"n", "best_of"}) {
     const json* field = FieldOf(body, name);
     if (field != nullptr && *field != 1)
@@ -180,7 +184,7 @@
 
 // Appends a message's text to the prompt. Returns an upper bound of the tokens
 // of the content items that are not text.
-Tokens AddContent(const json& content, std::string* prompt) {
+Tokens AppendContent(const json& content, std::string* prompt) {
   if (content.is_null()) return 0;
   if (content.is_string()) {
     *prompt += content.get_ref<const std::string&>();
@@ -196,7 +200,7 @@
     if (text != nullptr && text->is_string()) {
       *prompt += text->get_ref<const std::string&>();
     } else {
-      media += kTokensPerMediaPart;
+      media += kMaxTokensPerMediaItem;
     }
   }
   return media;
@@ -216,7 +220,7 @@
     *prompt += role->get_ref<const std::string&>();
     *prompt += '\n';
     if (const json* content = FieldOf(message, "content"))
-      extra += AddContent(*content, prompt);
+      extra += AppendContent(*content, prompt);
     *prompt += '\n';
     extra += kTemplateTokensPerMessage;
   }
@@ -239,7 +243,7 @@
   return kTemplateTokens;
 }
 
-void AskForUsage(json& body, CallerRequest& parsed) {
+void RequestUsage(json& body, CallerRequest& parsed) {
   parsed.stream = BoolOf(body, "stream");
   const json* options = FieldOf(body, "stream_options");
   if (options != nullptr && !options->is_object())
@@ -276,9 +280,9 @@
       model->get_ref<const std::string&>().empty())
     Refuse(ErrorKind::kBadField, "model: a name");
   parsed.target = model->get<std::string>();
-  CheckSingleAnswer(body);
+  CheckSingleChoice(body);
   parsed.output_limit = SetOutputLimit(body, limits);
-  AskForUsage(body, parsed);
+  RequestUsage(body, parsed);
   std::string prompt;
   const Tokens extra = parsed.kind == RequestKind::kChat
                            ? ReadMessages(body, &prompt)
--- a/src/dotterelshift/callers/caller_request_test.cc
+++ b/src/dotterelshift/callers/caller_request_test.cc
@@ -129,20 +129,20 @@
 
 class CallerRequestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CallerRequestTest);
-  CPPUNIT_TEST(BadInputHasItsKind);
+  CPPUNIT_TEST(InvalidRequestsAreRefusedWithTheirKind);
   CPPUNIT_TEST(MissingOrBrokenKeyIsUnauthorized);
-  CPPUNIT_TEST(ChatIsTranslated);
-  CPPUNIT_TEST(OutputLimitIsAlwaysSentAlong);
-  CPPUNIT_TEST(UsageIsAskedForInAStream);
-  CPPUNIT_TEST(HeadersAreRead);
-  CPPUNIT_TEST(ServiceCallsPassAsTheyAre);
+  CPPUNIT_TEST(ChatRequestIsParsed);
+  CPPUNIT_TEST(OutputLimitIsAlwaysSentToTheEndpoint);
+  CPPUNIT_TEST(UsageIsAlwaysRequestedForStreams);
+  CPPUNIT_TEST(HeadersAreParsed);
+  CPPUNIT_TEST(ServiceCallsAreForwardedUnchanged);
   CPPUNIT_TEST(PromptBoundCoversTheBody);
-  CPPUNIT_TEST(PrefixesAreSharedByPromptsThatBeginAlike);
-  CPPUNIT_TEST(ContentHashTellsRequestsApart);
+  CPPUNIT_TEST(PromptsWithACommonPrefixShareHashes);
+  CPPUNIT_TEST(ContentHashDistinguishesRequests);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void BadInputHasItsKind() {
+  void InvalidRequestsAreRefusedWithTheirKind() {
     for (const Row& row : Rows()) {
       http::Request request = MakeRequest(row.path, row.body, row.headers);
       request.method = row.method;
@@ -167,7 +167,7 @@
     }
   }
 
-  void ChatIsTranslated() {
+  void ChatRequestIsParsed() {
     const CallerRequest parsed = MustParse(MakeRequest(kChatPath, kGood));
     CPPUNIT_ASSERT(parsed.kind == RequestKind::kChat);
     CPPUNIT_ASSERT(parsed.key_hash == state::HashKey("key", "secret"));
@@ -178,7 +178,7 @@
     CPPUNIT_ASSERT(parsed.deadline == CallerLimits().default_deadline);
   }
 
-  void OutputLimitIsAlwaysSentAlong() {
+  void OutputLimitIsAlwaysSentToTheEndpoint() {
     struct Case {
       std::string fields;
       Tokens limit;
@@ -203,7 +203,7 @@
     }
   }
 
-  void UsageIsAskedForInAStream() {
+  void UsageIsAlwaysRequestedForStreams() {
     const CallerRequest plain =
         MustParse(MakeRequest(kChatPath, WithField("\"stream\":true")));
     CPPUNIT_ASSERT(plain.stream && !plain.wants_usage);
@@ -217,7 +217,7 @@
     CPPUNIT_ASSERT(asked.wants_usage);
   }
 
-  void HeadersAreRead() {
+  void HeadersAreParsed() {
     const CallerRequest parsed =
         MustParse(MakeRequest(kChatPath, kGood,
                               {{"idempotency-key", "k-1"},
@@ -236,7 +236,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("loans"), parsed.budget);
   }
 
-  void ServiceCallsPassAsTheyAre() {
+  void ServiceCallsAreForwardedUnchanged() {
     http::Request request =
         MakeRequest("/v1/services/loans/a%2Fb", "\xff not text",
                     {{"content-type", "image/png"}});
@@ -264,7 +264,7 @@
     CPPUNIT_ASSERT(image.prompt_bound > Tokens(image.body.size()) + 16000);
   }
 
-  void PrefixesAreSharedByPromptsThatBeginAlike() {
+  void PromptsWithACommonPrefixShareHashes() {
     const std::string common(600, 'a');
     const auto one = PrefixHashes("m", common + std::string(300, 'b'), 256, 64);
     const auto two = PrefixHashes("m", common + std::string(300, 'c'), 256, 64);
@@ -277,7 +277,7 @@
     CPPUNIT_ASSERT(PrefixHashes("m", "short", 256, 64).empty());
   }
 
-  void ContentHashTellsRequestsApart() {
+  void ContentHashDistinguishesRequests() {
     const auto hash = [](const std::string& body, const http::Headers& more) {
       return MustParse(MakeRequest(kChatPath, body, more)).content_hash;
     };
--- a/src/dotterelshift/callers/front.cc
+++ b/src/dotterelshift/callers/front.cc
@@ -36,7 +36,7 @@
   if (row.retry == RetryAdvice::kLater)
     headers.emplace_back("Retry-After", std::to_string(wait));
   if (row.status == 401) headers.emplace_back("WWW-Authenticate", "Bearer");
-  exchange.Answer(row.status, headers, ErrorBody(kind, detail, request_id));
+  exchange.Answer(row.status, headers, MakeErrorBody(kind, detail, request_id));
 }
 
 ErrorKind KindOf(http::ServerRefusal refusal) {
@@ -136,7 +136,8 @@
       return;
     }
     open.exchange->WriteChunk(
-        "data: " + ErrorBody(kind, detail, std::to_string(request)) + "\n\n");
+        "data: " + MakeErrorBody(kind, detail, std::to_string(request)) +
+        "\n\n");
     open.exchange->Finish();
   }
 
@@ -180,8 +181,8 @@
 
 }  // namespace
 
-std::string ErrorBody(ErrorKind kind, std::string_view detail,
-                      std::string_view request_id) {
+std::string MakeErrorBody(ErrorKind kind, std::string_view detail,
+                          std::string_view request_id) {
   const ErrorRow& row = RowOf(kind);
   nlohmann::ordered_json error = {{"kind", row.name},
                                   {"message", row.sentence}};
@@ -195,14 +196,14 @@
   return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-void AnswerError(http::Exchange& exchange, ErrorKind kind,
-                 std::string_view detail, int retry_after_seconds) {
+void SendErrorResponse(http::Exchange& exchange, ErrorKind kind,
+                       std::string_view detail, int retry_after_seconds) {
   Answer(exchange, kind, detail, retry_after_seconds, {});
 }
 
-std::pair<int, std::string> RefusalAnswer(http::ServerRefusal refusal) {
+std::pair<int, std::string> ServerRefusalResponse(http::ServerRefusal refusal) {
   const ErrorKind kind = KindOf(refusal);
-  return {RowOf(kind).status, ErrorBody(kind, {})};
+  return {RowOf(kind).status, MakeErrorBody(kind, {})};
 }
 
 std::unique_ptr<Front> MakeFront(const FrontOptions& options,
--- a/src/dotterelshift/callers/front_test.cc
+++ b/src/dotterelshift/callers/front_test.cc
@@ -32,9 +32,9 @@
     status = code;
     headers = sent;
   }
-  void WriteChunk(std::string_view piece) override {
-    bytes += piece;
-    backlog += piece.size();
+  void WriteChunk(std::string_view chunk) override {
+    bytes += chunk;
+    backlog += chunk.size();
   }
   void Finish() override { finished = true; }
   void Abort() override { aborted = true; }
@@ -71,28 +71,28 @@
 
 class FrontTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FrontTest);
-  CPPUNIT_TEST(EveryKindIsAnsweredAsItsRowSays);
-  CPPUNIT_TEST(EveryKindEndsAStreamVisibly);
-  CPPUNIT_TEST(EveryKindFailsAHeldAnswerAsItsRowSays);
-  CPPUNIT_TEST(LongerWaitReplacesTheRows);
-  CPPUNIT_TEST(RefusedRequestIsAnsweredAndReported);
-  CPPUNIT_TEST(StreamEndsInItsMark);
-  CPPUNIT_TEST(AnswerThatIsNoStreamGoesOutWhole);
-  CPPUNIT_TEST(SlowReaderPausesAndDrains);
-  CPPUNIT_TEST(GoneCallerIsReportedOnceAndForgotten);
+  CPPUNIT_TEST(EveryErrorKindIsAnsweredByItsTableRow);
+  CPPUNIT_TEST(EveryErrorKindEndsAStreamWithAnErrorEvent);
+  CPPUNIT_TEST(EveryErrorKindReplacesABufferedResponse);
+  CPPUNIT_TEST(LongerRetryAfterOverridesTheTableRow);
+  CPPUNIT_TEST(RefusedRequestGetsAnErrorAndIsReported);
+  CPPUNIT_TEST(StreamEndsWithTheEndMarker);
+  CPPUNIT_TEST(NonStreamedResponseIsSentComplete);
+  CPPUNIT_TEST(SlowReaderPausesTheEndpointUntilDrained);
+  CPPUNIT_TEST(DisconnectedCallerIsReportedOnce);
   CPPUNIT_TEST(DetailIsAlwaysValidJson);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void EveryKindIsAnsweredAsItsRowSays() {
+  void EveryErrorKindIsAnsweredByItsTableRow() {
     for (const ErrorRow& row : ErrorTable()) {
       RecordingExchange exchange("");
-      AnswerError(exchange, row.kind, "why");
+      SendErrorResponse(exchange, row.kind, "why");
       CheckAnswer(row, exchange);
     }
   }
 
-  void EveryKindFailsAHeldAnswerAsItsRowSays() {
+  void EveryErrorKindReplacesABufferedResponse() {
     for (const ErrorRow& row : ErrorTable()) {
       const RequestId request = Accept(kStreamBody);
       m_front->SendHead(request, 200, "application/json");
@@ -104,7 +104,7 @@
     }
   }
 
-  void EveryKindEndsAStreamVisibly() {
+  void EveryErrorKindEndsAStreamWithAnErrorEvent() {
     for (const ErrorRow& row : ErrorTable()) {
       const std::string name(row.name);
       const RequestId request = Accept(kStreamBody);
@@ -123,13 +123,13 @@
     }
   }
 
-  void LongerWaitReplacesTheRows() {
+  void LongerRetryAfterOverridesTheTableRow() {
     RecordingExchange exchange("");
-    AnswerError(exchange, ErrorKind::kOverloaded, "", 17);
+    SendErrorResponse(exchange, ErrorKind::kOverloaded, "", 17);
     CPPUNIT_ASSERT_EQUAL(std::string("17"), exchange.HeaderOf("Retry-After"));
   }
 
-  void RefusedRequestIsAnsweredAndReported() {
+  void RefusedRequestGetsAnErrorAndIsReported() {
     auto exchange = std::make_shared<RecordingExchange>("{\"model\":");
     m_front->Accept(exchange);
     CheckAnswer(RowOf(ErrorKind::kBadJson), *exchange);
@@ -138,7 +138,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_front->Open());
   }
 
-  void StreamEndsInItsMark() {
+  void StreamEndsWithTheEndMarker() {
     const RequestId request = Accept(kStreamBody);
     m_front->SendHead(request, 200, "text/event-stream; charset=utf-8");
     CPPUNIT_ASSERT_EQUAL(1, m_exchange->heads);
@@ -153,7 +153,7 @@
     CPPUNIT_ASSERT(m_exchange->bytes.ends_with("[DONE]\n\n"));
   }
 
-  void AnswerThatIsNoStreamGoesOutWhole() {
+  void NonStreamedResponseIsSentComplete() {
     const RequestId request = Accept(kStreamBody);
     m_front->SendHead(request, 404, "application/json");
     m_front->WriteChunk(request, "{\"a\":");
@@ -164,7 +164,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("{\"a\":1}"), m_exchange->bytes);
   }
 
-  void SlowReaderPausesAndDrains() {
+  void SlowReaderPausesTheEndpointUntilDrained() {
     const RequestId request = Accept(kStreamBody);
     m_front->SendHead(request, 200, "text/event-stream");
     CPPUNIT_ASSERT(m_front->WriteChunk(request, std::string(100, 'x')));
@@ -176,7 +176,7 @@
     CPPUNIT_ASSERT_EQUAL(1, m_drained);
   }
 
-  void GoneCallerIsReportedOnceAndForgotten() {
+  void DisconnectedCallerIsReportedOnce() {
     const RequestId request = Accept(kStreamBody);
     const auto gone = m_exchange->gone;
     gone();
@@ -189,7 +189,8 @@
   }
 
   void DetailIsAlwaysValidJson() {
-    const std::string body = ErrorBody(ErrorKind::kInternal, "\xff\"\n", "7");
+    const std::string body =
+        MakeErrorBody(ErrorKind::kInternal, "\xff\"\n", "7");
     CPPUNIT_ASSERT(json::accept(body));
   }
 
--- a/src/dotterelshift/callers/prompt.cc
+++ b/src/dotterelshift/callers/prompt.cc
@@ -8,13 +8,13 @@
 // Length of the UTF-8 sequence that a lead byte starts (0 for an invalid lead
 // byte), and the valid range of the second byte. The range excludes overlong
 // forms, surrogates and code points above U+10FFFF.
-struct Lead {
+struct Utf8Lead {
   size_t length = 0;
-  uint8_t least = 0x80;
-  uint8_t most = 0xBF;
+  uint8_t min_allowed = 0x80;
+  uint8_t max_allowed = 0xBF;
 };
 
-Lead LeadOf(uint8_t byte) {
+Utf8Lead Utf8LeadOf(uint8_t byte) {
   if (byte < 0x80) return {1};
   if (byte >= 0xC2 && byte <= 0xDF) return {2};
   if (byte == 0xE0) return {3, 0xA0, 0xBF};
@@ -31,13 +31,13 @@
 bool IsUtf8(std::string_view bytes) {
   size_t i = 0;
   while (i < bytes.size()) {
-    const Lead lead = LeadOf(static_cast<uint8_t>(bytes[i]));
+    const Utf8Lead lead = Utf8LeadOf(static_cast<uint8_t>(bytes[i]));
     if (lead.length == 0 || lead.length > bytes.size() - i) return false;
     for (size_t k = 1; k < lead.length; ++k) {
       const auto next = static_cast<uint8_t>(bytes[i + k]);
-      const uint8_t least = k == 1 ? lead.least : 0x80;
-      const uint8_t most = k == 1 ? lead.most : 0xBF;
-      if (next < least || next > most) return false;
+      const uint8_t min_allowed = k == 1 ? lead.min_allowed : 0x80;
+      const uint8_t max_allowed = k == 1 ? lead.max_allowed : 0xBF;
+      if (next < min_allowed || next > max_allowed) return false;
     }
     i += lead.length;
   }
--- a/src/dotterelshift/callers/relay_test.cc
+++ b/src/dotterelshift/callers/relay_test.cc
@@ -16,7 +16,7 @@
 using serving::AttemptEnd;
 
 constexpr size_t kPauseAbove = 64 << 10;
-constexpr size_t kPieceBytes = 16 << 10;
+constexpr size_t kChunkBytes = 16 << 10;
 
 // Far more than the kernel buffers between an endpoint and a caller.
 constexpr size_t kStreamBytes = 24 << 20;
@@ -31,15 +31,15 @@
 // request core: each one's events are passed directly to the other.
 class RelayTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RelayTest);
-  CPPUNIT_TEST(StreamPassesWhole);
-  CPPUNIT_TEST(StreamCutByTheEndpointEndsInAnError);
+  CPPUNIT_TEST(StreamIsRelayedCompletely);
+  CPPUNIT_TEST(StreamBrokenByTheEndpointEndsWithAnError);
   CPPUNIT_TEST(CallerThatStopsReadingPausesTheEndpoint);
-  CPPUNIT_TEST(CallerThatGoesClosesTheEndpointsConnection);
-  CPPUNIT_TEST(CallerThatGoesBeforeTheHeadClosesTheEndpointsConnection);
+  CPPUNIT_TEST(CallerDisconnectClosesTheEndpointConnection);
+  CPPUNIT_TEST(CallerDisconnectBeforeTheHeadClosesTheEndpointConnection);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void StreamPassesWhole() {
+  void StreamIsRelayedCompletely() {
     m_endpoint = [](Exchange& exchange) {
       exchange.SendHead(200, {{"Content-Type", "text/event-stream"}});
       exchange.WriteChunk("data: {\"text\":\"a\"}\n\ndata: [DONE]\n\n");
@@ -54,7 +54,7 @@
     CPPUNIT_ASSERT(caller.Has("data: [DONE]\n\n"));
   }
 
-  void StreamCutByTheEndpointEndsInAnError() {
+  void StreamBrokenByTheEndpointEndsWithAnError() {
     m_endpoint = [](Exchange& exchange) {
       exchange.SendHead(200, {{"Content-Type", "text/event-stream"}});
       exchange.WriteChunk("data: {\"text\":\"a\"}\n\n");
@@ -72,29 +72,29 @@
 
   void CallerThatStopsReadingPausesTheEndpoint() {
     size_t produced = 0;
-    const std::string piece =
-        "data: {\"text\":\"" + std::string(kPieceBytes, 'x') + "\"}\n\n";
+    const std::string chunk =
+        "data: {\"text\":\"" + std::string(kChunkBytes, 'x') + "\"}\n\n";
     // Writes the next chunk once the previous one has been sent, so that the
     // endpoint buffers at most one.
     m_endpoint = [&](Exchange& exchange) {
       exchange.SendHead(200, {{"Content-Type", "text/event-stream"}});
       exchange.OnDrained([&] {
         if (produced >= kStreamBytes) return;
-        produced += piece.size();
-        exchange.WriteChunk(piece);
+        produced += chunk.size();
+        exchange.WriteChunk(chunk);
         if (produced < kStreamBytes) return;
         exchange.WriteChunk("data: [DONE]\n\n");
         exchange.Finish();
       });
-      exchange.WriteChunk(piece);
-      produced += piece.size();
+      exchange.WriteChunk(chunk);
+      produced += chunk.size();
     };
     TestConnection caller = Call(64 << 10);
     RunUntil([this] { return m_paused; });
     for (int i = 0; i < 2000; ++i) {
       ev_run(m_loop.Raw(), EVRUN_NOWAIT);
       // One read from the endpoint's socket may exceed the limit.
-      CPPUNIT_ASSERT(m_exchange->Backlog() <= kPauseAbove + 2 * piece.size());
+      CPPUNIT_ASSERT(m_exchange->Backlog() <= kPauseAbove + 2 * chunk.size());
     }
     CPPUNIT_ASSERT(produced < kStreamBytes);
     const size_t stopped_at = produced;
@@ -107,7 +107,7 @@
     CPPUNIT_ASSERT(caller.Has("data: [DONE]\n\n"));
   }
 
-  void CallerThatGoesClosesTheEndpointsConnection() {
+  void CallerDisconnectClosesTheEndpointConnection() {
     m_endpoint = [this](Exchange& exchange) {
       exchange.OnGone([this] { m_endpoint_saw_end = true; });
       exchange.SendHead(200, {{"Content-Type", "text/event-stream"}});
@@ -124,7 +124,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_runner->Open());
   }
 
-  void CallerThatGoesBeforeTheHeadClosesTheEndpointsConnection() {
+  void CallerDisconnectBeforeTheHeadClosesTheEndpointConnection() {
     bool reached = false;
     m_endpoint = [&](Exchange& exchange) {
       reached = true;
--- a/src/dotterelshift/endpoints/announcement.cc
+++ b/src/dotterelshift/endpoints/announcement.cc
@@ -64,8 +64,8 @@
 }
 
 uint64_t NumberFrom(const json& value, const std::string& field,
-                    uint64_t most) {
-  if (!value.is_number_unsigned() || value.get<uint64_t>() > most)
+                    uint64_t max_allowed) {
+  if (!value.is_number_unsigned() || value.get<uint64_t>() > max_allowed)
     Refuse(field, "a whole number within bounds");
   return value.get<uint64_t>();
 }
@@ -77,16 +77,18 @@
 }
 
 uint32_t OptionalCount(const json& object, const char* name) {
-  constexpr uint64_t kMost = 1'000'000'000;
+  constexpr uint64_t kMaxCount = 1'000'000'000;
   const json* value = FieldOf(object, name);
   if (value == nullptr) return 0;
-  return static_cast<uint32_t>(NumberFrom(*value, name, kMost));
+  return static_cast<uint32_t>(NumberFrom(*value, name, kMaxCount));
 }
 
-const json* OptionalList(const json& object, const char* name, size_t most) {
+const json* OptionalList(const json& object, const char* name,
+                         size_t max_allowed) {
   const json* value = FieldOf(object, name);
   if (value == nullptr) return nullptr;
-  if (!value->is_array() || value->size() > most) Refuse(name, "a short list");
+  if (!value->is_array() || value->size() > max_allowed)
+    Refuse(name, "a short list");
   return value;
 }
 
--- a/src/dotterelshift/endpoints/announcement_test.cc
+++ b/src/dotterelshift/endpoints/announcement_test.cc
@@ -12,7 +12,7 @@
 using callers::Refusal;
 using nlohmann::json;
 
-json Good() {
+json ValidAnnouncement() {
   return json::parse(R"({
     "id": "e1", "incarnation": 5, "sequence": 9, "address": "10.0.0.1:8000",
     "data_centre": "fann", "role": "decode", "draining": true,
@@ -68,15 +68,15 @@
 
 class AnnouncementTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AnnouncementTest);
-  CPPUNIT_TEST(GoodOneIsRead);
-  CPPUNIT_TEST(LeastOneIsRead);
-  CPPUNIT_TEST(BadFieldIsNamed);
-  CPPUNIT_TEST(BadTextHasItsKind);
+  CPPUNIT_TEST(CompleteAnnouncementIsParsed);
+  CPPUNIT_TEST(MinimalAnnouncementIsParsed);
+  CPPUNIT_TEST(InvalidFieldIsNamedInTheError);
+  CPPUNIT_TEST(InvalidTextIsRefusedWithItsKind);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void GoodOneIsRead() {
-    const auto parsed = ParseAnnouncement(Good().dump());
+  void CompleteAnnouncementIsParsed() {
+    const auto parsed = ParseAnnouncement(ValidAnnouncement().dump());
     const auto& announcement = std::get<Announcement>(parsed);
     const wire::EndpointRecordT& record = announcement.record;
     CPPUNIT_ASSERT_EQUAL(std::string("e1"), record.id);
@@ -93,16 +93,16 @@
     CPPUNIT_ASSERT(event.stored);
   }
 
-  void LeastOneIsRead() {
+  void MinimalAnnouncementIsParsed() {
     const auto parsed = ParseAnnouncement(
         R"({"id":"e","incarnation":1,"sequence":1,"address":"[::1]:80",
             "data_centre":"d"})");
     CPPUNIT_ASSERT(std::holds_alternative<Announcement>(parsed));
   }
 
-  void BadFieldIsNamed() {
+  void InvalidFieldIsNamedInTheError() {
     for (const Row& row : Rows()) {
-      json body = Good();
+      json body = ValidAnnouncement();
       body[json::json_pointer(row.path)] = row.value;
       const auto parsed = ParseAnnouncement(body.dump());
       const std::string name = row.path + " = " + row.value.dump();
@@ -114,7 +114,7 @@
     }
   }
 
-  void BadTextHasItsKind() {
+  void InvalidTextIsRefusedWithItsKind() {
     struct Case {
       std::string text;
       ErrorKind kind;
--- a/src/dotterelshift/endpoints/attempt_runner.cc
+++ b/src/dotterelshift/endpoints/attempt_runner.cc
@@ -137,9 +137,9 @@
     attempt.body = BodyKindOf(attempt, status, headers);
     attempt.content_type = HeaderOf(headers, "content-type");
     if (attempt.body == BodyKind::kRefused) {
-      Give(id, attempt, AttemptEnd::kRefusedBeforeRun);
+      AbortAttempt(id, attempt, AttemptEnd::kRefusedBeforeRun);
     } else if (attempt.body == BodyKind::kFailed) {
-      Give(id, attempt, AttemptEnd::kDied);
+      AbortAttempt(id, attempt, AttemptEnd::kDied);
     } else if (attempt.body == BodyKind::kStream) {
       m_events.on_head(id, status, attempt.content_type);
     }
@@ -148,9 +148,8 @@
   bool OnBytes(AttemptId id, Attempt& attempt, std::string_view bytes) {
     if (!IsOpen(id, attempt)) return true;
     if (attempt.body == BodyKind::kStream) return OnEvents(id, attempt, bytes);
-    if (attempt.whole.size() + bytes.size() >
-        m_options.max_whole_answer_bytes) {
-      Give(id, attempt, AttemptEnd::kDied);
+    if (attempt.whole.size() + bytes.size() > m_options.max_response_bytes) {
+      AbortAttempt(id, attempt, AttemptEnd::kDied);
       return true;
     }
     attempt.whole.append(bytes);
@@ -160,13 +159,13 @@
   bool OnEvents(AttemptId id, Attempt& attempt, std::string_view bytes) {
     bool more = true;
     const auto state = attempt.events.Add(
-        bytes, [&](const Chunk& piece, std::string_view whole_events) {
+        bytes, [&](const Chunk& chunk, std::string_view complete_events) {
           if (IsOpen(id, attempt))
-            more = m_events.on_chunk(id, piece, whole_events);
+            more = m_events.on_chunk(id, chunk, complete_events);
         });
     if (!IsOpen(id, attempt)) return true;
     if (state == EventStream::State::kBroken) {
-      Give(id, attempt, AttemptEnd::kDied);
+      AbortAttempt(id, attempt, AttemptEnd::kDied);
     } else if (state == EventStream::State::kEnded) {
       // The transfer runs to its own end, so that the connection can be reused.
       m_attempts.erase(id);
@@ -178,22 +177,22 @@
 
   void OnTransferEnd(AttemptId id, Attempt& attempt, TransferEnd end) {
     if (!IsOpen(id, attempt)) return;
-    const AttemptEnd result = EndOf(attempt, end);
+    const AttemptEnd result = AttemptEndOf(attempt, end);
     const bool whole =
         result == AttemptEnd::kWhole || result == AttemptEnd::kCallerError;
-    Chunk piece;
-    if (whole && !ReadWhole(attempt, &piece)) {
+    Chunk chunk;
+    if (whole && !ReadResponse(attempt, &chunk)) {
       Close(id, AttemptEnd::kDied);
       return;
     }
     if (whole) {
       m_events.on_head(id, attempt.status, attempt.content_type);
-      if (IsOpen(id, attempt)) m_events.on_chunk(id, piece, attempt.whole);
+      if (IsOpen(id, attempt)) m_events.on_chunk(id, chunk, attempt.whole);
     }
     Close(id, result);
   }
 
-  static AttemptEnd EndOf(const Attempt& attempt, TransferEnd end) {
+  static AttemptEnd AttemptEndOf(const Attempt& attempt, TransferEnd end) {
     switch (end) {
       case TransferEnd::kNotSent:
         return AttemptEnd::kNotSent;
@@ -213,19 +212,19 @@
 
   // Determines the tokens and usage of a complete response. Returns false if
   // the response of a model call is not a JSON object.
-  static bool ReadWhole(const Attempt& attempt, Chunk* piece) {
+  static bool ReadResponse(const Attempt& attempt, Chunk* chunk) {
     if (attempt.body == BodyKind::kCallerError) return true;
     if (attempt.kind == RequestKind::kService) {
-      piece->tokens = attempt.output_limit;
+      chunk->tokens = attempt.output_limit;
       return true;
     }
-    if (!ReadUsage(attempt.whole, piece)) return false;
-    if (!piece->has_usage) piece->tokens = EstimateTokens(attempt.whole);
+    if (!ReadUsage(attempt.whole, chunk)) return false;
+    if (!chunk->has_usage) chunk->tokens = EstimateTokens(attempt.whole);
     return true;
   }
 
   // Ends an attempt and cancels its transfer.
-  void Give(AttemptId id, const Attempt& attempt, AttemptEnd end) {
+  void AbortAttempt(AttemptId id, const Attempt& attempt, AttemptEnd end) {
     m_client.Cancel(attempt.transfer);
     Close(id, end);
   }
--- a/src/dotterelshift/endpoints/attempt_runner_test.cc
+++ b/src/dotterelshift/endpoints/attempt_runner_test.cc
@@ -54,11 +54,11 @@
   return [=](Exchange& exchange) { exchange.Answer(status, headers, body); };
 }
 
-std::function<void(Exchange&)> Streams(const std::vector<std::string>& pieces,
+std::function<void(Exchange&)> Streams(const std::vector<std::string>& chunks,
                                        bool cut = false) {
   return [=](Exchange& exchange) {
     exchange.SendHead(200, kEvents);
-    for (const std::string& piece : pieces) exchange.WriteChunk(piece);
+    for (const std::string& chunk : chunks) exchange.WriteChunk(chunk);
     if (cut) {
       exchange.OnDrained([&exchange] { exchange.Abort(); });
     } else {
@@ -136,16 +136,16 @@
 
 class AttemptRunnerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AttemptRunnerTest);
-  CPPUNIT_TEST(EndpointsBehaviours);
-  CPPUNIT_TEST(NobodyListensIsNotSent);
-  CPPUNIT_TEST(TimeRunsOut);
-  CPPUNIT_TEST(CancelClosesTheConnectionAndSilencesTheAttempt);
-  CPPUNIT_TEST(ReportsMayCancelTheirOwnAttempt);
-  CPPUNIT_TEST(RequestKeyIsSentAlong);
+  CPPUNIT_TEST(AttemptEndMatchesEndpointBehaviour);
+  CPPUNIT_TEST(ConnectionRefusedIsReportedAsNotSent);
+  CPPUNIT_TEST(AttemptTimesOut);
+  CPPUNIT_TEST(CancelClosesTheConnectionAndStopsReports);
+  CPPUNIT_TEST(CallbacksMayCancelTheirOwnAttempt);
+  CPPUNIT_TEST(RequestKeyIsSentToTheEndpoint);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void EndpointsBehaviours() {
+  void AttemptEndMatchesEndpointBehaviour() {
     for (const Row& row : Rows()) {
       m_report = {};
       m_endpoint = row.endpoint;
@@ -161,21 +161,21 @@
     }
   }
 
-  void NobodyListensIsNotSent() {
+  void ConnectionRefusedIsReportedAsNotSent() {
     m_server.reset();
     Start(true);
     RunUntil([this] { return !m_report.ends.empty(); });
     CPPUNIT_ASSERT(m_report.ends[0] == AttemptEnd::kNotSent);
   }
 
-  void TimeRunsOut() {
+  void AttemptTimesOut() {
     m_endpoint = [](Exchange&) {};
     Start(false, 20ms);
     RunUntil([this] { return !m_report.ends.empty(); });
     CPPUNIT_ASSERT(m_report.ends[0] == AttemptEnd::kTimedOut);
   }
 
-  void CancelClosesTheConnectionAndSilencesTheAttempt() {
+  void CancelClosesTheConnectionAndStopsReports() {
     bool gone = false;
     m_endpoint = [&gone](Exchange& exchange) {
       exchange.OnGone([&gone] { gone = true; });
@@ -190,7 +190,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_runner->Open());
   }
 
-  void ReportsMayCancelTheirOwnAttempt() {
+  void CallbacksMayCancelTheirOwnAttempt() {
     bool gone = false;
     m_cancel_at_first_piece = true;
     m_endpoint = [&gone](Exchange& exchange) {
@@ -204,7 +204,7 @@
     CPPUNIT_ASSERT(m_report.ends.empty());
   }
 
-  void RequestKeyIsSentAlong() {
+  void RequestKeyIsSentToTheEndpoint() {
     std::string key;
     m_endpoint = [&key](Exchange& exchange) {
       key = exchange.GetRequest().Header("dotterelshift-request-key");
@@ -235,11 +235,11 @@
       ++m_report.heads;
       m_report.status = status;
     };
-    events.on_chunk = [this](AttemptId attempt, const serving::Chunk& piece,
+    events.on_chunk = [this](AttemptId attempt, const serving::Chunk& chunk,
                              std::string_view bytes) {
       m_report.bytes += bytes;
-      m_report.tokens += piece.tokens;
-      if (piece.has_usage) m_report.usage = piece;
+      m_report.tokens += chunk.tokens;
+      if (chunk.has_usage) m_report.usage = chunk;
       if (m_cancel_at_first_piece) m_runner->Cancel(attempt);
       return true;
     };
@@ -264,8 +264,8 @@
       });
   uint16_t m_port = m_server->Port();
   std::unique_ptr<http::Client> m_client = http::MakeClient(m_loop);
-  std::unique_ptr<AttemptRunner> m_runner = MakeAttemptRunner(
-      *m_client, {.max_whole_answer_bytes = 64 << 10}, Events());
+  std::unique_ptr<AttemptRunner> m_runner =
+      MakeAttemptRunner(*m_client, {.max_response_bytes = 64 << 10}, Events());
   Report m_report;
   bool m_cancel_at_first_piece = false;
 };
--- a/src/dotterelshift/endpoints/event_stream.cc
+++ b/src/dotterelshift/endpoints/event_stream.cc
@@ -31,15 +31,15 @@
 }
 
 // Result of scanning an event's JSON without parsing it.
-struct Glance {
+struct EventScan {
   bool has_text = false;   // contains a non-empty text field
   bool has_usage = false;  // contains a usage other than null
 };
 
 // Checks each name before a colon. Quotes inside a JSON string are escaped, so
 // text there that resembles a field name ends in a backslash and never matches.
-Glance GlanceAt(std::string_view data) {
-  Glance glance;
+EventScan ScanEventData(std::string_view data) {
+  EventScan scan;
   for (size_t colon = data.find(':'); colon != std::string_view::npos;
        colon = data.find(':', colon + 1)) {
     if (colon < 2 || data[colon - 1] != '"') continue;
@@ -47,12 +47,12 @@
     if (quote == std::string_view::npos) continue;
     const std::string_view name = data.substr(quote + 1, colon - quote - 2);
     const std::string_view value = TrimLeft(data.substr(colon + 1));
-    if (name == "usage" && !value.starts_with("null")) glance.has_usage = true;
+    if (name == "usage" && !value.starts_with("null")) scan.has_usage = true;
     if (value.size() >= 2 && value[0] == '"' && value[1] != '"' &&
         IsTextField(name))
-      glance.has_text = true;
+      scan.has_text = true;
   }
-  return glance;
+  return scan;
 }
 
 Tokens CountOf(const json& usage, const char* name) {
@@ -62,12 +62,12 @@
       std::min<uint64_t>(found->get<uint64_t>(), kMaxTokens));
 }
 
-void SetUsage(const json& answer, serving::Chunk* piece) {
+void SetUsage(const json& answer, serving::Chunk* chunk) {
   const auto usage = answer.find("usage");
   if (usage == answer.end() || !usage->is_object()) return;
-  piece->has_usage = true;
-  piece->usage_prompt = CountOf(*usage, "prompt_tokens");
-  piece->usage_output = CountOf(*usage, "completion_tokens");
+  chunk->has_usage = true;
+  chunk->usage_prompt = CountOf(*usage, "prompt_tokens");
+  chunk->usage_output = CountOf(*usage, "completion_tokens");
 }
 
 size_t TextBytes(const json& value, bool generated) {
@@ -88,44 +88,46 @@
 EventStream::State EventStream::Add(std::string_view bytes, const Sink& sink) {
   if (m_state != State::kOpen) return m_state;
   size_t used = 0;
-  if (m_rest.empty()) {
+  if (m_partial_event_bytes.empty()) {
     // The usual case: complete events are passed on without copying.
-    TakeEvents(bytes, sink, &used);
-    m_rest.assign(bytes.substr(used));
+    ConsumeEvents(bytes, sink, &used);
+    m_partial_event_bytes.assign(bytes.substr(used));
   } else {
-    m_rest.append(bytes);
-    const std::string joined = std::move(m_rest);
-    TakeEvents(joined, sink, &used);
-    m_rest.assign(joined, used);
+    m_partial_event_bytes.append(bytes);
+    const std::string joined = std::move(m_partial_event_bytes);
+    ConsumeEvents(joined, sink, &used);
+    m_partial_event_bytes.assign(joined, used);
   }
-  if (m_state == State::kOpen && m_rest.size() > m_max_event_bytes)
+  if (m_state == State::kOpen &&
+      m_partial_event_bytes.size() > m_max_event_bytes)
     m_state = State::kBroken;
   return m_state;
 }
 
-void EventStream::TakeEvents(std::string_view bytes, const Sink& sink,
-                             size_t* used) {
-  size_t run = 0;  // start of the events not yet passed to `sink`
+void EventStream::ConsumeEvents(std::string_view bytes, const Sink& sink,
+                                size_t* used) {
+  size_t flush_begin = 0;  // start of the events not yet passed to `sink`
   size_t at = 0;
-  serving::Chunk piece;
-  const auto hand_over = [&](size_t end) {
-    if (end > run || piece.has_usage) sink(piece, bytes.substr(run, end - run));
-    piece = {};
+  serving::Chunk chunk;
+  const auto flush = [&](size_t end) {
+    if (end > flush_begin || chunk.has_usage)
+      sink(chunk, bytes.substr(flush_begin, end - flush_begin));
+    chunk = {};
   };
   while (m_state == State::kOpen) {
     const size_t size = FindEventEnd(bytes.substr(at));
     if (size == std::string_view::npos) break;
-    if (!ReadEvent(bytes.substr(at, size), &piece)) {
-      hand_over(at);
-      run = at + size;
+    if (!ReadEvent(bytes.substr(at, size), &chunk)) {
+      flush(at);
+      flush_begin = at + size;
     }
     at += size;
   }
-  hand_over(m_state == State::kOpen ? at : run);
+  flush(m_state == State::kOpen ? at : flush_begin);
   *used = at;
 }
 
-bool EventStream::ReadEvent(std::string_view event, serving::Chunk* piece) {
+bool EventStream::ReadEvent(std::string_view event, serving::Chunk* chunk) {
   bool forward = true;
   while (!event.empty()) {
     const size_t end = event.find('\n');
@@ -133,7 +135,7 @@
     event.remove_prefix(end + 1);
     if (line.ends_with('\r')) line.remove_suffix(1);
     if (line.starts_with("data:")) {
-      forward = ReadData(TrimLeft(line.substr(5)), piece) && forward;
+      forward = ReadData(TrimLeft(line.substr(5)), chunk) && forward;
       continue;
     }
     const bool known = line.empty() || line.front() == ':' ||
@@ -144,7 +146,7 @@
   return forward && m_state == State::kOpen;
 }
 
-bool EventStream::ReadData(std::string_view data, serving::Chunk* piece) {
+bool EventStream::ReadData(std::string_view data, serving::Chunk* chunk) {
   if (data == kEndMark) {
     m_state = State::kEnded;
     return false;
@@ -154,22 +156,22 @@
     m_state = State::kBroken;
     return false;
   }
-  const Glance glance = GlanceAt(data);
-  if (glance.has_text) ++piece->tokens;
+  const EventScan scan = ScanEventData(data);
+  if (scan.has_text) ++chunk->tokens;
   // Only events with a usage are parsed; most have none.
-  if (!glance.has_usage) return true;
-  if (!ReadUsage(data, piece)) {
+  if (!scan.has_usage) return true;
+  if (!ReadUsage(data, chunk)) {
     m_state = State::kBroken;
     return false;
   }
-  return glance.has_text || m_forward_usage || !piece->has_usage ||
+  return scan.has_text || m_forward_usage || !chunk->has_usage ||
          data.find("\"finish_reason\":\"") != std::string_view::npos;
 }
 
-bool ReadUsage(std::string_view text, serving::Chunk* piece) {
+bool ReadUsage(std::string_view text, serving::Chunk* chunk) {
   const json answer = json::parse(text, nullptr, false);
   if (!answer.is_object()) return false;
-  SetUsage(answer, piece);
+  SetUsage(answer, chunk);
   return true;
 }
 
--- a/src/dotterelshift/endpoints/event_stream.h
+++ b/src/dotterelshift/endpoints/event_stream.h
@@ -32,21 +32,22 @@
   State Add(std::string_view bytes, const Sink& sink);
 
  private:
-  void TakeEvents(std::string_view bytes, const Sink& sink, size_t* used);
+  void ConsumeEvents(std::string_view bytes, const Sink& sink, size_t* used);
   // Adds one event's tokens and usage to the chunk. Returns false if the event
   // is not forwarded to the caller.
-  bool ReadEvent(std::string_view event, serving::Chunk* piece);
-  bool ReadData(std::string_view data, serving::Chunk* piece);
+  bool ReadEvent(std::string_view event, serving::Chunk* chunk);
+  bool ReadData(std::string_view data, serving::Chunk* chunk);
 
   bool m_forward_usage;
   size_t m_max_event_bytes;
   State m_state = State::kOpen;
-  std::string m_rest;  // start of an event that is still incomplete
+  std::string
+      m_partial_event_bytes;  // start of an event that is still incomplete
 };
 
 // Copies the usage of an engine's JSON response, if it has one, to the chunk.
 // Returns false if the text is not a JSON object.
-bool ReadUsage(std::string_view json, serving::Chunk* piece);
+bool ReadUsage(std::string_view json, serving::Chunk* chunk);
 
 // Estimates the tokens of a complete response that reports no usage: a quarter
 // of the bytes of its generated text, rounded up.
--- a/src/dotterelshift/endpoints/fake_endpoint_test.cc
+++ b/src/dotterelshift/endpoints/fake_endpoint_test.cc
@@ -80,17 +80,17 @@
 // endpoint protocol.
 class FakeEndpointTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FakeEndpointTest);
-  CPPUNIT_TEST(AttemptsEndAsTheyShould);
-  CPPUNIT_TEST(CancelIsRecordedWithWhatWasWritten);
-  CPPUNIT_TEST(MarkedRequestEndsTheProcess);
+  CPPUNIT_TEST(AttemptsEndAsExpected);
+  CPPUNIT_TEST(CancelRecordsTheTokensWritten);
+  CPPUNIT_TEST(CrashMarkEndsTheProcess);
   CPPUNIT_TEST(DrainIsAnnouncedAndRefusesNewWork);
-  CPPUNIT_TEST(TerminateLetsStreamsEnd);
-  CPPUNIT_TEST(CacheEventsComeWithGaps);
-  CPPUNIT_TEST(OldFencingNumberIsRefusedOnlyByThoseThatCheck);
+  CPPUNIT_TEST(TerminationWaitsForOpenStreams);
+  CPPUNIT_TEST(CacheEventsCanHaveGaps);
+  CPPUNIT_TEST(StaleFencingNumberIsRefusedOnlyWhenChecked);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AttemptsEndAsTheyShould() {
+  void AttemptsEndAsExpected() {
     for (const Row& row : Rows()) {
       StartFake(row.options);
       Run(row.stream, row.limit);
@@ -109,7 +109,7 @@
     }
   }
 
-  void CancelIsRecordedWithWhatWasWritten() {
+  void CancelRecordsTheTokensWritten() {
     StartFake({"--tokens", "100000"});
     Start(true, 30000, "x");
     RunUntil([this] { return m_tokens > 0; });
@@ -122,7 +122,7 @@
     CPPUNIT_ASSERT(served.value("tokens", Tokens{0}) >= m_tokens);
   }
 
-  void MarkedRequestEndsTheProcess() {
+  void CrashMarkEndsTheProcess() {
     StartFake({"--crash-mark", "poison"});
     Run(true, 9, "no harm");
     CPPUNIT_ASSERT(*m_end == AttemptEnd::kWhole);
@@ -142,7 +142,7 @@
     CPPUNIT_ASSERT(*m_end == AttemptEnd::kRefusedBeforeRun);
   }
 
-  void TerminateLetsStreamsEnd() {
+  void TerminationWaitsForOpenStreams() {
     StartFake({"--tokens", "20"});
     Start(true, 100, "x");
     RunUntil([this] { return m_tokens > 0; });
@@ -153,7 +153,7 @@
     CPPUNIT_ASSERT_EQUAL(0, m_fake->Wait());
   }
 
-  void CacheEventsComeWithGaps() {
+  void CacheEventsCanHaveGaps() {
     StartFake({"--cache-gap", "2"});
     Run(true, 9, std::string(1100, 'x'));
     RunUntil([this] { return !m_cache_events.empty(); });
@@ -165,7 +165,7 @@
     CPPUNIT_ASSERT(m_cache_events[1].prefix_hash == m_request.prefix_hashes[2]);
   }
 
-  void OldFencingNumberIsRefusedOnlyByThoseThatCheck() {
+  void StaleFencingNumberIsRefusedOnlyWhenChecked() {
     for (const bool checks : {true, false}) {
       StartFake(checks ? std::vector<std::string>{"--checks-fencing"}
                        : std::vector<std::string>{});
@@ -261,8 +261,8 @@
     std::string body;
     bool ended = false;
     http::TransferCallbacks callbacks;
-    callbacks.on_chunk = [&body](std::string_view piece) {
-      body += piece;
+    callbacks.on_chunk = [&body](std::string_view chunk) {
+      body += chunk;
       return true;
     };
     callbacks.on_end = [&ended](http::TransferEnd) { ended = true; };
@@ -289,9 +289,9 @@
     return {
         .on_head = [](AttemptId, int, std::string_view) {},
         .on_chunk =
-            [this](AttemptId, const serving::Chunk& piece, std::string_view) {
-              m_tokens += piece.tokens;
-              if (piece.has_usage) m_usage = piece.usage_output;
+            [this](AttemptId, const serving::Chunk& chunk, std::string_view) {
+              m_tokens += chunk.tokens;
+              if (chunk.has_usage) m_usage = chunk.usage_output;
               return true;
             },
         .on_end = [this](AttemptId, AttemptEnd end) { m_end = end; }};
--- a/src/dotterelshift/endpoints/order_sender.cc
+++ b/src/dotterelshift/endpoints/order_sender.cc
@@ -82,9 +82,9 @@
   callbacks.on_head = [answer](int status, const http::Headers&) {
     answer->status = status;
   };
-  callbacks.on_chunk = [answer](std::string_view piece) {
+  callbacks.on_chunk = [answer](std::string_view chunk) {
     answer->detail.append(
-        piece.substr(0, kMaxDetailBytes - answer->detail.size()));
+        chunk.substr(0, kMaxDetailBytes - answer->detail.size()));
     return true;
   };
   callbacks.on_end = [answer, callback = std::move(callback)](TransferEnd end) {
--- a/src/dotterelshift/endpoints/order_sender_test.cc
+++ b/src/dotterelshift/endpoints/order_sender_test.cc
@@ -44,13 +44,13 @@
 
 class OrderSenderTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OrderSenderTest);
-  CPPUNIT_TEST(EnginesBehaviours);
-  CPPUNIT_TEST(NobodyListensIsRefused);
-  CPPUNIT_TEST(OrderIsSentWhole);
+  CPPUNIT_TEST(OrderStateMatchesEngineBehaviour);
+  CPPUNIT_TEST(ConnectionRefusedIsReportedAsRefused);
+  CPPUNIT_TEST(EveryOrderFieldIsSent);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void EnginesBehaviours() {
+  void OrderStateMatchesEngineBehaviour() {
     for (const Row& row : Rows()) {
       m_engine = row.engine;
       Send(50ms);
@@ -61,13 +61,13 @@
   }
 
   // The order was never sent, so it cannot have been executed.
-  void NobodyListensIsRefused() {
+  void ConnectionRefusedIsReportedAsRefused() {
     m_server.reset();
     Send(5s);
     CPPUNIT_ASSERT(m_states.at(0) == OrderState::Refused);
   }
 
-  void OrderIsSentWhole() {
+  void EveryOrderFieldIsSent() {
     std::string path;
     std::string body;
     m_engine = [&](Exchange& exchange) {
--- a/src/dotterelshift/http/server_bounds_test.cc
+++ b/src/dotterelshift/http/server_bounds_test.cc
@@ -3,7 +3,7 @@
 #include <string>  // for string
 #include <vector>  // for vector
 
-#include "dotterelshift/callers/front.h"         // for RefusalAnswer
+#include "dotterelshift/callers/front.h"         // for ServerRefusalResponse
 #include "dotterelshift/http/server.h"           // for MakeServer
 #include "dotterelshift/http/test_connection.h"  // for TestConnection
 #include "dotterelshift/loop/loop.h"             // for Loop
@@ -245,7 +245,7 @@
                           {.max_body_bytes = kMaxBody,
                            .max_connections = max_connections,
                            .receive_timeout = receive_timeout,
-                           .refusal = callers::RefusalAnswer,
+                           .refusal = callers::ServerRefusalResponse,
                            .connections = Reports()},
                           [this](std::shared_ptr<Exchange> exchange) {
                             ++m_handled;
--- a/src/dotterelshift/operators/api.cc
+++ b/src/dotterelshift/operators/api.cc
@@ -6,7 +6,7 @@
 #include <array>              // for array
 #include <nlohmann/json.hpp>  // for ordered_json
 
-#include "dotterelshift/callers/front.h"     // for AnswerError
+#include "dotterelshift/callers/front.h"     // for SendErrorResponse
 #include "dotterelshift/operators/render.h"  // for RenderPlan
 #include "dotterelshift/plan/intent.h"       // for ParseIntent
 #include "dotterelshift/plan/planner.h"      // for MakePlan
@@ -140,7 +140,7 @@
 
   static void Refuse(const Call& call, ErrorKind kind,
                      std::string_view detail = {}) {
-    callers::AnswerError(*call.exchange, kind, detail);
+    callers::SendErrorResponse(*call.exchange, kind, detail);
   }
 
   // Authenticates and routes a call. If it returns false, the call has been
@@ -204,8 +204,8 @@
   void LeadAway(http::Exchange& exchange) const {
     const std::string leader = m_backend.LeaderHttpAddress();
     if (leader.empty() || leader == m_backend.SelfHttpAddress())
-      return callers::AnswerError(exchange, ErrorKind::kNoQuorum,
-                                  "no leader is known");
+      return callers::SendErrorResponse(exchange, ErrorKind::kNoQuorum,
+                                        "no leader is known");
     const http::Request& request = exchange.GetRequest();
     std::string url = "http://" + leader + request.path;
     if (!request.query.empty()) url += "?" + request.query;
