--- a/bench/entry_bench.cc
+++ b/bench/entry_bench.cc
@@ -199,7 +199,7 @@
 
 void Bench::Report(const Target& target, const RunResult& result,
                    const Usage& before) {
-  const Usage after = UsageOf(m_fleet.ProcessOf("e1").Pid());
+  const Usage after = UsageOf(m_fleet.GetProcess("e1").Pid());
   const double cpu = after.cpu_seconds - before.cpu_seconds;
   std::printf("%-20s %7zu whole %3zu failed  %8.0f requests/s  %9.0f events/s",
               target.name.c_str(), result.whole, result.failed,
@@ -239,7 +239,7 @@
       R"({"model":"fast","max_tokens":1,"messages":[{"role":"user","content":"Which library?"}]})";
   std::printf("-- short requests, %zu at once\n", kAtOnce);
   for (const Target* target : {&m_fast, &m_plain, &m_strict}) {
-    const Usage before = UsageOf(m_fleet.ProcessOf("e1").Pid());
+    const Usage before = UsageOf(m_fleet.GetProcess("e1").Pid());
     Report(*target, Run(*target, kRequests, kAtOnce, body), before);
   }
 }
@@ -250,7 +250,7 @@
       R"({"model":"paced","stream":true,"max_tokens":400,"messages":[{"role":"user","content":"Which library?"}]})";
   std::printf("-- %zu streams at once, 400 tokens each\n", kStreams);
   for (const Target* target : {&m_paced, &m_plain, &m_strict}) {
-    const Usage before = UsageOf(m_fleet.ProcessOf("e1").Pid());
+    const Usage before = UsageOf(m_fleet.GetProcess("e1").Pid());
     Report(*target, Run(*target, kStreams * 2, kStreams, body), before);
   }
 }
@@ -283,26 +283,26 @@
   std::printf("-- traffic between the entry and control, both ways\n");
   Wait(12s);  // until idle grants have been returned
   double before = bytes();
-  Usage entry = UsageOf(m_fleet.ProcessOf("e1").Pid());
-  Usage control = UsageOf(m_fleet.ProcessOf("c1").Pid());
+  Usage entry = UsageOf(m_fleet.GetProcess("e1").Pid());
+  Usage control = UsageOf(m_fleet.GetProcess("c1").Pid());
   Wait(std::chrono::seconds(kIdleSeconds));
   std::printf(
       "idle, %d endpoints: %.0f bytes/s, entry %.2f %% of a core, control %.2f "
       "%%\n",
       2 * kEndpoints, (bytes() - before) / kIdleSeconds,
       100 *
-          (UsageOf(m_fleet.ProcessOf("e1").Pid()).cpu_seconds -
+          (UsageOf(m_fleet.GetProcess("e1").Pid()).cpu_seconds -
            entry.cpu_seconds) /
           kIdleSeconds,
       100 *
-          (UsageOf(m_fleet.ProcessOf("c1").Pid()).cpu_seconds -
+          (UsageOf(m_fleet.GetProcess("c1").Pid()).cpu_seconds -
            control.cpu_seconds) /
           kIdleSeconds);
   for (const Target* target : {&m_plain, &m_strict}) {
     before = bytes();
-    control = UsageOf(m_fleet.ProcessOf("c1").Pid());
+    control = UsageOf(m_fleet.GetProcess("c1").Pid());
     const RunResult result = Run(*target, kRequests, 32, body);
-    const double cpu = UsageOf(m_fleet.ProcessOf("c1").Pid()).cpu_seconds -
+    const double cpu = UsageOf(m_fleet.GetProcess("c1").Pid()).cpu_seconds -
                        control.cpu_seconds;
     std::printf(
         "%-20s %.0f bytes a request, control %.0f microseconds of a core a "
--- a/bench/scenario_measures.cc
+++ b/bench/scenario_measures.cc
@@ -11,15 +11,15 @@
 
 using dotterelshift::scenarios::Coverage;
 using dotterelshift::scenarios::Measures;
-using dotterelshift::scenarios::PolicyChoice;
+using dotterelshift::scenarios::PolicyOverride;
 
 const std::array kChoices = {
-    PolicyChoice{"overspend_first", "witnessed"},
-    PolicyChoice{"overspend_first", "clock_lease"},
-    PolicyChoice{"overspend_first", "unwitnessed"},
-    PolicyChoice{"refusals_first", "witnessed"},
-    PolicyChoice{"refusals_first", "clock_lease"},
-    PolicyChoice{"refusals_first", "unwitnessed"},
+    PolicyOverride{"overspend_first", "witnessed"},
+    PolicyOverride{"overspend_first", "clock_lease"},
+    PolicyOverride{"overspend_first", "unwitnessed"},
+    PolicyOverride{"refusals_first", "witnessed"},
+    PolicyOverride{"refusals_first", "clock_lease"},
+    PolicyOverride{"refusals_first", "unwitnessed"},
 };
 
 bool ConcernsBudgets(const Coverage& coverage) {
@@ -38,7 +38,7 @@
   sum->false_refusals += measures.false_refusals;
 }
 
-void PrintRow(const std::string& name, const PolicyChoice& choice,
+void PrintRow(const std::string& name, const PolicyOverride& choice,
               const Measures& measures) {
   std::cout << "| " << name << " | " << choice.policy << " | "
             << choice.grant_way << " | " << measures.answered << " | "
--- a/tests/ctl_process_test.cc
+++ b/tests/ctl_process_test.cc
@@ -16,7 +16,7 @@
 namespace {
 
 // An address on which nothing listens.
-const std::string kNobody = "127.0.0.1:1";
+const std::string kClosedPortAddress = "127.0.0.1:1";
 
 // An HTTP server that responds as the test specifies and records the requests.
 class FakeDaemon {
@@ -44,10 +44,10 @@
 
 class CtlProcessTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CtlProcessTest);
-  CPPUNIT_TEST(ARedirectIsFollowedWithKeyMethodAndBody);
-  CPPUNIT_TEST(ACircleOfRedirectsEnds);
-  CPPUNIT_TEST(ABrokenAnswerIsNotTakenForOne);
-  CPPUNIT_TEST(NobodyAtHomeIsNotReachable);
+  CPPUNIT_TEST(RedirectKeepsKeyMethodAndBody);
+  CPPUNIT_TEST(RedirectLoopEnds);
+  CPPUNIT_TEST(TruncatedResponseIsAnError);
+  CPPUNIT_TEST(ClosedPortIsNotReachable);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -73,7 +73,7 @@
                                  static_cast<int>(code), status);
   }
 
-  void ARedirectIsFollowedWithKeyMethodAndBody() {
+  void RedirectKeepsKeyMethodAndBody() {
     FakeDaemon leader(m_loop, [](http::Exchange& exchange) {
       exchange.Answer(200, {},
                       R"({"plan": "p1", "base_version": 0, "changes": [],
@@ -101,7 +101,7 @@
                          std::string(request.Header("authorization")));
   }
 
-  void ACircleOfRedirectsEnds() {
+  void RedirectLoopEnds() {
     std::string address;
     FakeDaemon daemon(m_loop, [&](http::Exchange& exchange) {
       exchange.Answer(
@@ -115,7 +115,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{6}, daemon.requests.size());
   }
 
-  void ABrokenAnswerIsNotTakenForOne() {
+  void TruncatedResponseIsAnError() {
     FakeDaemon daemon(m_loop, [](http::Exchange& exchange) {
       exchange.SendHead(200, {});
       exchange.WriteChunk("{\"plan\": \"p1\"");
@@ -127,8 +127,8 @@
     AssertEnd(*process, ExitCode::kNotReachable);
   }
 
-  void NobodyAtHomeIsNotReachable() {
-    AssertEnd(*Start({"status"}, kNobody), ExitCode::kNotReachable);
+  void ClosedPortIsNotReachable() {
+    AssertEnd(*Start({"status"}, kClosedPortAddress), ExitCode::kNotReachable);
   }
 
   loop::Loop m_loop;
--- a/tests/docs_test.cc
+++ b/tests/docs_test.cc
@@ -35,12 +35,12 @@
 
 class DocsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DocsTest);
-  CPPUNIT_TEST(EveryErrorKindStandsInItsPage);
-  CPPUNIT_TEST(SettingsPageHoldsTheTable);
-  CPPUNIT_TEST(EveryVerbAndExitCodeStandsInItsPage);
+  CPPUNIT_TEST(EveryErrorKindIsDocumented);
+  CPPUNIT_TEST(SettingsPageContainsTheTable);
+  CPPUNIT_TEST(EveryVerbAndExitCodeIsDocumented);
   CPPUNIT_TEST_SUITE_END();
 
-  void EveryErrorKindStandsInItsPage() {
+  void EveryErrorKindIsDocumented() {
     const std::string page = ReadPage("OPERATING.md");
     const std::string kinds = page.substr(page.find("## Error kinds"));
     for (const ErrorRow& row : ErrorTable()) {
@@ -53,7 +53,7 @@
     CPPUNIT_ASSERT_EQUAL(ErrorTable().size(), LinesOf(kinds, "| `").size());
   }
 
-  void SettingsPageHoldsTheTable() {
+  void SettingsPageContainsTheTable() {
     std::ostringstream table;
     ctl::WriteSettingTable(table);
     const std::string page = ReadPage("SETTINGS.md");
@@ -62,7 +62,7 @@
         page.find("\n" + table.str() + "\n") != std::string::npos);
   }
 
-  void EveryVerbAndExitCodeStandsInItsPage() {
+  void EveryVerbAndExitCodeIsDocumented() {
     const std::string page = ReadPage("CTL.md");
     for (const ctl::VerbRow& row : ctl::VerbTable())
       AssertOneLine(page, "| `" + std::string(row.name) + "` | ");
--- a/tests/main.cc
+++ b/tests/main.cc
@@ -17,13 +17,13 @@
 
 namespace {
 
-struct Choice {
+struct Selection {
   std::vector<std::string> words;
   std::vector<std::string> exceptions;  // SUITE::TEST
 };
 
-Choice ParseArguments(const std::vector<std::string>& arguments) {
-  Choice choice;
+Selection ParseArguments(const std::vector<std::string>& arguments) {
+  Selection choice;
   for (size_t i = 0; i < arguments.size(); ++i) {
     const bool except = arguments[i] == "--except" && i + 1 < arguments.size();
     if (except)
@@ -34,7 +34,7 @@
   return choice;
 }
 
-bool IsExcepted(const std::string& name, const Choice& choice) {
+bool IsExcepted(const std::string& name, const Selection& choice) {
   return std::any_of(choice.exceptions.begin(), choice.exceptions.end(),
                      [&](const std::string& exception) {
                        return name.ends_with("::" + exception);
@@ -43,7 +43,7 @@
 
 // Collects the leaf tests below `test` whose name contains one of the words, or
 // all of them if there are no words, without the excepted ones.
-void Select(CppUnit::Test* test, const Choice& choice,
+void Select(CppUnit::Test* test, const Selection& choice,
             std::vector<CppUnit::Test*>* selected) {
   if (test->getChildTestCount() > 0) {
     for (int i = 0; i < test->getChildTestCount(); ++i)
@@ -65,7 +65,7 @@
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  const Choice choice = ParseArguments({argv + 1, argv + argc});
+  const Selection choice = ParseArguments({argv + 1, argv + argc});
   const std::unique_ptr<CppUnit::Test> all(
       CppUnit::TestFactoryRegistry::getRegistry().makeTest());
   std::vector<CppUnit::Test*> selected;
--- a/tests/process/control_group_test.cc
+++ b/tests/process/control_group_test.cc
@@ -17,15 +17,15 @@
 // Runs three control daemons as processes and kills, partitions and wipes them.
 class ControlGroupTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ControlGroupTest);
-  CPPUNIT_TEST(KilledLeadersLoseNothing);
+  CPPUNIT_TEST(LeaderKilledDuringConfirmLosesNothing);
   CPPUNIT_TEST(CutOffLeaderRefusesTopUps);
-  CPPUNIT_TEST(WipedReplicaReturnsByAPlan);
+  CPPUNIT_TEST(WipedReplicaIsReplacedByAPlan);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // The leader is killed right after each confirm is sent. The confirm is
   // resent until it is answered, and must be applied exactly once.
-  void KilledLeadersLoseNothing() {
+  void LeaderKilledDuringConfirmLosesNothing() {
     Fleet fleet;
     StartThree(fleet);
     constexpr int kRounds = 5;
@@ -34,7 +34,7 @@
     for (int round = 1; round <= kRounds; ++round) {
       const std::string plan = Plan(fleet, TopUp(round));
       leader = fleet.AwaitLeader(kControls);
-      SendConfirmUnheard(fleet, leader, plan);
+      SendConfirmWithoutWaiting(fleet, leader, plan);
       fleet.Kill(leader);
       const int version = Confirm(fleet, plan);
       CPPUNIT_ASSERT_EQUAL(1 + round, version);
@@ -68,10 +68,10 @@
     if (leader != "c2") links.push_back(c1_c3.get());
     if (leader != "c1") links.push_back(c2_c3.get());
     for (LinkProxy* link : links) link->Freeze();
-    const HttpAnswer answer =
-        fleet.Operate(leader, "POST", "confirm/" + refused, {});
+    const HttpResponse answer =
+        fleet.SendOperatorRequest(leader, "POST", "confirm/" + refused, {});
     CPPUNIT_ASSERT_MESSAGE(answer.body, answer.status != 200);
-    const Names majority = OthersOf(leader);
+    const Names majority = OtherControls(leader);
     const std::string accepted = Plan(fleet, TopUp(2), majority);
     CPPUNIT_ASSERT_EQUAL(2, Confirm(fleet, accepted, majority));
     for (LinkProxy* link : links) link->Heal();
@@ -79,7 +79,7 @@
     CPPUNIT_ASSERT_EQUAL(1000, Purchased(fleet));
   }
 
-  void WipedReplicaReturnsByAPlan() {
+  void WipedReplicaIsReplacedByAPlan() {
     Fleet fleet;
     StartThree(fleet);
     fleet.AwaitLeader(kControls);
@@ -119,7 +119,7 @@
   }
 
  private:
-  static Names OthersOf(const std::string& host) {
+  static Names OtherControls(const std::string& host) {
     Names others = kControls;
     std::erase(others, host);
     return others;
@@ -145,9 +145,10 @@
   // id.
   static std::string Plan(Fleet& fleet, const std::string& intent,
                           const Names& hosts = kControls) {
-    HttpAnswer answer;
+    HttpResponse answer;
     RunUntil(fleet.GetLoop(), "a plan", [&] {
-      answer = fleet.Operate(fleet.AwaitLeader(hosts), "POST", "plan", intent);
+      answer = fleet.SendOperatorRequest(fleet.AwaitLeader(hosts), "POST",
+                                         "plan", intent);
       CPPUNIT_ASSERT_MESSAGE(answer.body, answer.status != 400);
       return answer.status == 200;
     });
@@ -158,10 +159,10 @@
   // configuration version that it made.
   static int Confirm(Fleet& fleet, const std::string& plan,
                      const Names& hosts = kControls) {
-    HttpAnswer answer;
+    HttpResponse answer;
     RunUntil(fleet.GetLoop(), "a confirm", [&] {
-      answer = fleet.Operate(fleet.AwaitLeader(hosts), "POST",
-                             "confirm/" + plan, {});
+      answer = fleet.SendOperatorRequest(fleet.AwaitLeader(hosts), "POST",
+                                         "confirm/" + plan, {});
       const bool final = answer.status == 404 || answer.status == 409;
       CPPUNIT_ASSERT_MESSAGE(answer.body, !final);
       return answer.status == 200;
@@ -170,8 +171,8 @@
   }
 
   // Sends a confirm without waiting for the response.
-  static void SendConfirmUnheard(Fleet& fleet, const std::string& host,
-                                 const std::string& plan) {
+  static void SendConfirmWithoutWaiting(Fleet& fleet, const std::string& host,
+                                        const std::string& plan) {
     http::TransferCallbacks callbacks;
     callbacks.on_head = [](int, const http::Headers&) {};
     callbacks.on_chunk = [](std::string_view) { return true; };
@@ -184,13 +185,14 @@
          .body = {}},
         callbacks);
     // A few loop iterations send the request; it may or may not arrive.
-    constexpr int kTurns = 3;
-    for (int turn = 0; turn < kTurns; ++turn)
+    constexpr int kIterations = 3;
+    for (int iteration = 0; iteration < kIterations; ++iteration)
       ev_run(fleet.GetLoop().Raw(), EVRUN_NOWAIT);
   }
 
   static json Status(Fleet& fleet, const std::string& host) {
-    const HttpAnswer answer = fleet.Operate(host, "GET", "status", {});
+    const HttpResponse answer =
+        fleet.SendOperatorRequest(host, "GET", "status", {});
     return answer.status == 200 ? json::parse(answer.body)["daemon"]
                                 : json::object();
   }
@@ -216,8 +218,8 @@
   }
 
   static int Purchased(Fleet& fleet) {
-    const HttpAnswer answer = fleet.Operate(fleet.AwaitLeader(kControls), "GET",
-                                            "budget?budget=main", {});
+    const HttpResponse answer = fleet.SendOperatorRequest(
+        fleet.AwaitLeader(kControls), "GET", "budget?budget=main", {});
     CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.body, 200, answer.status);
     return json::parse(answer.body).at(0).at("bought").get<int>();
   }
--- a/tests/process/fleet.cc
+++ b/tests/process/fleet.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::string HttpAnswer::Header(const std::string& name) const {
+std::string HttpResponse::Header(const std::string& name) const {
   for (const auto& [key, value] : headers) {
     if (key == name) return value;
   }
@@ -107,12 +107,12 @@
   m_members.at(name).process->Wait();
 }
 
-int Fleet::AwaitEnd(const std::string& name) {
-  Process& process = ProcessOf(name);
+int Fleet::AwaitExit(const std::string& name) {
+  Process& process = GetProcess(name);
   // The loop is not notified when a child process exits, so this polls.
-  constexpr Duration kLookEvery = 20ms;
-  loop::Timer look(m_loop, [&] { look.ArmIn(kLookEvery); });
-  look.ArmIn(kLookEvery);
+  constexpr Duration kPollInterval = 20ms;
+  loop::Timer look(m_loop, [&] { look.ArmIn(kPollInterval); });
+  look.ArmIn(kPollInterval);
   RunUntil(m_loop, name + " ends", [&] { return process.Ended(); });
   return process.Wait();
 }
@@ -125,17 +125,18 @@
   return "127.0.0.1:" + std::to_string(m_members.at(name).http_port);
 }
 
-HttpAnswer Fleet::Send(const std::string& method, const std::string& url,
-                       const http::Headers& headers, const std::string& body) {
-  HttpAnswer answer;
+HttpResponse Fleet::Send(const std::string& method, const std::string& url,
+                         const http::Headers& headers,
+                         const std::string& body) {
+  HttpResponse answer;
   bool ended = false;
   http::TransferCallbacks callbacks;
   callbacks.on_head = [&](int status, const http::Headers& got) {
     answer.status = status;
     answer.headers = got;
   };
-  callbacks.on_chunk = [&](std::string_view piece) {
-    answer.body.append(piece);
+  callbacks.on_chunk = [&](std::string_view chunk) {
+    answer.body.append(chunk);
     return true;
   };
   callbacks.on_end = [&](http::TransferEnd end) {
@@ -149,11 +150,13 @@
   return answer;
 }
 
-HttpAnswer Fleet::Operate(const std::string& host, const std::string& method,
-                          const std::string& path, const std::string& body) {
+HttpResponse Fleet::SendOperatorRequest(const std::string& host,
+                                        const std::string& method,
+                                        const std::string& path,
+                                        const std::string& body) {
   const http::Headers headers = {
       {"authorization", std::string("Bearer ") + kOperatorKey}};
-  HttpAnswer answer =
+  HttpResponse answer =
       Send(method, "http://" + HttpAddress(host) + "/operator/v1/" + path,
            headers, body);
   if (answer.status == 307)
@@ -161,9 +164,9 @@
   return answer;
 }
 
-HttpAnswer Fleet::Ask(const std::string& entry, const std::string& key,
-                      const nlohmann::json& body,
-                      const http::Headers& headers) {
+HttpResponse Fleet::Ask(const std::string& entry, const std::string& key,
+                        const nlohmann::json& body,
+                        const http::Headers& headers) {
   http::Headers all = {{"authorization", "Bearer " + key},
                        {"content-type", "application/json"}};
   all.insert(all.end(), headers.begin(), headers.end());
@@ -200,13 +203,13 @@
   return leader;
 }
 
-HttpAnswer Fleet::PlanAndConfirm(const std::string& host,
-                                 const std::string& intent) {
-  const HttpAnswer plan = Operate(host, "POST", "plan", intent);
+HttpResponse Fleet::PlanAndConfirm(const std::string& host,
+                                   const std::string& intent) {
+  const HttpResponse plan = SendOperatorRequest(host, "POST", "plan", intent);
   CPPUNIT_ASSERT_EQUAL_MESSAGE(plan.body, 200, plan.status);
   const std::string id =
       nlohmann::json::parse(plan.body).at("plan").get<std::string>();
-  return Operate(host, "POST", "confirm/" + id, {});
+  return SendOperatorRequest(host, "POST", "confirm/" + id, {});
 }
 
 }  // namespace dotterelshift::testing
--- a/tests/process/fleet.h
+++ b/tests/process/fleet.h
@@ -18,7 +18,7 @@
 inline constexpr char kOperatorKey[] = "test-operator-key";
 inline constexpr char kFleetSecret[] = "test-fleet-secret";
 
-struct HttpAnswer {
+struct HttpResponse {
   int status = 0;  // 0: no response head arrived
   http::Headers headers;
   std::string body;
@@ -49,14 +49,14 @@
   // Starts a process again with the same settings and arguments.
   void Restart(const std::string& name);
 
-  Process& ProcessOf(const std::string& name) {
+  Process& GetProcess(const std::string& name) {
     return *m_members.at(name).process;
   }
   void Kill(const std::string& name);  // with SIGKILL
 
   // Runs the event loop, and with it the links on it, until the daemon has
   // exited. Returns its exit status.
-  int AwaitEnd(const std::string& name);
+  int AwaitExit(const std::string& name);
 
   std::string PeerAddress(const std::string& name) const;
   std::string HttpAddress(const std::string& name) const;
@@ -65,14 +65,17 @@
   }
 
   // Sends one HTTP request and runs the event loop until the exchange ends.
-  HttpAnswer Send(const std::string& method, const std::string& url,
-                  const http::Headers& headers, const std::string& body);
+  HttpResponse Send(const std::string& method, const std::string& url,
+                    const http::Headers& headers, const std::string& body);
   // Sends a request to the operator API and follows one redirect (307).
-  HttpAnswer Operate(const std::string& host, const std::string& method,
-                     const std::string& path, const std::string& body);
+  HttpResponse SendOperatorRequest(const std::string& host,
+                                   const std::string& method,
+                                   const std::string& path,
+                                   const std::string& body);
   // Sends a chat completion request with the team's `key`.
-  HttpAnswer Ask(const std::string& entry, const std::string& key,
-                 const nlohmann::json& body, const http::Headers& headers = {});
+  HttpResponse Ask(const std::string& entry, const std::string& key,
+                   const nlohmann::json& body,
+                   const http::Headers& headers = {});
 
   // Waits until /readyz returns 200. Like the other waits, it fails the test
   // after kHangGuard.
@@ -84,7 +87,8 @@
 
   // Plans and confirms an intent through a control host. Fails the test if the
   // plan is refused; returns the response to the confirm.
-  HttpAnswer PlanAndConfirm(const std::string& host, const std::string& intent);
+  HttpResponse PlanAndConfirm(const std::string& host,
+                              const std::string& intent);
 
  private:
   struct Member {
--- a/tests/process/process.cc
+++ b/tests/process/process.cc
@@ -18,7 +18,7 @@
 constexpr int kSignalStatus = 128;
 constexpr int kGuardMs = 60'000;
 // How often to check that the writer still runs while the folder is unchanged.
-constexpr int kLookMs = 200;
+constexpr int kPollMs = 200;
 
 }  // namespace
 
@@ -92,7 +92,7 @@
   int waited = 0;
   while (ReadFile(path).empty() && !writer.Ended() && waited < kGuardMs) {
     pollfd ready{watch, POLLIN, 0};
-    if (poll(&ready, 1, kLookMs) == 0) waited += kLookMs;
+    if (poll(&ready, 1, kPollMs) == 0) waited += kPollMs;
     char events[4096];
     while (read(watch, events, sizeof events) > 0) continue;
   }
--- a/tests/process/serving_process_test.cc
+++ b/tests/process/serving_process_test.cc
@@ -20,7 +20,7 @@
 
 constexpr char kTeamKey[] = "team-key-0123456789";
 constexpr Tokens kPurchased = 5'000'000;
-constexpr int kTokensOfAnAnswer = 30;
+constexpr int kTokensPerResponse = 30;
 // Text in a prompt that makes a fake endpoint exit.
 constexpr char kCrashMark[] = "crash-mark";
 
@@ -71,10 +71,10 @@
 class ServingProcessTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ServingProcessTest);
   CPPUNIT_TEST(StreamsSurviveTheLossOfAnEndpointAndAnEntry);
-  CPPUNIT_TEST(ShutdownCutsNoStream);
-  CPPUNIT_TEST(TopUpWhileAnEntryIsCutOff);
-  CPPUNIT_TEST(NonIdempotentWorkRunsOnceAcrossEntries);
-  CPPUNIT_TEST(ARequestThatEndsEndpointsIsHeldBack);
+  CPPUNIT_TEST(ShutdownCompletesOpenStreams);
+  CPPUNIT_TEST(TopUpDuringAnEntryPartition);
+  CPPUNIT_TEST(NonIdempotentRequestRunsOnceAcrossEntries);
+  CPPUNIT_TEST(RequestThatCrashesEndpointsIsQuarantined);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -100,7 +100,7 @@
     RunUntil(Loop(), "the end of all requests",
              [&] { return ended == kCalls; });
     const std::map<std::string, int> ran = RunsByKey();
-    for (const Call& call : calls) CheckTruth(call, ran);
+    for (const Call& call : calls) CheckReportedOutcome(call, ran);
 
     // Every caller without a complete response retries with the same key at the
     // entry that is still running.
@@ -124,10 +124,10 @@
     for (const Call& call : calls) {
       CPPUNIT_ASSERT_MESSAGE(call.key + ": " + call.body, call.WholeAnswer());
     }
-    CheckBooks(kCalls);
+    CheckBilling(kCalls);
   }
 
-  void ShutdownCutsNoStream() {
+  void ShutdownCompletesOpenStreams() {
     StartFleet("witnessed");
     constexpr int kCalls = 40;
     std::vector<Call> calls(kCalls);
@@ -142,15 +142,15 @@
       for (const Call& call : calls) begun += call.body.empty() ? 0 : 1;
       return begun == kCalls;
     });
-    m_fleet->ProcessOf("e1").Signal(SIGTERM);
-    m_fleet->ProcessOf("e1").Signal(SIGTERM);
+    m_fleet->GetProcess("e1").Signal(SIGTERM);
+    m_fleet->GetProcess("e1").Signal(SIGTERM);
     RunUntil(Loop(), "the end of all requests",
              [&] { return ended == kCalls; });
     for (const Call& call : calls) {
       CPPUNIT_ASSERT_MESSAGE(call.key + ": " + call.body, call.WholeAnswer());
     }
-    CPPUNIT_ASSERT_EQUAL(0, m_fleet->AwaitEnd("e1"));
-    CheckBooks(kCalls);
+    CPPUNIT_ASSERT_EQUAL(0, m_fleet->AwaitExit("e1"));
+    CheckBilling(kCalls);
     // The entry has returned the tokens that it held.
     const json report = Report();
     for (const json& budget : report.at("budgets")) {
@@ -158,7 +158,7 @@
     }
   }
 
-  void TopUpWhileAnEntryIsCutOff() {
+  void TopUpDuringAnEntryPartition() {
     StartFleet("unwitnessed");
     // From its first response on, the entry holds a pre-authorized amount.
     CPPUNIT_ASSERT(AskOnce("e2", "before").WholeAnswer());
@@ -166,7 +166,7 @@
     RunUntil(Loop(), "cut off", [&] {
       return m_fleet->Send("GET", Url("e2", "/readyz"), {}, {}).status == 503;
     });
-    const HttpAnswer confirmed = m_fleet->PlanAndConfirm(
+    const HttpResponse confirmed = m_fleet->PlanAndConfirm(
         "c1", "top_ups: [{id: second, budget: lib-b, tokens: 1M}]\n");
     CPPUNIT_ASSERT_EQUAL_MESSAGE(confirmed.body, 200, confirmed.status);
     // An entry that can record a settlement nowhere does not finish its
@@ -181,28 +181,28 @@
     CPPUNIT_ASSERT(report.at("disagreements").empty());
   }
 
-  void NonIdempotentWorkRunsOnceAcrossEntries() {
+  void NonIdempotentRequestRunsOnceAcrossEntries() {
     StartFleet("witnessed");
     const http::Headers headers = {
         {"authorization", std::string("Bearer ") + kTeamKey},
         {"idempotency-key", "order-7"},
         {"dotterelshift-idempotent", "false"}};
-    const HttpAnswer first = m_fleet->Send(
+    const HttpResponse first = m_fleet->Send(
         "POST", Url("e1", "/v1/services/loan/orders"), headers, "{\"book\":1}");
     CPPUNIT_ASSERT_EQUAL_MESSAGE(first.body, 200, first.status);
-    const HttpAnswer again = m_fleet->Send(
+    const HttpResponse again = m_fleet->Send(
         "POST", Url("e2", "/v1/services/loan/orders"), headers, "{\"book\":1}");
     CPPUNIT_ASSERT_EQUAL_MESSAGE(again.body, 409, again.status);
     CPPUNIT_ASSERT(again.body.find("already_ran") != std::string::npos);
     CPPUNIT_ASSERT_EQUAL(1, RunsByKey().at("order-7"));
   }
 
-  void ARequestThatEndsEndpointsIsHeldBack() {
+  void RequestThatCrashesEndpointsIsQuarantined() {
     StartFleet("witnessed");
-    constexpr int kInnocent = 30;
-    std::vector<Call> calls(kInnocent);
+    constexpr int kHealthyCalls = 30;
+    std::vector<Call> calls(kHealthyCalls);
     int ended = 0;
-    for (int i = 0; i < kInnocent; ++i) {
+    for (int i = 0; i < kHealthyCalls; ++i) {
       calls[i].key = "call-" + std::to_string(i);
       calls[i].entry = i % 2 == 0 ? "e1" : "e2";
       Start(calls[i], &ended);
@@ -227,7 +227,7 @@
     // The other requests must not be reported as quarantined. Those without a
     // complete response are retried, and the retry must complete.
     RunUntil(Loop(), "the end of all requests",
-             [&] { return ended == kInnocent; });
+             [&] { return ended == kHealthyCalls; });
     for (Call& call : calls) {
       if (call.WholeAnswer()) continue;
       CPPUNIT_ASSERT_MESSAGE(
@@ -261,12 +261,12 @@
       m_fleet->StartEndpoint(
           id, m_fleet->HttpAddress("e1") + "," + m_fleet->HttpAddress("e2"),
           {"--models", "m", "--services", "loan", "--tokens",
-           std::to_string(kTokensOfAnAnswer), "--token-interval-ms", "10",
+           std::to_string(kTokensPerResponse), "--token-interval-ms", "10",
            "--slots", "256", "--crash-mark", kCrashMark});
     }
     m_fleet->AwaitReady("e1");
     m_fleet->AwaitReady("e2");
-    const HttpAnswer confirmed =
+    const HttpResponse confirmed =
         m_fleet->PlanAndConfirm("c1", Intent(grant_way));
     CPPUNIT_ASSERT_EQUAL_MESSAGE(confirmed.body, 200, confirmed.status);
     for (const char* entry : {"e1", "e2"}) {
@@ -278,7 +278,7 @@
   // Waits until the entry's metrics show all four endpoints as usable.
   void AwaitEndpoints(const std::string& entry) {
     RunUntil(Loop(), entry + " knows the endpoints", [&] {
-      const HttpAnswer answer =
+      const HttpResponse answer =
           m_fleet->Send("GET", Url(entry, "/metrics"), {}, {});
       return answer.body.find("dotterelshift_endpoints_usable 4") !=
              std::string::npos;
@@ -290,8 +290,8 @@
     callbacks.on_head = [&call](int status, const http::Headers&) {
       call.status = status;
     };
-    callbacks.on_chunk = [&call](std::string_view piece) {
-      call.body.append(piece);
+    callbacks.on_chunk = [&call](std::string_view chunk) {
+      call.body.append(chunk);
       return true;
     };
     callbacks.on_end = [&call, ended](http::TransferEnd end) {
@@ -322,7 +322,7 @@
   int CountDead() const {
     int dead = 0;
     for (const char* id : {"f0", "f1", "f2", "f3"})
-      dead += m_fleet->ProcessOf(id).Ended() ? 1 : 0;
+      dead += m_fleet->GetProcess(id).Ended() ? 1 : 0;
     return dead;
   }
 
@@ -330,8 +330,8 @@
   std::map<std::string, int> RunsByKey() {
     std::map<std::string, int> runs;
     for (const char* id : {"f0", "f1", "f2", "f3"}) {
-      if (m_fleet->ProcessOf(id).Ended()) continue;
-      const HttpAnswer answer =
+      if (m_fleet->GetProcess(id).Ended()) continue;
+      const HttpResponse answer =
           m_fleet->Send("GET", Url(id, "/control/served"), {}, {});
       for (const json& served : json::parse(answer.body)) {
         ++runs[served.at("key").get<std::string>()];
@@ -343,8 +343,8 @@
   // Checks that a request reported as not run was run by no endpoint that still
   // exists, that callers of e1 get a complete response or a reported outcome,
   // and that all content belongs to the caller's own request.
-  static void CheckTruth(const Call& call,
-                         const std::map<std::string, int>& ran) {
+  static void CheckReportedOutcome(const Call& call,
+                                   const std::map<std::string, int>& ran) {
     if (call.Ran() == "no") {
       CPPUNIT_ASSERT_MESSAGE(call.key + ": " + call.body,
                              !ran.contains(call.key));
@@ -362,15 +362,15 @@
   }
 
   json Report() {
-    const HttpAnswer answer =
-        m_fleet->Operate("c1", "GET", "report?team=lib", {});
+    const HttpResponse answer =
+        m_fleet->SendOperatorRequest("c1", "GET", "report?team=lib", {});
     CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.body, 200, answer.status);
     return json::parse(answer.body);
   }
 
   // Checks that there are as many bills as complete responses, and that spend
   // stays within the budget.
-  void CheckBooks(int whole_answers) {
+  void CheckBilling(int whole_answers) {
     const json report = Report();
     int answered = 0;
     for (const json& day : report.at("days"))
--- a/tests/process/slow_link.cc
+++ b/tests/process/slow_link.cc
@@ -20,11 +20,11 @@
 // Size of the kernel buffer of each socket and direction, in bytes.
 constexpr int kKernelBuffer = 16 << 10;
 
-LinkWay Back(LinkWay way) {
-  return way == LinkWay::kIn ? LinkWay::kOut : LinkWay::kIn;
+LinkDirection Opposite(LinkDirection way) {
+  return way == LinkDirection::kIn ? LinkDirection::kOut : LinkDirection::kIn;
 }
 
-size_t IndexOf(LinkWay way) { return static_cast<size_t>(way); }
+size_t IndexOf(LinkDirection way) { return static_cast<size_t>(way); }
 
 void BoundBuffers(int descriptor) {
   for (const int option : {SO_SNDBUF, SO_RCVBUF}) {
@@ -50,10 +50,10 @@
 struct Connection {
   uint64_t number = 0;
   uint16_t port = 0;
-  LinkWay way = LinkWay::kIn;  // from ends[0] to ends[1]
+  LinkDirection way = LinkDirection::kIn;  // from ends[0] to ends[1]
   std::string target;
   std::array<End, 2> ends;
-  std::unique_ptr<loop::Timer> gives_up;  // armed until it is open
+  std::unique_ptr<loop::Timer> connect_timer;  // armed until it is open
   bool connecting = false;
   bool closed = false;
 };
@@ -71,7 +71,7 @@
 struct Queue {
   std::deque<Packet> packets;
   Instant free_at{};  // when the last queued byte has passed
-  std::deque<Instant> passes;
+  std::deque<Instant> delivery_times;
   std::unique_ptr<loop::Timer> timer;
 };
 
@@ -79,21 +79,21 @@
  public:
   TcpSlowLink(loop::Loop& loop, const SlowLinkOptions& options)
       : m_loop(loop), m_options(options) {
-    for (const LinkWay way : {LinkWay::kIn, LinkWay::kOut}) {
+    for (const LinkDirection way : {LinkDirection::kIn, LinkDirection::kOut}) {
       m_queues.at(IndexOf(way)).timer =
-          std::make_unique<loop::Timer>(loop, [this, way] { Pass(way); });
+          std::make_unique<loop::Timer>(loop, [this, way] { DeliverDue(way); });
     }
   }
   ~TcpSlowLink() override {
     for (const auto& connection : m_connections) Close(*connection);
-    for (Door& door : m_doors) {
-      door.watcher.reset();
-      ::close(door.descriptor);
+    for (Forwarder& forwarder : m_forwarders) {
+      forwarder.watcher.reset();
+      ::close(forwarder.descriptor);
     }
   }
 
-  std::string AddDoor(const std::string& target, LinkWay way,
-                      Duration gives_up_after) override {
+  std::string AddForwarder(const std::string& target, LinkDirection way,
+                           Duration connect_timeout) override {
     const int listener =
         ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     BoundBuffers(listener);
@@ -103,29 +103,29 @@
         0, ::bind(listener, reinterpret_cast<sockaddr*>(&address), length));
     CPPUNIT_ASSERT_EQUAL(0, ::listen(listener, SOMAXCONN));
     ::getsockname(listener, reinterpret_cast<sockaddr*>(&address), &length);
-    Door& door = m_doors.emplace_back();
-    door.descriptor = listener;
-    door.watcher = std::make_unique<loop::IoWatcher>(
+    Forwarder& forwarder = m_forwarders.emplace_back();
+    forwarder.descriptor = listener;
+    forwarder.watcher = std::make_unique<loop::IoWatcher>(
         m_loop, listener, EV_READ, [=, this](int) {
-          while (Accept(listener, target, way, gives_up_after)) {
+          while (Accept(listener, target, way, connect_timeout)) {
           }
         });
     return "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
   }
 
-  Duration QueueOf(LinkWay way) const override {
+  Duration QueueDelay(LinkDirection way) const override {
     return std::max<Duration>(0s,
                               m_queues.at(IndexOf(way)).free_at - m_loop.Now());
   }
 
  private:
-  struct Door {
+  struct Forwarder {
     int descriptor = -1;
     std::unique_ptr<loop::IoWatcher> watcher;
   };
 
-  bool Accept(int listener, const std::string& target, LinkWay way,
-              Duration gives_up_after) {
+  bool Accept(int listener, const std::string& target, LinkDirection way,
+              Duration connect_timeout) {
     sockaddr_in from{};
     socklen_t length = sizeof from;
     const int descriptor =
@@ -140,18 +140,19 @@
     connection->ends[0].descriptor = descriptor;
     MakeWatcher(connection, 0);
     const std::weak_ptr<Connection> weak = connection;
-    connection->gives_up = std::make_unique<loop::Timer>(m_loop, [this, weak] {
-      if (const auto held = weak.lock()) GiveUp(held);
-    });
-    connection->gives_up->ArmIn(gives_up_after);
+    connection->connect_timer =
+        std::make_unique<loop::Timer>(m_loop, [this, weak] {
+          if (const auto held = weak.lock()) OnConnectTimeout(held);
+        });
+    connection->connect_timer->ArmIn(connect_timeout);
     std::erase_if(m_connections, [](const auto& old) { return old->closed; });
     m_connections.push_back(connection);
-    Tell(LinkEvent::What::kAccepted, *connection, way, 0);
+    EmitEvent(LinkEvent::What::kAccepted, *connection, way, 0);
     Push({Kind::kOpen, connection, 1, {}});
     return true;
   }
 
-  void GiveUp(const std::shared_ptr<Connection>& connection) {
+  void OnConnectTimeout(const std::shared_ptr<Connection>& connection) {
     if (connection->closed) return;
     ResetEnd(connection->ends[0]);
     SendReset(connection, 0);
@@ -193,7 +194,7 @@
   }
 
   // Whether the peer has closed or reset the connection.
-  static bool HasGone(int descriptor) {
+  static bool PeerHasClosed(int descriptor) {
     pollfd look{.fd = descriptor, .events = POLLRDHUP, .revents = 0};
     return ::poll(&look, 1, 0) == 1;
   }
@@ -262,12 +263,12 @@
     }
   }
 
-  LinkWay WayTo(const Connection& connection, size_t end) const {
-    return end == 1 ? connection.way : Back(connection.way);
+  LinkDirection DirectionTo(const Connection& connection, size_t end) const {
+    return end == 1 ? connection.way : Opposite(connection.way);
   }
 
   void Push(Packet packet) {
-    const LinkWay way = WayTo(*packet.connection, packet.to);
+    const LinkDirection way = DirectionTo(*packet.connection, packet.to);
     Queue& queue = m_queues.at(IndexOf(way));
     const auto cost =
         static_cast<double>(packet.bytes.size() + m_options.packet_overhead);
@@ -275,24 +276,27 @@
         std::max(queue.free_at, m_loop.Now()) +
         std::chrono::duration_cast<Duration>(
             std::chrono::duration<double>(cost / m_options.bytes_per_second));
-    queue.passes.push_back(queue.free_at);
+    queue.delivery_times.push_back(queue.free_at);
     queue.packets.push_back(std::move(packet));
-    if (queue.packets.size() == 1) queue.timer->ArmAt(queue.passes.front());
+    if (queue.packets.size() == 1)
+      queue.timer->ArmAt(queue.delivery_times.front());
   }
 
-  void Pass(LinkWay way) {
+  void DeliverDue(LinkDirection way) {
     Queue& queue = m_queues.at(IndexOf(way));
-    while (!queue.packets.empty() && queue.passes.front() <= m_loop.Now()) {
+    while (!queue.packets.empty() &&
+           queue.delivery_times.front() <= m_loop.Now()) {
       const Packet packet = std::move(queue.packets.front());
       queue.packets.pop_front();
-      queue.passes.pop_front();
+      queue.delivery_times.pop_front();
       Deliver(packet, way);
       Watch(*packet.connection);
     }
-    if (!queue.packets.empty()) queue.timer->ArmAt(queue.passes.front());
+    if (!queue.packets.empty())
+      queue.timer->ArmAt(queue.delivery_times.front());
   }
 
-  void Deliver(const Packet& packet, LinkWay way) {
+  void Deliver(const Packet& packet, LinkDirection way) {
     const std::shared_ptr<Connection>& connection = packet.connection;
     if (connection->closed) return;
     End& end = connection->ends.at(packet.to);
@@ -300,24 +304,25 @@
       case Kind::kOpen:
         return Connect(connection);
       case Kind::kOpened:
-        connection->gives_up->Cancel();
+        connection->connect_timer->Cancel();
         if (connection->ends[0].was_reset) return;
         // If the connecting side has closed meanwhile, none of its bytes are
         // forwarded.
-        if (HasGone(connection->ends[0].descriptor))
+        if (PeerHasClosed(connection->ends[0].descriptor))
           return SendReset(connection, 0);
         connection->ends[0].reads = true;
         return;
       case Kind::kBytes:
-        Tell(LinkEvent::What::kBytes, *connection, way, packet.bytes.size());
+        EmitEvent(LinkEvent::What::kBytes, *connection, way,
+                  packet.bytes.size());
         end.out += packet.bytes;
         return Write(connection, packet.to);
       case Kind::kEnd:
-        Tell(LinkEvent::What::kEnd, *connection, way, 0);
+        EmitEvent(LinkEvent::What::kEnd, *connection, way, 0);
         end.out_end = true;
         return Write(connection, packet.to);
       case Kind::kReset:
-        Tell(LinkEvent::What::kEnd, *connection, way, 0);
+        EmitEvent(LinkEvent::What::kEnd, *connection, way, 0);
         return Close(*connection);
     }
   }
@@ -359,15 +364,15 @@
     }
   }
 
-  void Tell(LinkEvent::What what, const Connection& connection, LinkWay way,
-            size_t bytes) const {
+  void EmitEvent(LinkEvent::What what, const Connection& connection,
+                 LinkDirection way, size_t bytes) const {
     if (!m_options.on_event) return;
     m_options.on_event({what, connection.number, connection.port, way, bytes});
   }
 
   loop::Loop& m_loop;
   const SlowLinkOptions m_options;
-  std::vector<Door> m_doors;
+  std::vector<Forwarder> m_forwarders;
   std::vector<std::shared_ptr<Connection>> m_connections;
   std::array<Queue, 2> m_queues;
   uint64_t m_last_number = 0;
--- a/tests/process/slow_link.h
+++ b/tests/process/slow_link.h
@@ -11,7 +11,7 @@
 namespace dotterelshift::testing {
 
 // The two directions of a host's link: inbound and outbound.
-enum class LinkWay : uint8_t { kIn, kOut };
+enum class LinkDirection : uint8_t { kIn, kOut };
 
 // An event of one connection through the link. kBytes and kEnd are reported
 // when they leave the far end of the link.
@@ -24,7 +24,7 @@
   What what = What::kBytes;
   uint64_t connection = 0;  // counted from 1
   uint16_t port = 0;        // local port of the connecting side
-  LinkWay way = LinkWay::kIn;
+  LinkDirection way = LinkDirection::kIn;
   size_t bytes = 0;
 };
 
@@ -50,12 +50,12 @@
  public:
   virtual ~SlowLink() = default;
   // Listens on a new address and forwards its connections to the target, into
-  // the host or out of it. A connection that is not open after `gives_up_after`
-  // is reset. Returns the address.
-  virtual std::string AddDoor(const std::string& target, LinkWay way,
-                              Duration gives_up_after) = 0;
+  // the host or out of it. A connection that is not open after
+  // `connect_timeout` is reset. Returns the address.
+  virtual std::string AddForwarder(const std::string& target, LinkDirection way,
+                                   Duration connect_timeout) = 0;
   // How long data queued now would wait.
-  virtual Duration QueueOf(LinkWay way) const = 0;
+  virtual Duration QueueDelay(LinkDirection way) const = 0;
 };
 
 std::unique_ptr<SlowLink> MakeSlowLink(loop::Loop& loop,
--- a/tests/process/slow_link_test.cc
+++ b/tests/process/slow_link_test.cc
@@ -13,16 +13,16 @@
 namespace {
 
 constexpr double kRate = 1'000'000;  // bytes per second
-constexpr size_t kBody = 100'000;
+constexpr size_t kBodySize = 100'000;
 
 class SlowLinkTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SlowLinkTest);
-  CPPUNIT_TEST(CarriesWholeRequestsAndAnswers);
-  CPPUNIT_TEST(IsNoFasterThanItsRate);
-  CPPUNIT_TEST(IsSharedByAllDoorsOfAWay);
-  CPPUNIT_TEST(ACloseComesBehindWhatWasSentBefore);
-  CPPUNIT_TEST(ARefusedConnectionIsReset);
-  CPPUNIT_TEST(WhoGivesUpBeforeItIsOpenHasSentNothing);
+  CPPUNIT_TEST(CarriesCompleteRequestsAndResponses);
+  CPPUNIT_TEST(DoesNotExceedItsRate);
+  CPPUNIT_TEST(IsSharedByAllForwardersOfADirection);
+  CPPUNIT_TEST(CloseArrivesAfterEarlierBytes);
+  CPPUNIT_TEST(RefusedConnectionIsReset);
+  CPPUNIT_TEST(ConnectionThatTimesOutBeforeOpeningSendsNothing);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -32,7 +32,8 @@
         m_loop, {}, [this](const std::shared_ptr<http::Exchange>& exchange) {
           m_exchanges.push_back(exchange);
           exchange->OnGone([this] { ++m_gone; });
-          if (m_answers) exchange->Answer(200, {}, exchange->GetRequest().body);
+          if (m_responds)
+            exchange->Answer(200, {}, exchange->GetRequest().body);
         });
     m_target = "127.0.0.1:" + std::to_string(m_server->Port());
   }
@@ -43,99 +44,100 @@
     m_link.reset();
   }
 
-  void CarriesWholeRequestsAndAnswers() {
-    const std::string door =
-        m_link->AddDoor(m_target, LinkWay::kIn, kHangGuard);
+  void CarriesCompleteRequestsAndResponses() {
+    const std::string forwarder =
+        m_link->AddForwarder(m_target, LinkDirection::kIn, kHangGuard);
     Transfer first;
     Transfer second;
-    Start(door, kBody, first);
-    Start(door, 10, second);
+    Start(forwarder, kBodySize, first);
+    Start(forwarder, 10, second);
     RunUntil(m_loop, "both", [&] { return first.ended && second.ended; });
     CPPUNIT_ASSERT(first.end == http::TransferEnd::kWhole);
-    CPPUNIT_ASSERT_EQUAL(kBody, first.body.size());
+    CPPUNIT_ASSERT_EQUAL(kBodySize, first.body.size());
     CPPUNIT_ASSERT_EQUAL(std::string(10, 'x'), second.body);
   }
 
-  void IsNoFasterThanItsRate() {
-    const std::string door =
-        m_link->AddDoor(m_target, LinkWay::kOut, kHangGuard);
+  void DoesNotExceedItsRate() {
+    const std::string forwarder =
+        m_link->AddForwarder(m_target, LinkDirection::kOut, kHangGuard);
     const Instant begin = m_loop.Now();
     Transfer transfer;
-    Start(door, kBody, transfer);
+    Start(forwarder, kBodySize, transfer);
     RunUntil(m_loop, "the answer", [&] { return transfer.ended; });
     // The body passes the link in both directions.
-    CPPUNIT_ASSERT(m_loop.Now() - begin >= 2 * TimeOf(kBody));
+    CPPUNIT_ASSERT(m_loop.Now() - begin >= 2 * TransferTime(kBodySize));
   }
 
-  void IsSharedByAllDoorsOfAWay() {
-    m_answers = false;
+  void IsSharedByAllForwardersOfADirection() {
+    m_responds = false;
     const std::string one =
-        m_link->AddDoor(m_target, LinkWay::kOut, kHangGuard);
+        m_link->AddForwarder(m_target, LinkDirection::kOut, kHangGuard);
     const std::string other =
-        m_link->AddDoor(m_target, LinkWay::kOut, kHangGuard);
+        m_link->AddForwarder(m_target, LinkDirection::kOut, kHangGuard);
     const Instant begin = m_loop.Now();
     Transfer transfers[2];
-    Start(one, kBody, transfers[0]);
-    Start(other, kBody, transfers[1]);
+    Start(one, kBodySize, transfers[0]);
+    Start(other, kBodySize, transfers[1]);
     RunUntil(m_loop, "both", [&] { return m_exchanges.size() == 2; });
-    CPPUNIT_ASSERT(m_loop.Now() - begin >= 2 * TimeOf(kBody));
+    CPPUNIT_ASSERT(m_loop.Now() - begin >= 2 * TransferTime(kBodySize));
   }
 
-  void ACloseComesBehindWhatWasSentBefore() {
-    m_answers = false;
-    MakeLink(kRate / 10, kBody);
-    const std::string door =
-        m_link->AddDoor(m_target, LinkWay::kIn, kHangGuard);
+  void CloseArrivesAfterEarlierBytes() {
+    m_responds = false;
+    MakeLink(kRate / 10, kBodySize);
+    const std::string forwarder =
+        m_link->AddForwarder(m_target, LinkDirection::kIn, kHangGuard);
     Transfer leaver;
-    const http::TransferId left = Start(door, 10, leaver);
+    const http::TransferId left = Start(forwarder, 10, leaver);
     RunUntil(m_loop, "a request", [&] { return m_exchanges.size() == 1; });
     Transfer other;
-    Start(door, 10, other);
+    Start(forwarder, 10, other);
     RunUntil(m_loop, "another", [&] { return m_exchanges.size() == 2; });
     Transfer filler;
-    Start(door, kBody, filler);
+    Start(forwarder, kBodySize, filler);
     RunUntil(m_loop, "a queue",
-             [&] { return m_link->QueueOf(LinkWay::kIn) > 500ms; });
+             [&] { return m_link->QueueDelay(LinkDirection::kIn) > 500ms; });
     const size_t before = m_events.size();
     m_client->Cancel(left);
     RunUntil(m_loop, "the close", [&] { return m_gone == 1; });
     size_t bytes = 0;
     for (size_t i = before; i < m_events.size(); ++i) {
       if (m_events[i].what == LinkEvent::What::kEnd) break;
-      bytes += m_events[i].way == LinkWay::kIn ? m_events[i].bytes : 0;
+      bytes += m_events[i].way == LinkDirection::kIn ? m_events[i].bytes : 0;
     }
     CPPUNIT_ASSERT(bytes > 0);
   }
 
-  void ARefusedConnectionIsReset() {
+  void RefusedConnectionIsReset() {
     m_server.reset();
-    const std::string door =
-        m_link->AddDoor(m_target, LinkWay::kIn, kHangGuard);
+    const std::string forwarder =
+        m_link->AddForwarder(m_target, LinkDirection::kIn, kHangGuard);
     Transfer transfer;
-    Start(door, 10, transfer);
+    Start(forwarder, 10, transfer);
     RunUntil(m_loop, "the end", [&] { return transfer.ended; });
     CPPUNIT_ASSERT(transfer.end == http::TransferEnd::kFailedBeforeHead);
   }
 
   // The acceptance of the connection is queued behind the filler's bytes in the
   // same direction, so it arrives after the connect timeout.
-  void WhoGivesUpBeforeItIsOpenHasSentNothing() {
-    m_answers = false;
-    MakeLink(kRate / 10, kBody);
+  void ConnectionThatTimesOutBeforeOpeningSendsNothing() {
+    m_responds = false;
+    MakeLink(kRate / 10, kBodySize);
     const std::string into =
-        m_link->AddDoor(m_target, LinkWay::kIn, kHangGuard);
+        m_link->AddForwarder(m_target, LinkDirection::kIn, kHangGuard);
     Transfer filler;
-    Start(into, kBody, filler);
+    Start(into, kBodySize, filler);
     RunUntil(m_loop, "a queue",
-             [&] { return m_link->QueueOf(LinkWay::kIn) > 500ms; });
-    const std::string out = m_link->AddDoor(m_target, LinkWay::kOut, 100ms);
+             [&] { return m_link->QueueDelay(LinkDirection::kIn) > 500ms; });
+    const std::string out =
+        m_link->AddForwarder(m_target, LinkDirection::kOut, 100ms);
     Transfer transfer;
     Start(out, 10, transfer);
     RunUntil(m_loop, "the end", [&] { return transfer.ended; });
     CPPUNIT_ASSERT(transfer.end == http::TransferEnd::kFailedBeforeHead);
     RunUntil(m_loop, "the filler", [&] { return !m_exchanges.empty(); });
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_exchanges.size());
-    CPPUNIT_ASSERT_EQUAL(kBody, m_exchanges[0]->GetRequest().body.size());
+    CPPUNIT_ASSERT_EQUAL(kBodySize, m_exchanges[0]->GetRequest().body.size());
   }
 
  private:
@@ -155,19 +157,19 @@
     m_link = MakeSlowLink(m_loop, options);
   }
 
-  static Duration TimeOf(size_t bytes) {
+  static Duration TransferTime(size_t bytes) {
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double>(static_cast<double>(bytes) / kRate));
   }
 
-  http::TransferId Start(const std::string& door, size_t body,
+  http::TransferId Start(const std::string& forwarder, size_t body,
                          Transfer& transfer) {
     http::ClientRequest request;
-    request.url = "http://" + door + "/";
+    request.url = "http://" + forwarder + "/";
     request.body.assign(body, 'x');
     http::TransferCallbacks callbacks;
-    callbacks.on_chunk = [&transfer](std::string_view piece) {
-      transfer.body += piece;
+    callbacks.on_chunk = [&transfer](std::string_view chunk) {
+      transfer.body += chunk;
       return true;
     };
     callbacks.on_end = [&transfer](http::TransferEnd end) {
@@ -179,7 +181,7 @@
 
   loop::Loop m_loop;
   std::vector<LinkEvent> m_events;
-  bool m_answers = true;
+  bool m_responds = true;
   int m_gone = 0;
   std::string m_target;
   std::vector<std::shared_ptr<http::Exchange>> m_exchanges;
--- a/tests/scenarios/control_host.cc
+++ b/tests/scenarios/control_host.cc
@@ -7,8 +7,8 @@
 
 // Log entries after which a replica makes a snapshot. The number is small so
 // that replicas restart from a snapshot in most scripts.
-constexpr uint64_t kSnapshotEvery = 200;
-constexpr Duration kSpoolResend = 300ms;
+constexpr uint64_t kEntriesPerSnapshot = 200;
+constexpr Duration kSpoolResendInterval = 300ms;
 constexpr WallMs kWallAtStart = 1'800'000'000'000;
 
 std::string BytesOf(const wire::CommandBatchT& batch) {
@@ -64,7 +64,7 @@
 
 void ControlHost::Kill() {
   m_node.reset();
-  m_waiting.clear();
+  m_pending_commands.clear();
   m_reads.clear();
 }
 
@@ -79,14 +79,14 @@
   if (!Alive()) return;
   if (m_node->NextTimer() <= m_links.network->Now())
     m_node->OnTimer(m_links.network->Now());
-  if (m_spool_due <= m_links.network->Now()) HandSpoolOn();
+  if (m_spool_forward_due <= m_links.network->Now()) ForwardSpool();
   Pump();
 }
 
 // Sends the spool to all replicas at intervals until its commands are applied;
 // only the leader proposes them.
-void ControlHost::HandSpoolOn() {
-  m_spool_due = m_links.network->Now() + kSpoolResend;
+void ControlHost::ForwardSpool() {
+  m_spool_forward_due = m_links.network->Now() + kSpoolResendInterval;
   if (m_disk.spool.empty()) return;
   for (ControlHost* other : m_links.controls()) {
     m_links.network->Send(m_name, other->Name(), [other, spool = m_disk.spool] {
@@ -104,7 +104,7 @@
 void ControlHost::Propose(std::vector<wire::CommandT> commands) {
   if (!Leads()) return;
   for (wire::CommandT& command : commands)
-    m_waiting.push_back(std::move(command));
+    m_pending_commands.push_back(std::move(command));
   m_links.network->After(0s, [this] { Pump(); });
 }
 
@@ -127,24 +127,24 @@
 
 void ControlHost::Pump() {
   if (!Alive()) return;
-  ProposeWaiting();
-  while (Alive() && CarryOut(m_node->TakeReady())) {
+  ProposePending();
+  while (Alive() && Execute(m_node->TakeReady())) {
   }
 }
 
-void ControlHost::ProposeWaiting() {
-  if (m_waiting.empty()) return;
+void ControlHost::ProposePending() {
+  if (m_pending_commands.empty()) return;
   const Instant now = m_links.network->Now();
   wire::CommandBatchT batch;
   batch.stamp_ms = kWallAtStart + ToMs(now.time_since_epoch());
-  for (wire::CommandT& command : m_waiting)
+  for (wire::CommandT& command : m_pending_commands)
     batch.commands.push_back(
         std::make_unique<wire::CommandT>(std::move(command)));
-  m_waiting.clear();
+  m_pending_commands.clear();
   m_node->Propose(BytesOf(batch), now);
 }
 
-bool ControlHost::CarryOut(const replication::Ready& ready) {
+bool ControlHost::Execute(const replication::Ready& ready) {
   const bool wrote = ready.HasWrites();
   Write(ready);
   for (const auto& [to, frame] : ready.messages) {
@@ -200,7 +200,7 @@
                                m_links.network->Now());
     AnswerAll(batch, answers);
   }
-  if (m_applied >= m_disk.log.snapshot.last_index + kSnapshotEvery)
+  if (m_applied >= m_disk.log.snapshot.last_index + kEntriesPerSnapshot)
     MakeSnapshot();
 }
 
@@ -231,8 +231,8 @@
 }
 
 void ControlHost::OnHeartbeat(const HostId& entry,
-                              const wire::EntryBeatT& beat) {
-  if (Leads()) m_recall.OnHeartbeat(entry, beat, m_links.network->Now());
+                              const wire::EntryBeatT& heartbeat) {
+  if (Leads()) m_recall.OnHeartbeat(entry, heartbeat, m_links.network->Now());
 }
 
 void ControlHost::MakeSnapshot() {
--- a/tests/scenarios/control_host.h
+++ b/tests/scenarios/control_host.h
@@ -54,7 +54,7 @@
   void Tick();
   void Propose(std::vector<wire::CommandT> commands);
   void Spool(const wire::CommandT& command);
-  void OnHeartbeat(const HostId& entry, const wire::EntryBeatT& beat);
+  void OnHeartbeat(const HostId& entry, const wire::EntryBeatT& heartbeat);
   void ProposeMember(const wire::ReplicaT& replica, bool remove);
   // Calls back once a quorum has confirmed that this replica leads. If that
   // does not happen, the callback is never called.
@@ -67,10 +67,10 @@
     std::vector<wire::CommandT> spool;
   };
   ControlHost* FindReplica(ReplicaId replica) const;
-  void HandSpoolOn();
+  void ForwardSpool();
   void Pump();
-  void ProposeWaiting();
-  bool CarryOut(const replication::Ready& ready);
+  void ProposePending();
+  bool Execute(const replication::Ready& ready);
   void Write(const replication::Ready& ready);
   void Apply(const wire::LogEntryT& entry);
   void AnswerAll(const wire::CommandBatchT& batch,
@@ -88,8 +88,8 @@
   budget::RecallCore m_recall;
   uint64_t m_applied = 0;
   uint64_t m_starts = 0;
-  Instant m_spool_due{};
-  std::vector<wire::CommandT> m_waiting;
+  Instant m_spool_forward_due{};
+  std::vector<wire::CommandT> m_pending_commands;
   std::map<uint64_t, std::function<void()>> m_reads;
 };
 
--- a/tests/scenarios/engine.cc
+++ b/tests/scenarios/engine.cc
@@ -5,7 +5,7 @@
 namespace dotterelshift::scenarios {
 namespace {
 
-constexpr Tokens kTokensInAPiece = 8;
+constexpr Tokens kTokensPerChunk = 8;
 constexpr int kOk = 200;
 
 }  // namespace
@@ -64,7 +64,7 @@
   const RequestRecord& record = m_records->Of(stream.request);
   if (record.crashes_engines) return Die();
   const Tokens tokens =
-      std::min(kTokensInAPiece, record.output - stream.written);
+      std::min(kTokensPerChunk, record.output - stream.written);
   if (record.service || tokens == 0) {
     const Stream done = stream;
     m_streams.erase(found);
@@ -76,7 +76,7 @@
                   [this, connection, tokens, request = stream.request] {
                     m_events.on_chunk(connection, request, {.tokens = tokens});
                   });
-  m_network->After(fault.between_pieces, [this, connection, serial] {
+  m_network->After(fault.chunk_interval, [this, connection, serial] {
     WriteNext(connection, serial);
   });
 }
--- a/tests/scenarios/engine.h
+++ b/tests/scenarios/engine.h
@@ -32,7 +32,7 @@
 // Delays and faults of an engine.
 struct EngineFault {
   Duration first_token = 20ms;
-  Duration between_pieces = 10ms;
+  Duration chunk_interval = 10ms;
   bool refuses = false;        // refuses requests before running them
   bool usage_missing = false;  // responses end without a usage report
 };
--- a/tests/scenarios/entry_host.cc
+++ b/tests/scenarios/entry_host.cc
@@ -5,10 +5,10 @@
 namespace dotterelshift::scenarios {
 namespace {
 
-constexpr Duration kBeatEvery = 500ms;
-constexpr Duration kCutOffAfter = 3s;
-constexpr Duration kResendEvery = 250ms;
-constexpr Duration kSpreadEvery = 100ms;
+constexpr Duration kHeartbeatInterval = 500ms;
+constexpr Duration kCutOffTimeout = 3s;
+constexpr Duration kResendInterval = 250ms;
+constexpr Duration kGossipInterval = 100ms;
 // Sequence number of the registration command, out of the range of the core's
 // own commands, which are numbered from 1.
 constexpr uint64_t kRegistration = 1ULL << 40;
@@ -53,7 +53,7 @@
 
 void EntryHost::Shutdown() {
   m_core->StartDraining(m_links.network->Now());
-  CarryOutAll();
+  ExecuteActions();
 }
 
 void EntryHost::Register() {
@@ -73,79 +73,79 @@
 void EntryHost::Tick() {
   if (!Alive()) return;
   const Instant now = m_links.network->Now();
-  if (m_beat_due <= now) SendBeat();
+  if (m_heartbeat_due <= now) SendHeartbeat();
   if (m_resend_due <= now) SendUnanswered();
-  if (m_spread_due <= now) SpreadDirectory();
+  if (m_gossip_due <= now) GossipDirectory();
   if (m_reach == serving::ControlReach::kConnected &&
-      now - m_last_beat > kCutOffAfter) {
+      now - m_last_heartbeat > kCutOffTimeout) {
     SetReach(serving::ControlReach::kCutOff);
   }
   m_directory.OnTimer(now);
   if (m_directory.Generation() != m_generation) Refresh();
   const auto due = m_core->NextTimer();
   if (due && *due <= now) m_core->OnTimer(now);
-  CarryOutAll();
+  ExecuteActions();
 }
 
-void EntryHost::SendBeat() {
+void EntryHost::SendHeartbeat() {
   const Instant sent = m_links.network->Now();
-  m_beat_due = sent + kBeatEvery;
-  const wire::EntryBeatT held = HeldNow();
+  m_heartbeat_due = sent + kHeartbeatInterval;
+  const wire::EntryBeatT held = CurrentHoldings();
   for (ControlHost* control : m_links.controls()) {
     m_links.network->Send(m_name, control->Name(), [this, control, sent, held] {
       control->OnHeartbeat(m_name, held);
       control->ConfirmedRead([this, control, sent] {
-        const Beat beat = BeatOf(*control, sent, Version());
+        const Heartbeat heartbeat = MakeHeartbeat(*control, sent, Version());
         m_links.network->Send(control->Name(), m_name,
-                              [this, beat] { OnHeartbeat(beat); });
+                              [this, heartbeat] { OnHeartbeat(heartbeat); });
       });
     });
   }
 }
 
-wire::EntryBeatT EntryHost::HeldNow() const {
-  wire::EntryBeatT beat;
+wire::EntryBeatT EntryHost::CurrentHoldings() const {
+  wire::EntryBeatT heartbeat;
   for (const budget::BudgetHandle budget : m_ledger->All()) {
     auto held = std::make_unique<wire::BudgetHoldingT>();
     held->budget = m_ledger->IdOf(budget);
     held->tokens = m_ledger->Held(budget) - m_ledger->Reserved(budget);
     held->demand_per_second =
         m_ledger->DemandPerSecond(budget, m_links.network->Now());
-    beat.held.push_back(std::move(held));
+    heartbeat.held.push_back(std::move(held));
   }
-  return beat;
+  return heartbeat;
 }
 
-EntryHost::Beat EntryHost::BeatOf(const ControlHost& control, Instant sent,
-                                  uint64_t version) {
-  Beat beat;
-  beat.sent = sent;
+EntryHost::Heartbeat EntryHost::MakeHeartbeat(const ControlHost& control,
+                                              Instant sent, uint64_t version) {
+  Heartbeat heartbeat;
+  heartbeat.sent = sent;
   const state::State& state = control.GetState();
-  beat.version = state.GetConfiguration().Version();
-  if (version > 0) beat.changes = state.ChangesSince(version);
-  beat.whole = beat.changes.empty() && beat.version > version;
-  if (beat.whole) beat.changes = state.GetConfiguration().AsChanges();
-  beat.quarantined = state.Quarantined(state.LastStamp());
-  return beat;
+  heartbeat.version = state.GetConfiguration().Version();
+  if (version > 0) heartbeat.changes = state.ChangesSince(version);
+  heartbeat.whole = heartbeat.changes.empty() && heartbeat.version > version;
+  if (heartbeat.whole) heartbeat.changes = state.GetConfiguration().AsChanges();
+  heartbeat.quarantined = state.Quarantined(state.LastStamp());
+  return heartbeat;
 }
 
-void EntryHost::OnHeartbeat(const Beat& beat) {
+void EntryHost::OnHeartbeat(const Heartbeat& heartbeat) {
   if (!Alive()) return;
-  m_last_beat = std::max(m_last_beat, beat.sent);
-  if (beat.version > Version()) {
-    if (beat.whole) m_configuration = {};
-    m_configuration.Apply(beat.changes, beat.version);
+  m_last_heartbeat = std::max(m_last_heartbeat, heartbeat.sent);
+  if (heartbeat.version > Version()) {
+    if (heartbeat.whole) m_configuration = {};
+    m_configuration.Apply(heartbeat.changes, heartbeat.version);
     m_links.records->Trace(
         m_links.network->Now(),
-        m_name + " has version " + std::to_string(beat.version));
+        m_name + " has version " + std::to_string(heartbeat.version));
     Refresh();
   }
   wire::QuarantinePushT push;
-  for (const wire::SuspectAnswerT& entry : beat.quarantined)
+  for (const wire::SuspectAnswerT& entry : heartbeat.quarantined)
     push.entries.push_back(std::make_unique<wire::SuspectAnswerT>(entry));
   if (!push.entries.empty()) m_core->OnQuarantine(push, m_links.network->Now());
   if (Version() > 0) SetReach(serving::ControlReach::kConnected);
-  CarryOutAll();
+  ExecuteActions();
 }
 
 void EntryHost::SetReach(serving::ControlReach reach) {
@@ -160,7 +160,7 @@
 }
 
 void EntryHost::SendUnanswered() {
-  m_resend_due = m_links.network->Now() + kResendEvery;
+  m_resend_due = m_links.network->Now() + kResendInterval;
   if (m_unanswered.empty()) return;
   std::vector<wire::CommandT> commands;
   for (const auto& [sequence, command] : m_unanswered)
@@ -171,9 +171,9 @@
   }
 }
 
-void EntryHost::SpreadDirectory() {
+void EntryHost::GossipDirectory() {
   const Instant now = m_links.network->Now();
-  m_spread_due = now + kSpreadEvery;
+  m_gossip_due = now + kGossipInterval;
   const wire::DirectoryDeltaT delta = m_directory.TakeDelta(now);
   if (delta.records.empty()) return;
   for (EntryHost* other : m_links.entries()) {
@@ -193,7 +193,7 @@
   m_generation = m_directory.Generation();
   m_router->Refresh(m_directory, m_configuration, now);
   m_core->OnRefresh(now);
-  CarryOutAll();
+  ExecuteActions();
 }
 
 void EntryHost::OnRequest(const RequestRecord& record,
@@ -203,26 +203,26 @@
     return;
   }
   m_core->OnRequest(record.id, request, m_links.network->Now());
-  CarryOutAll();
+  ExecuteActions();
 }
 
 void EntryHost::OnCallerGone(RequestId request) {
   if (!Alive()) return;
   m_core->OnCallerGone(request, m_links.network->Now());
-  CarryOutAll();
+  ExecuteActions();
 }
 
 void EntryHost::OnAnswer(const wire::CommandAnswerT& answer) {
   if (!Alive() || answer.id->incarnation != m_incarnation) return;
   if (m_unanswered.erase(answer.id->sequence) == 0) return;
   m_core->OnAnswer(answer, m_links.network->Now());
-  CarryOutAll();
+  ExecuteActions();
 }
 
 void EntryHost::OnRecall(const wire::RecallT& recall) {
   if (!Alive()) return;
   m_core->OnRecall(recall, m_links.network->Now());
-  CarryOutAll();
+  ExecuteActions();
 }
 
 bool EntryHost::Is(const Connection& connection) const {
@@ -232,27 +232,27 @@
 void EntryHost::OnHead(const Connection& connection, int status) {
   if (!Is(connection)) return;
   m_core->OnAttemptHead(connection.attempt, status, m_links.network->Now());
-  CarryOutAll();
+  ExecuteActions();
 }
 
 void EntryHost::OnChunk(const Connection& connection, RequestId from,
-                        const serving::Chunk& piece) {
+                        const serving::Chunk& chunk) {
   if (!Is(connection)) return;
   const Instant now = m_links.network->Now();
-  const auto verdict = m_core->OnChunk(connection.attempt, piece, now);
+  const auto verdict = m_core->OnChunk(connection.attempt, chunk, now);
   const auto request = m_requests.find(connection.attempt);
   if (verdict == serving::ChunkVerdict::kForward &&
-      request != m_requests.end() && piece.tokens > 0) {
+      request != m_requests.end() && chunk.tokens > 0) {
     m_links.records->OnChunk(request->second, from, connection.attempt,
-                             piece.tokens, now);
+                             chunk.tokens, now);
   }
-  CarryOutAll();
+  ExecuteActions();
 }
 
 void EntryHost::OnEnd(const Connection& connection, serving::AttemptEnd end) {
   if (!Is(connection)) return;
   m_core->OnAttemptEnd(connection.attempt, end, m_links.network->Now());
-  CarryOutAll();
+  ExecuteActions();
 }
 
 void EntryHost::OnCut(const EndpointId& endpoint) {
@@ -263,16 +263,16 @@
   }
 }
 
-void EntryHost::CarryOutAll() {
+void EntryHost::ExecuteActions() {
   for (auto actions = m_core->TakeActions(); !actions.empty();
        actions = m_core->TakeActions()) {
     for (const serving::Action& action : actions)
-      std::visit([this](const auto& one) { CarryOut(one); }, action);
+      std::visit([this](const auto& one) { Execute(one); }, action);
   }
   m_core->TakeSummaries();
 }
 
-void EntryHost::CarryOut(const serving::StartAttempt& action) {
+void EntryHost::Execute(const serving::StartAttempt& action) {
   m_endpoints[action.attempt] = action.endpoint;
   m_requests[action.attempt] = action.request;
   Engine* engine = m_links.engine(action.endpoint);
@@ -290,7 +290,7 @@
                         });
 }
 
-void EntryHost::CarryOut(const serving::CancelAttempt& action) {
+void EntryHost::Execute(const serving::CancelAttempt& action) {
   const EndpointId endpoint = m_endpoints[action.attempt];
   Engine* engine = m_links.engine(endpoint);
   const Connection connection{m_name, m_incarnation, action.attempt};
@@ -298,16 +298,16 @@
                         [engine, connection] { engine->Cancel(connection); });
 }
 
-void EntryHost::CarryOut(const serving::FinishResponse& action) {
+void EntryHost::Execute(const serving::FinishResponse& action) {
   m_links.records->OnAnswered(action.request, m_links.network->Now());
 }
 
-void EntryHost::CarryOut(const serving::FailResponse& action) {
+void EntryHost::Execute(const serving::FailResponse& action) {
   m_links.records->OnFailed(action.request, action.kind,
                             m_links.network->Now());
 }
 
-void EntryHost::CarryOut(const serving::ProposeCommand& action) {
+void EntryHost::Execute(const serving::ProposeCommand& action) {
   m_unanswered[action.command.id->sequence] = action.command;
   for (ControlHost* control : m_links.controls()) {
     m_links.network->Send(
@@ -316,7 +316,7 @@
   }
 }
 
-void EntryHost::CarryOut(const serving::SpoolCommand& action) {
+void EntryHost::Execute(const serving::SpoolCommand& action) {
   for (ControlHost* control : m_links.controls()) {
     m_links.network->Send(m_name, control->Name(),
                           [this, control, command = action.command] {
@@ -332,7 +332,7 @@
   m_links.network->Send(control, m_name, [this, id] {
     if (!Alive() || id.incarnation != m_incarnation) return;
     m_core->OnSpooled(id, m_links.network->Now());
-    CarryOutAll();
+    ExecuteActions();
   });
 }
 
--- a/tests/scenarios/entry_host.h
+++ b/tests/scenarios/entry_host.h
@@ -59,14 +59,14 @@
   void OnAnnouncement(const wire::EndpointRecordT& record);
   void OnHead(const Connection& connection, int status);
   void OnChunk(const Connection& connection, RequestId from,
-               const serving::Chunk& piece);
+               const serving::Chunk& chunk);
   void OnEnd(const Connection& connection, serving::AttemptEnd end);
   // The link to an endpoint was cut: the attempts there end as broken.
   void OnCut(const EndpointId& endpoint);
 
  private:
   // The leader's reply to a heartbeat of this entry.
-  struct Beat {
+  struct Heartbeat {
     Instant sent;
     uint64_t version = 0;
     std::vector<wire::ChangeT> changes;
@@ -74,26 +74,26 @@
     std::vector<wire::SuspectAnswerT> quarantined;
   };
   bool Is(const Connection& connection) const;
-  void SendBeat();
+  void SendHeartbeat();
   // The tokens of each budget that this entry holds and has not reserved.
-  wire::EntryBeatT HeldNow() const;
-  void OnHeartbeat(const Beat& beat);
-  static Beat BeatOf(const ControlHost& control, Instant sent,
-                     uint64_t version);
+  wire::EntryBeatT CurrentHoldings() const;
+  void OnHeartbeat(const Heartbeat& heartbeat);
+  static Heartbeat MakeHeartbeat(const ControlHost& control, Instant sent,
+                                 uint64_t version);
   void SetReach(serving::ControlReach reach);
   void Register();
   void SendUnanswered();
-  void SpreadDirectory();
+  void GossipDirectory();
   void Refresh();
   // Reports to the core that a replica has spooled a command.
   void Acknowledge(const std::string& control, const wire::CommandIdT& id);
-  void CarryOutAll();
-  void CarryOut(const serving::StartAttempt& action);
-  void CarryOut(const serving::CancelAttempt& action);
-  void CarryOut(const serving::FinishResponse& action);
-  void CarryOut(const serving::FailResponse& action);
-  void CarryOut(const serving::ProposeCommand& action);
-  void CarryOut(const serving::SpoolCommand& action);
+  void ExecuteActions();
+  void Execute(const serving::StartAttempt& action);
+  void Execute(const serving::CancelAttempt& action);
+  void Execute(const serving::FinishResponse& action);
+  void Execute(const serving::FailResponse& action);
+  void Execute(const serving::ProposeCommand& action);
+  void Execute(const serving::SpoolCommand& action);
 
   std::string m_name;
   DataCentreId m_data_centre;
@@ -107,10 +107,10 @@
   std::unique_ptr<admission::FairQueue> m_queue;
   std::unique_ptr<serving::RequestCore> m_core;
   serving::ControlReach m_reach = serving::ControlReach::kNever;
-  Instant m_last_beat{};
-  Instant m_beat_due{};
+  Instant m_last_heartbeat{};
+  Instant m_heartbeat_due{};
   Instant m_resend_due{};
-  Instant m_spread_due{};
+  Instant m_gossip_due{};
   uint64_t m_generation = 0;
   std::map<uint64_t, wire::CommandT> m_unanswered;  // by sequence
   std::map<AttemptId, EndpointId> m_endpoints;
--- a/tests/scenarios/records.cc
+++ b/tests/scenarios/records.cc
@@ -6,7 +6,7 @@
 namespace dotterelshift::scenarios {
 namespace {
 
-constexpr size_t kTraceKept = 150;
+constexpr size_t kMaxTraceLines = 150;
 
 std::string Label(const RequestRecord& record) {
   return record.group + "#" + std::to_string(record.id);
@@ -19,7 +19,7 @@
   std::snprintf(time.data(), time.size(), "%10.4fs ",
                 std::chrono::duration<double>(now.time_since_epoch()).count());
   m_trace.push_back(time.data() + text);
-  if (m_trace.size() > kTraceKept) m_trace.pop_front();
+  if (m_trace.size() > kMaxTraceLines) m_trace.pop_front();
 }
 
 std::string Records::TraceText() const {
@@ -30,7 +30,7 @@
 
 void Records::Break(Instant now, const std::string& text) {
   Trace(now, "BROKEN: " + text);
-  m_broken.push_back(text);
+  m_violations.push_back(text);
 }
 
 RequestRecord& Records::Add(RequestRecord record) {
@@ -69,9 +69,9 @@
     Break(now, Label(record) + " got a piece of #" + std::to_string(from));
   if (record.outcome != Outcome::kOpen)
     Break(now, Label(record) + " got a piece after its end");
-  if (record.shown != 0 && record.shown != attempt)
+  if (record.delivered_attempt != 0 && record.delivered_attempt != attempt)
     Break(now, Label(record) + " got pieces of two attempts");
-  record.shown = attempt;
+  record.delivered_attempt = attempt;
   record.received += tokens;
 }
 
@@ -101,7 +101,7 @@
   record.error = error;
   const bool for_tokens = error == ErrorKind::kBudgetExhausted ||
                           error == ErrorKind::kBudgetUnavailable;
-  record.refused_falsely =
+  record.false_refusal =
       for_tokens && tokens_left(record.budget) >= record.prompt + record.limit;
 }
 
@@ -146,7 +146,7 @@
   for (const auto& [id, record] : m_requests) {
     *answered += record.outcome == Outcome::kAnswered ? 1 : 0;
     *refused += record.outcome == Outcome::kFailed ? 1 : 0;
-    *false_refusals += record.refused_falsely ? 1 : 0;
+    *false_refusals += record.false_refusal ? 1 : 0;
   }
 }
 
--- a/tests/scenarios/records.h
+++ b/tests/scenarios/records.h
@@ -38,11 +38,11 @@
   // What the caller has seen.
   Outcome outcome = Outcome::kOpen;
   ErrorKind error = ErrorKind::kNone;
-  AttemptId shown = 0;  // the attempt whose chunks were forwarded
+  AttemptId delivered_attempt = 0;  // the attempt whose chunks were forwarded
   Tokens received = 0;
   // What the engines have done.
   int runs = 0;
-  bool refused_falsely = false;
+  bool false_refusal = false;
 };
 
 // The trace, the requests, and the checks of the promises that hold in every
@@ -52,7 +52,7 @@
   void Trace(Instant now, const std::string& text);
   std::string TraceText() const;
   void Break(Instant now, const std::string& text);
-  const std::vector<std::string>& Broken() const { return m_broken; }
+  const std::vector<std::string>& Broken() const { return m_violations; }
 
   RequestRecord& Add(RequestRecord record);
   RequestRecord& Of(RequestId id) { return m_requests.at(id); }
@@ -90,7 +90,7 @@
   using Key = std::pair<TeamId, std::string>;
 
   std::deque<std::string> m_trace;
-  std::vector<std::string> m_broken;
+  std::vector<std::string> m_violations;
   std::map<RequestId, RequestRecord> m_requests;
   std::map<BudgetId, Tokens> m_consumed;
   std::map<Key, int> m_runs_of_key;
--- a/tests/scenarios/scenarios_test.cc
+++ b/tests/scenarios/scenarios_test.cc
@@ -49,11 +49,11 @@
 
 class ScenarioTableTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ScenarioTableTest);
-  CPPUNIT_TEST(ThePageHoldsTheTable);
+  CPPUNIT_TEST(PageContainsTheCoverageTable);
   CPPUNIT_TEST(EveryPromiseAndFailureIsCovered);
   CPPUNIT_TEST_SUITE_END();
 
-  void ThePageHoldsTheTable() {
+  void PageContainsTheCoverageTable() {
     const std::string table = CoverageTable();
     CPPUNIT_ASSERT_MESSAGE(
         "docs/SCENARIOS.md should hold\n" + table,
--- a/tests/scenarios/script.cc
+++ b/tests/scenarios/script.cc
@@ -20,9 +20,9 @@
   return content.str();
 }
 
-std::vector<std::string> WordsOf(const YamlSource& source,
-                                 const YAML::Node& node,
-                                 const std::vector<std::string>& allowed) {
+std::vector<std::string> ReadWords(const YamlSource& source,
+                                   const YAML::Node& node,
+                                   const std::vector<std::string>& allowed) {
   std::vector<std::string> words = source.Names(node, "the list");
   for (const std::string& word : words)
     if (std::find(allowed.begin(), allowed.end(), word) == allowed.end())
@@ -63,8 +63,8 @@
   const YAML::Node root = source.Parse(ReadFile(file));
   const YamlMap map(source, root, "the script", ScriptFields());
   return {file, source.Text(map.At("title"), "title"),
-          WordsOf(source, map.At("promises"), Promises()),
-          WordsOf(source, map.At("failures"), Failures())};
+          ReadWords(source, map.At("promises"), Promises()),
+          ReadWords(source, map.At("failures"), Failures())};
 }
 
 std::string CoverageTable() {
@@ -92,7 +92,7 @@
   return table.str();
 }
 
-ScriptResult RunScript(const std::string& file, const PolicyChoice& choice) {
+ScriptResult RunScript(const std::string& file, const PolicyOverride& choice) {
   const YamlSource source(file, ErrorKind::kBadField);
   return RunSteps(source, source.Parse(ReadFile(file)), choice);
 }
--- a/tests/scenarios/script.h
+++ b/tests/scenarios/script.h
@@ -36,7 +36,7 @@
 
 // Overrides the policy and grant mode of a script, for measurements. An empty
 // field keeps the script's own value.
-struct PolicyChoice {
+struct PolicyOverride {
   std::string policy;
   std::string grant_way;
 };
@@ -49,7 +49,7 @@
 std::string CoverageTable();
 // Throws Error(kBadField) for a script that cannot be read.
 ScriptResult RunScript(const std::string& file,
-                       const PolicyChoice& choice = {});
+                       const PolicyOverride& choice = {});
 
 // The words allowed in a script's `promises` and `failures`.
 const std::vector<std::string>& Promises();
--- a/tests/scenarios/steps.cc
+++ b/tests/scenarios/steps.cc
@@ -27,7 +27,7 @@
     4};
 
 WorldOptions OptionsOf(const YamlSource& source, const YAML::Node& root,
-                       const PolicyChoice& choice) {
+                       const PolicyOverride& choice) {
   const YamlMap map(source, root, "the script", ScriptFields());
   WorldOptions options;
   constexpr std::array<std::string_view, 2> kShapes = {"association",
@@ -56,17 +56,17 @@
 class Runner {
  public:
   Runner(const YamlSource& source, const YAML::Node& root,
-         const PolicyChoice& choice)
+         const PolicyOverride& choice)
       : m_source(source),
         m_world(OptionsOf(source, root, choice)),
         m_expectations(source, &m_world),
-        m_stops(choice.policy.empty() && choice.grant_way.empty()),
+        m_stops_on_violation(choice.policy.empty() && choice.grant_way.empty()),
         m_steps(root["steps"]) {}
 
   ScriptResult Run() {
     for (const YAML::Node& step : m_source.Items(m_steps, "steps")) {
       // After the first violation the later steps give no useful results.
-      if (m_stops && !m_world.GetRecords().Broken().empty()) break;
+      if (m_stops_on_violation && !m_world.GetRecords().Broken().empty()) break;
       Step(step);
     }
     m_world.CheckNow();
@@ -74,7 +74,7 @@
     ScriptResult result;
     result.broken = m_world.GetRecords().Broken();
     result.trace = m_world.GetRecords().TraceText();
-    result.measures = MeasuresOf();
+    result.measures = CollectMeasures();
     return result;
   }
 
@@ -144,7 +144,7 @@
   void Expect(const YAML::Node& what) { m_expectations.Check(what); }
 
   // Resolves a name or a list of names to hosts.
-  std::vector<std::string> HostsOf(const YAML::Node& node) const {
+  std::vector<std::string> ResolveHosts(const YAML::Node& node) const {
     if (node.IsScalar()) return m_world.Names(node.Scalar());
     std::vector<std::string> hosts;
     for (const YAML::Node& item : node)
@@ -154,21 +154,21 @@
   }
 
   template <typename Act>
-  void ForPairs(const YAML::Node& what, Act act) {
+  void ForEachPair(const YAML::Node& what, Act act) {
     if (!what.IsSequence() || what.size() != 2)
       m_source.Refuse(what, "not two sides", "[SIDE, SIDE]");
-    for (const std::string& one : HostsOf(what[0]))
-      for (const std::string& other : HostsOf(what[1])) act(one, other);
+    for (const std::string& one : ResolveHosts(what[0]))
+      for (const std::string& other : ResolveHosts(what[1])) act(one, other);
   }
 
   void Cut(const YAML::Node& what) {
-    ForPairs(what, [this](const auto& one, const auto& other) {
+    ForEachPair(what, [this](const auto& one, const auto& other) {
       m_world.Cut(one, other);
     });
   }
   void Heal(const YAML::Node& what) {
     if (what.IsScalar()) return m_world.GetNetwork().HealAll();
-    ForPairs(what, [this](const auto& one, const auto& other) {
+    ForEachPair(what, [this](const auto& one, const auto& other) {
       m_world.GetNetwork().Heal(one, other);
     });
   }
@@ -179,13 +179,13 @@
     fault.delay = map.Time("delay", fault.delay);
     fault.jitter = map.Time("jitter", 0s);
     fault.double_every = static_cast<int>(map.Number("double_every", 0));
-    ForPairs(map.At("between"), [&](const auto& one, const auto& other) {
+    ForEachPair(map.At("between"), [&](const auto& one, const auto& other) {
       m_world.SetFault(one, other, fault);
     });
   }
 
   // Resolves "leader" to the control host that leads.
-  std::string HostOf(const YAML::Node& what) {
+  std::string ResolveHost(const YAML::Node& what) {
     if (what.Scalar() != "leader") return what.Scalar();
     const ControlHost* leader = m_world.Leader();
     if (!leader) m_world.GetRecords().Break(Now(), "there is no leader");
@@ -193,15 +193,16 @@
   }
 
   void Kill(const YAML::Node& what) {
-    m_killed = HostOf(what);
-    if (m_world.FindEntry(m_killed)) m_world.KillEntry(m_killed);
-    if (ControlHost* control = m_world.FindControl(m_killed)) control->Kill();
-    if (Engine* engine = m_world.FindEngine(m_killed)) engine->Die();
+    m_last_killed = ResolveHost(what);
+    if (m_world.FindEntry(m_last_killed)) m_world.KillEntry(m_last_killed);
+    if (ControlHost* control = m_world.FindControl(m_last_killed))
+      control->Kill();
+    if (Engine* engine = m_world.FindEngine(m_last_killed)) engine->Die();
   }
   // Starts a host or engine; "killed" is the one killed last.
   void Start(const YAML::Node& what) {
     const std::string name =
-        what.Scalar() == "killed" ? m_killed : what.Scalar();
+        what.Scalar() == "killed" ? m_last_killed : what.Scalar();
     if (EntryHost* entry = m_world.FindEntry(name)) entry->Start();
     if (ControlHost* control = m_world.FindControl(name)) control->Start();
     if (Engine* engine = m_world.FindEngine(name)) engine->Start();
@@ -209,14 +210,15 @@
   void Wipe(const YAML::Node& what) {
     const StepMap map(m_source, what, {"host", "replica"});
     const std::string host =
-        map.Word("host") == "killed" ? m_killed : map.Word("host");
+        map.Word("host") == "killed" ? m_last_killed : map.Word("host");
     m_world.FindControl(host)->Wipe(map.Number("replica", 0));
   }
   void Replica(const YAML::Node& what) {
     const StepMap map(m_source, what, {"host", "replica", "remove"});
     wire::ReplicaT replica;
     replica.id = map.Number("replica", 0);
-    replica.host = map.Word("host") == "killed" ? m_killed : map.Word("host");
+    replica.host =
+        map.Word("host") == "killed" ? m_last_killed : map.Word("host");
     if (ControlHost* leader = m_world.Leader())
       leader->ProposeMember(replica, map.Flag("remove", false));
   }
@@ -230,11 +232,11 @@
     const StepMap map(
         m_source, what,
         {"id", "first_token", "between_pieces", "refuses", "usage_missing"});
-    for (const std::string& name : HostsOf(map.At("id"))) {
+    for (const std::string& name : ResolveHosts(map.At("id"))) {
       Engine* engine = m_world.FindEngine(name);
       if (!engine) continue;
       engine->fault.first_token = map.Time("first_token", 20ms);
-      engine->fault.between_pieces = map.Time("between_pieces", 10ms);
+      engine->fault.chunk_interval = map.Time("between_pieces", 10ms);
       engine->fault.refuses = map.Flag("refuses", false);
       engine->fault.usage_missing = map.Flag("usage_missing", false);
     }
@@ -260,10 +262,11 @@
                     At(map));
   }
   std::string At(const StepMap& map) {
-    return map.Has("at") ? HostOf(map.At("at")) : HostOf(YAML::Node("leader"));
+    return map.Has("at") ? ResolveHost(map.At("at"))
+                         : ResolveHost(YAML::Node("leader"));
   }
 
-  Measures MeasuresOf() {
+  Measures CollectMeasures() {
     Measures measures;
     const ControlHost* leader = m_world.Leader();
     for (int i = 1; leader && i <= 10; ++i) {
@@ -285,9 +288,9 @@
   Expectations m_expectations;
   // Whether the run stops at the first violation. With an overridden policy the
   // script's expectations may fail, so the run continues.
-  bool m_stops;
+  bool m_stops_on_violation;
   YAML::Node m_steps;
-  std::string m_killed;
+  std::string m_last_killed;
 };
 
 }  // namespace
@@ -301,7 +304,7 @@
 }
 
 ScriptResult RunSteps(const YamlSource& source, const YAML::Node& root,
-                      const PolicyChoice& choice) {
+                      const PolicyOverride& choice) {
   return Runner(source, root, choice).Run();
 }
 
--- a/tests/scenarios/steps.h
+++ b/tests/scenarios/steps.h
@@ -14,7 +14,7 @@
 
 // Creates the world that a script describes and runs its steps in it.
 ScriptResult RunSteps(const YamlSource& source, const YAML::Node& root,
-                      const PolicyChoice& choice);
+                      const PolicyOverride& choice);
 
 }  // namespace dotterelshift::scenarios
 
--- a/tests/scenarios/world.cc
+++ b/tests/scenarios/world.cc
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr Duration kTick = 10ms;
-constexpr Duration kAnnounceEvery = 1s;
-constexpr Duration kDrainPatience = 3s;
-constexpr Duration kCutNoticed = 50ms;
+constexpr Duration kAnnounceInterval = 1s;
+constexpr Duration kDrainGracePeriod = 3s;
+constexpr Duration kCutDetectionDelay = 50ms;
 constexpr int kTeams = 10;
 constexpr std::string_view kSecret = "scenario-secret";
 const std::string kOperator = "operator";
@@ -122,8 +122,8 @@
     FindEntry(connection.entry)->OnHead(connection, status);
   };
   events.on_chunk = [this](const Connection& connection, RequestId from,
-                           const serving::Chunk& piece) {
-    FindEntry(connection.entry)->OnChunk(connection, from, piece);
+                           const serving::Chunk& chunk) {
+    FindEntry(connection.entry)->OnChunk(connection, from, chunk);
   };
   events.on_end = [this](const Connection& connection,
                          serving::AttemptEnd end) {
@@ -134,7 +134,7 @@
                                              std::move(events));
 }
 
-std::string World::FirstIntent() const {
+std::string World::MakeInitialIntent() const {
   std::ostringstream teams;
   std::ostringstream keys;
   std::ostringstream budgets;
@@ -165,7 +165,7 @@
   Run(2s);
   ControlHost* leader = Leader();
   if (!leader) return m_records.Break(m_network.Now(), "no leader at start");
-  Plan("set-up", kOperator, FirstIntent(), leader->Name());
+  Plan("set-up", kOperator, MakeInitialIntent(), leader->Name());
   Run(200ms);
   Confirm("set-up", "set-up", kOperator, leader->Name());
   Run(200ms);
@@ -186,7 +186,7 @@
   for (const auto& control : m_controls) control->Tick();
   for (const auto& entry : m_entries) entry->Tick();
   if (m_announce_due <= m_network.Now()) {
-    m_announce_due = m_network.Now() + kAnnounceEvery;
+    m_announce_due = m_network.Now() + kAnnounceInterval;
     for (const auto& [name, engine] : m_engines) Announce(engine.get());
     CheckNow();
   }
@@ -224,7 +224,7 @@
     Engine* engine = FindEngine(engine_name);
     if (!entry || !engine) continue;
     entry->OnCut(engine_name);
-    m_network.After(kCutNoticed,
+    m_network.After(kCutDetectionDelay,
                     [engine, host = host] { engine->CancelAll(host); });
   }
 }
@@ -263,7 +263,7 @@
 
 void World::KillEntry(const std::string& name) {
   FindEntry(name)->Kill();
-  m_network.After(kCutNoticed, [this, name] {
+  m_network.After(kCutDetectionDelay, [this, name] {
     for (const auto& [id, engine] : m_engines) engine->CancelAll(name);
   });
 }
@@ -425,7 +425,7 @@
       continue;
     }
     const auto since = m_draining_since.emplace(id, m_network.Now()).first;
-    if (engine->LastStart() > since->second + kDrainPatience)
+    if (engine->LastStart() > since->second + kDrainGracePeriod)
       m_records.Break(m_network.Now(), id + " drains and got new work");
   }
 }
--- a/tests/scenarios/world.h
+++ b/tests/scenarios/world.h
@@ -88,7 +88,7 @@
   void MakeEngine(const std::string& name, const DataCentreId& data_centre,
                   bool service);
   void SetUpTeams();
-  std::string FirstIntent() const;
+  std::string MakeInitialIntent() const;
   void Tick();
   void Announce(Engine* engine);
   void OnAnswer(const std::string& from, const wire::CommandAnswerT& answer);
--- a/tools/fake_endpoint/main.cc
+++ b/tools/fake_endpoint/main.cc
@@ -56,9 +56,9 @@
   // Writes a temporary file and renames it, so that no reader sees a partial
   // number.
   void WritePort() {
-    const std::string aside = m_options.port_file + ".new";
-    std::ofstream(aside) << m_server->Port() << '\n';
-    std::filesystem::rename(aside, m_options.port_file);
+    const std::string temporary_path = m_options.port_file + ".new";
+    std::ofstream(temporary_path) << m_server->Port() << '\n';
+    std::filesystem::rename(temporary_path, m_options.port_file);
   }
 
   void OnExchange(const ExchangePtr& exchange) {
@@ -84,7 +84,7 @@
 
   // Decrements a positive count. Returns false at 0; a negative count is
   // unlimited.
-  static bool Take(int& count) {
+  static bool ConsumeOne(int& count) {
     if (count > 0) return count-- > 0;
     return count < 0;
   }
@@ -107,7 +107,7 @@
       return;
     }
     auto& wanted = std::get<CallerRequest>(parsed);
-    if (m_announcer.draining || Take(m_options.refuse_count)) {
+    if (m_announcer.draining || ConsumeOne(m_options.refuse_count)) {
       Refuse(exchange, 503, "not now");
     } else if (!Offers(wanted)) {
       Refuse(exchange, 404, "not offered here");
@@ -157,7 +157,8 @@
     if (served.request.kind == RequestKind::kService) return Finish(number);
     const bool at_once = m_options.token_interval == 0s;
     do {
-      if (served.tokens == m_options.cut_after && Take(m_options.cut_count)) {
+      if (served.tokens == m_options.cut_after &&
+          ConsumeOne(m_options.cut_count)) {
         const ExchangePtr exchange = served.exchange;
         End(number, "cut");
         return exchange->Abort();
