--- a/bench/admission_bench.cc
+++ b/bench/admission_bench.cc
@@ -24,12 +24,12 @@
 constexpr double kRunSeconds = 120;
 constexpr Duration kDeadline = 5s;
 const std::string kTarget = "m";
-constexpr int kLearned = 0;  // adapts to first-token latency
+constexpr int kAdaptiveLimit = 0;  // adapts to first-token latency
 
 struct Policy {
   const char* name;
   bool fair;
-  int limit;  // a fixed limit, or kLearned
+  int limit;  // a fixed limit, or kAdaptiveLimit
   bool refuse_early;
 };
 
@@ -70,7 +70,7 @@
     for (int team = 0; team <= kQuietTeams; ++team) Arrive(team, 0);
   }
 
-  void Go() {
+  void RunToEnd() {
     while (!m_events.empty() && m_events.top().when < kRunSeconds) {
       const Event event = m_events.top();
       m_events.pop();
@@ -125,12 +125,12 @@
     waiting.team = m_policy.fair ? std::to_string(team) : "all";
     waiting.target = kTarget;
     waiting.deadline = At(m_now) + kDeadline;
-    const bool hopeless =
+    const bool refuse_now =
         m_policy.refuse_early &&
         m_estimator.RefuseFor(kTarget, m_queue->CostAhead(waiting), kDeadline,
                               At(m_now));
     const bool first = m_queue->Size() == 0;
-    if (hopeless || !m_queue->Push(waiting)) {
+    if (refuse_now || !m_queue->Push(waiting)) {
       ++totals.refused;
       return;
     }
@@ -139,7 +139,8 @@
   }
 
   int Limit() const {
-    return m_policy.limit == kLearned ? m_learned.Current() : m_policy.limit;
+    return m_policy.limit == kAdaptiveLimit ? m_adaptive_limit.Current()
+                                            : m_policy.limit;
   }
 
   void Dispatch() {
@@ -162,7 +163,7 @@
 
   void OnFirstToken(RequestId request) {
     const Sent& sent = m_sent[request];
-    m_learned.OnFirstToken(
+    m_adaptive_limit.OnFirstToken(
         std::chrono::duration_cast<Duration>(
             std::chrono::duration<double>(m_now - sent.dispatched)),
         At(m_now), m_in_flight);
@@ -184,7 +185,7 @@
   std::priority_queue<Event> m_events;
   std::unique_ptr<FairQueue> m_queue = MakeFairQueue();
   WaitEstimator m_estimator;
-  ConcurrencyLimit m_learned;
+  ConcurrencyLimit m_adaptive_limit;
   std::queue<RequestId> m_engine_queue;
   std::map<RequestId, Sent> m_sent;
   std::map<bool, Totals> m_totals;  // key: whether the team is a quiet one
@@ -198,7 +199,7 @@
 }  // namespace dotterelshift::admission
 
 int main() {
-  using dotterelshift::admission::kLearned;
+  using dotterelshift::admission::kAdaptiveLimit;
   using dotterelshift::admission::Policy;
   for (const Policy& policy :
        {Policy{"one queue, fixed 16", false, 16, false},
@@ -207,10 +208,10 @@
         Policy{"fair, fixed 16", true, 16, false},
         Policy{"fair, fixed 64", true, 64, false},
         Policy{"fair, fixed 256", true, 256, false},
-        Policy{"fair, learned", true, kLearned, false},
-        Policy{"fair, learned, early refusal", true, kLearned, true}}) {
+        Policy{"fair, learned", true, kAdaptiveLimit, false},
+        Policy{"fair, learned, early refusal", true, kAdaptiveLimit, true}}) {
     dotterelshift::admission::Run run(policy);
-    run.Go();
+    run.RunToEnd();
     run.Print();
   }
   return 0;
--- a/bench/commit_bench.cc
+++ b/bench/commit_bench.cc
@@ -29,7 +29,7 @@
 
 constexpr int kReplicas = 3;
 constexpr size_t kCommandsOutstanding = 16384;
-constexpr size_t kCommandsInProposal = 256;
+constexpr size_t kCommandsPerProposal = 256;
 constexpr Duration kPhase = 3s;
 constexpr Tokens kManyTokens = 1'000'000'000'000;
 
@@ -66,31 +66,33 @@
                       [done](ErrorKind, const auto&) { done(); });
   }
 
-  // Keeps `outstanding` commands in flight, `in_proposal` of them in each
-  // proposal, until `end`. Then calls `done` with the number of commands that
-  // succeeded.
-  void RunUntil(Instant end, size_t outstanding, size_t in_proposal,
+  // Keeps `outstanding` commands in flight, `commands_per_proposal` of them in
+  // each proposal, until `end`. Then calls `done` with the number of commands
+  // that succeeded.
+  void RunUntil(Instant end, size_t outstanding, size_t commands_per_proposal,
                 std::function<void(uint64_t)> done) {
     m_end = end;
-    m_in_proposal = in_proposal;
+    m_commands_per_proposal = commands_per_proposal;
     m_done = std::move(done);
-    m_carried_out = 0;
-    m_under_way = 0;
-    for (size_t i = 0; i < outstanding; i += in_proposal) ProposeSome();
+    m_succeeded_commands = 0;
+    m_proposals_in_flight = 0;
+    for (size_t i = 0; i < outstanding; i += commands_per_proposal)
+      ProposeBatch();
   }
 
   // Like RunUntil(), but stops after at least `count` successes.
-  void RunCount(uint64_t count, std::function<void(uint64_t)> done) {
-    m_most = count;
-    RunUntil(Instant::max(), kCommandsOutstanding, kCommandsInProposal,
+  void RunCommands(uint64_t count, std::function<void(uint64_t)> done) {
+    m_max_commands = count;
+    RunUntil(Instant::max(), kCommandsOutstanding, kCommandsPerProposal,
              std::move(done));
   }
 
  private:
-  void ProposeSome() {
+  void ProposeBatch() {
     std::vector<wire::CommandT> commands;
-    for (size_t i = 0; i < m_in_proposal; ++i) commands.push_back(Next());
-    ++m_under_way;
+    for (size_t i = 0; i < m_commands_per_proposal; ++i)
+      commands.push_back(Next());
+    ++m_proposals_in_flight;
     m_replica.Propose(std::move(commands),
                       [this](ErrorKind error, const auto& answers) {
                         OnAnswers(error, answers);
@@ -99,12 +101,13 @@
 
   void OnAnswers(ErrorKind error,
                  const std::vector<wire::CommandAnswerT>& answers) {
-    --m_under_way;
-    for (const auto& answer : answers) m_carried_out += answer.error == 0;
-    const bool goes_on = error == ErrorKind::kNone && m_loop.Now() < m_end &&
-                         m_carried_out < m_most;
-    if (goes_on) return ProposeSome();
-    if (m_under_way == 0) m_done(m_carried_out);
+    --m_proposals_in_flight;
+    for (const auto& answer : answers)
+      m_succeeded_commands += answer.error == 0;
+    const bool has_more = error == ErrorKind::kNone && m_loop.Now() < m_end &&
+                          m_succeeded_commands < m_max_commands;
+    if (has_more) return ProposeBatch();
+    if (m_proposals_in_flight == 0) m_done(m_succeeded_commands);
   }
 
   wire::CommandT Next() {
@@ -123,11 +126,11 @@
   state::TestSender m_run;
   Incarnation m_incarnation;
   Instant m_end{};
-  size_t m_in_proposal = 1;
-  uint64_t m_most = UINT64_MAX;
+  size_t m_commands_per_proposal = 1;
+  uint64_t m_max_commands = UINT64_MAX;
   uint64_t m_commands = 0;
-  uint64_t m_carried_out = 0;
-  size_t m_under_way = 0;
+  uint64_t m_succeeded_commands = 0;
+  size_t m_proposals_in_flight = 0;
   std::function<void(uint64_t)> m_done;
 };
 
@@ -170,7 +173,7 @@
     };
     callbacks.on_leadership_changed = [this] { OnLeadershipChanged(); };
     m_replica = app::MakeControlReplica(m_loop, options, std::move(callbacks));
-    m_check.ArmIn(kCheck);
+    m_join_check_timer.ArmIn(kJoinCheckInterval);
   }
 
   void Run() { m_loop.Run(); }
@@ -195,7 +198,7 @@
                         m_replica->GetState().LastStamp() > 0 &&
                         m_last_commit == node.Commit();
     m_last_commit = node.Commit();
-    if (!joined) return m_check.ArmIn(kCheck);
+    if (!joined) return m_join_check_timer.ArmIn(kJoinCheckInterval);
     std::printf("joined %d\n", m_self);
     Flush();
   }
@@ -206,23 +209,24 @@
     const bool batched = command == 'b';
     const Instant begin = m_loop.Now();
     m_load->RunUntil(begin + kPhase, batched ? kCommandsOutstanding : 1,
-                     batched ? kCommandsInProposal : 1,
-                     [this, begin](uint64_t carried_out) {
+                     batched ? kCommandsPerProposal : 1,
+                     [this, begin](uint64_t succeeded_commands) {
                        const double seconds = Seconds(m_loop.Now() - begin);
-                       std::printf("rate %.0f\n",
-                                   static_cast<double>(carried_out) / seconds);
+                       std::printf(
+                           "rate %.0f\n",
+                           static_cast<double>(succeeded_commands) / seconds);
                        Flush();
                      });
   }
 
   static void Flush() { std::fflush(stdout); }
 
-  static constexpr Duration kCheck = 100ms;
+  static constexpr Duration kJoinCheckInterval = 100ms;
 
   int m_self;
   uint64_t m_last_commit = 0;
   loop::Loop m_loop;
-  loop::Timer m_check{m_loop, [this] { CheckJoined(); }};
+  loop::Timer m_join_check_timer{m_loop, [this] { CheckJoined(); }};
   loop::IoWatcher m_input;
   std::unique_ptr<peers::Hub> m_hub;
   std::unique_ptr<app::ControlReplica> m_replica;
@@ -287,7 +291,7 @@
   }
 
   // Blocks until a child process has printed a line, and returns it.
-  std::string Line() {
+  std::string ReadLine() {
     while (true) {
       std::array<pollfd, kReplicas> polled{};
       for (int i = 0; i < kReplicas; ++i)
@@ -305,20 +309,20 @@
   }
 
   int WaitForLeader() {
-    std::string line = Line();
-    while (line.find("leads") != 0) line = Line();
+    std::string line = ReadLine();
+    while (line.find("leads") != 0) line = ReadLine();
     return line.back() - '0';
   }
 
   void WaitForJoin(int replica) {
-    while (Line() != "joined " + std::to_string(replica)) {
+    while (ReadLine() != "joined " + std::to_string(replica)) {
     }
   }
 
   double Rate(int leader, char phase) {
     if (write(m_children[leader].input, &phase, 1) != 1) std::abort();
-    std::string line = Line();
-    while (line.find("rate ") != 0) line = Line();
+    std::string line = ReadLine();
+    while (line.find("rate ") != 0) line = ReadLine();
     return std::stod(line.substr(5));
   }
 
@@ -399,7 +403,7 @@
     Load load(loop, *replica, 1);
     while (!replica->Leads()) ev_run(loop.Raw(), EVRUN_ONCE);
     load.Prepare(
-        [&] { load.RunCount(commands, [&](uint64_t) { loop.Stop(); }); });
+        [&] { load.RunCommands(commands, [&](uint64_t) { loop.Stop(); }); });
     loop.Run();
   }
   const Instant begin = Clock::now();
--- a/bench/entry_bench.cc
+++ b/bench/entry_bench.cc
@@ -21,8 +21,8 @@
                                 // short program
 
 constexpr int kEndpoints = 4;
-constexpr char kUnwitnessedKey[] = "key-unwitnessed-0001";
-constexpr char kWitnessedKey[] = "key-witnessed-000001";
+constexpr char kPreauthorizedKey[] = "key-unwitnessed-0001";
+constexpr char kCommittedOpeningKey[] = "key-witnessed-000001";
 
 constexpr char kIntent[] = R"(
 teams:
@@ -102,7 +102,7 @@
   // Reads a value from the entry's /metrics.
   double Metric(const std::string& name);
   void Wait(Duration duration);
-  RunResult Run(const Target& target, size_t requests, size_t at_once,
+  RunResult Run(const Target& target, size_t requests, size_t concurrency,
                 const std::string& body);
   void Report(const Target& target, const RunResult& result,
               const Usage& before);
@@ -110,8 +110,8 @@
   testing::Fleet m_fleet;
   Target m_fast{"endpoints alone", {}, "none"};
   Target m_paced{"endpoints alone", {}, "none"};
-  Target m_plain{"entry, unwitnessed", {}, kUnwitnessedKey};
-  Target m_strict{"entry, witnessed", {}, kWitnessedKey};
+  Target m_plain{"entry, unwitnessed", {}, kPreauthorizedKey};
+  Target m_strict{"entry, witnessed", {}, kCommittedOpeningKey};
 };
 
 Bench::Bench() {
@@ -144,7 +144,7 @@
       R"({"model":"fast","max_tokens":1,"messages":[{"role":"user","content":"Which library?"}]})");
 }
 
-RunResult Bench::Run(const Target& target, size_t requests, size_t at_once,
+RunResult Bench::Run(const Target& target, size_t requests, size_t concurrency,
                      const std::string& body) {
   RunResult result;
   size_t started = 0;
@@ -155,17 +155,17 @@
     const Instant sent = m_fleet.GetLoop().Now();
     auto first = std::make_shared<bool>(true);
     http::TransferCallbacks callbacks;
-    callbacks.on_chunk = [&, sent, first](std::string_view piece) {
+    callbacks.on_chunk = [&, sent, first](std::string_view chunk) {
       if (std::exchange(*first, false)) {
         result.first_ms.push_back(std::chrono::duration<double, std::milli>(
                                       m_fleet.GetLoop().Now() - sent)
                                       .count());
       }
-      if (piece.find("\"error\"") != std::string_view::npos &&
+      if (chunk.find("\"error\"") != std::string_view::npos &&
           result.failed < 2)
-        std::printf("%.*s\n", static_cast<int>(piece.size()), piece.data());
-      for (size_t at = piece.find("data:"); at != std::string_view::npos;
-           at = piece.find("data:", at + 5)) {
+        std::printf("%.*s\n", static_cast<int>(chunk.size()), chunk.data());
+      for (size_t at = chunk.find("data:"); at != std::string_view::npos;
+           at = chunk.find("data:", at + 5)) {
         ++result.events;
       }
       return true;
@@ -189,7 +189,7 @@
     request.body = body;
     m_fleet.GetClient().Start(std::move(request), callbacks);
   };
-  while (started < std::min(requests, at_once)) start();
+  while (started < std::min(requests, concurrency)) start();
   testing::RunUntil(m_fleet.GetLoop(), "all answers",
                     [&] { return ended == requests; });
   result.seconds =
@@ -234,13 +234,13 @@
 
 void Bench::Short() {
   constexpr size_t kRequests = 40000;
-  constexpr size_t kAtOnce = 128;
+  constexpr size_t kConcurrentRequests = 128;
   const std::string body =
       R"({"model":"fast","max_tokens":1,"messages":[{"role":"user","content":"Which library?"}]})";
-  std::printf("-- short requests, %zu at once\n", kAtOnce);
+  std::printf("-- short requests, %zu at once\n", kConcurrentRequests);
   for (const Target* target : {&m_fast, &m_plain, &m_strict}) {
     const Usage before = UsageOf(m_fleet.GetProcess("e1").Pid());
-    Report(*target, Run(*target, kRequests, kAtOnce, body), before);
+    Report(*target, Run(*target, kRequests, kConcurrentRequests, body), before);
   }
 }
 
--- a/bench/grant_policies.cc
+++ b/bench/grant_policies.cc
@@ -38,10 +38,11 @@
             << variant.partition_seconds << " | "
             << (variant.recall ? "on" : "off") << " | " << figures.served
             << " | " << figures.refused << " | " << figures.overspend << " | "
-            << figures.false_refusals << " | " << figures.false_while_cut
-            << " | " << figures.avoidable << " | " << figures.stranded << " ("
-            << Fixed(stranded, 2) << "%) | " << Fixed(commits, 2) << " | "
-            << Fixed(at(0.5), 1) << " | " << Fixed(at(0.99), 1) << " |\n";
+            << figures.false_refusals << " | "
+            << figures.false_while_partitioned << " | " << figures.avoidable
+            << " | " << figures.stranded << " (" << Fixed(stranded, 2)
+            << "%) | " << Fixed(commits, 2) << " | " << Fixed(at(0.5), 1)
+            << " | " << Fixed(at(0.99), 1) << " |\n";
 }
 
 }  // namespace
--- a/bench/grant_simulation.h
+++ b/bench/grant_simulation.h
@@ -21,15 +21,15 @@
 using budget::GrantAdjustment;
 using budget::ReserveResult;
 
-inline constexpr Duration kOneWay = 1500us;  // between data centres
-inline constexpr Duration kCommit = 3ms;     // one round trip to a quorum
+inline constexpr Duration kOneWayLatency = 1500us;  // between data centres
+inline constexpr Duration kCommitLatency = 3ms;  // one round trip to a quorum
 inline constexpr Duration kMinute = 60s;
 inline constexpr Duration kRun = 20 * kMinute;
-inline constexpr Duration kCutAt = 5 * kMinute;
-inline constexpr Duration kCutFor = 6 * kMinute;
-inline constexpr Duration kTopUpAt = 8 * kMinute;  // during the partition
-inline constexpr Duration kRestart = 5s;
-inline constexpr Duration kLookAgain = 100ms;
+inline constexpr Duration kPartitionStart = 5 * kMinute;
+inline constexpr Duration kPartitionDuration = 6 * kMinute;
+inline constexpr Duration kTopUpTime = 8 * kMinute;  // during the partition
+inline constexpr Duration kRestartDelay = 5s;
+inline constexpr Duration kRetryInterval = 100ms;
 inline constexpr size_t kTeams = 10;
 
 // Discrete-event simulation of one deployment under one variant, with a
@@ -79,16 +79,17 @@
       m_entries[i]->run.host = "entry" + std::to_string(i);
       Start(*m_entries[i]);
       At(m_start, [this, i] { Arrive(i); });
-      At(m_start, [this, i] { Beat(i); });
-      At(m_start, [this, i] { LookAgain(i); });
+      At(m_start, [this, i] { SendHeartbeat(i); });
+      At(m_start, [this, i] { RetryPeriodically(i); });
     }
-    At(m_start + kCutAt, [this] { SetCut(true); });
-    At(m_start + kCutAt + kCutFor, [this] { SetCut(false); });
-    At(m_start + kTopUpAt, [this] { TopUpAll(); });
+    At(m_start + kPartitionStart, [this] { SetPartitioned(true); });
+    At(m_start + kPartitionStart + kPartitionDuration,
+       [this] { SetPartitioned(false); });
+    At(m_start + kTopUpTime, [this] { TopUpAll(); });
     const size_t last = m_deployment.entries - 1;
     // Kill an entry that is cut off during the partition, and later one that
     // can reach the leader.
-    At(m_start + kCutAt + 3 * kMinute, [this, last] { Kill(last); });
+    At(m_start + kPartitionStart + 3 * kMinute, [this, last] { Kill(last); });
     At(m_start + 14 * kMinute, [this] { Kill(0); });
   }
 
@@ -98,19 +99,18 @@
   void SetUpTeam(size_t team) {
     std::vector<wire::ChangeT> changes;
     changes.push_back(state::TeamChange("t" + std::to_string(team),
-                                        m_variant.way,
+                                        m_variant.grant_mode,
                                         m_variant.partition_seconds));
     changes.push_back(
         state::BudgetChange(BudgetOf(team), "t" + std::to_string(team)));
     state::Accept(m_operator, *m_state, "make" + std::to_string(team),
                   std::move(changes), Stamp());
-    TopUp(team, 1.1 * DemandUntil(team, kTopUpAt));
+    TopUp(team, 1.1 * DemandUntil(team, kTopUpTime));
   }
 
   double DemandUntil(size_t team, Duration time) const {
-    const double mean =
-        0.25 * static_cast<double>(m_deployment.least_worst_case +
-                                   m_deployment.most_worst_case);
+    const double mean = 0.25 * static_cast<double>(m_deployment.min_worst_case +
+                                                   m_deployment.max_worst_case);
     return RateOf(team) * mean * std::chrono::duration<double>(time).count();
   }
 
@@ -126,7 +126,7 @@
   // so that budgets run out shortly before the end.
   void TopUpAll() {
     for (size_t team = 0; team < kTeams; ++team)
-      TopUp(team, 0.8 * DemandUntil(team, kRun - kTopUpAt));
+      TopUp(team, 0.8 * DemandUntil(team, kRun - kTopUpTime));
   }
 
   void Start(Entry& entry) {
@@ -137,11 +137,11 @@
     entry.waiting.clear();
     entry.running.clear();
     entry.budgets.clear();
-    entry.asks.assign(kTeams, 0);
+    entry.pending_grant_requests.assign(kTeams, 0);
     entry.ledger = budget::MakeLedger();
     for (size_t team = 0; team < kTeams; ++team) {
       entry.budgets.push_back(entry.ledger->Open(
-          BudgetOf(team), {m_deployment.policy, m_variant.way,
+          BudgetOf(team), {m_deployment.policy, m_variant.grant_mode,
                            std::chrono::seconds(m_variant.partition_seconds)}));
     }
     entry.ledger->SetConnected(entry.connected, m_now);
@@ -159,10 +159,10 @@
     }
     entry.running.clear();
     entry.waiting.clear();
-    After(kRestart, [this, index] { Start(*m_entries[index]); });
+    After(kRestartDelay, [this, index] { Start(*m_entries[index]); });
   }
 
-  void SetCut(bool cut) {
+  void SetPartitioned(bool cut) {
     for (size_t i = m_deployment.entries - m_deployment.cut;
          i < m_deployment.entries; ++i) {
       Entry& entry = *m_entries[i];
@@ -172,7 +172,7 @@
       if (cut) continue;
       for (const auto& [sequence, pending] : entry.outbox)
         Transmit(entry, sequence);
-      Tend(entry);
+      SendGrantAdjustments(entry);
     }
   }
 
@@ -191,9 +191,9 @@
     while (request.team + 1 < kTeams && pick >= RateOf(request.team))
       pick -= RateOf(request.team++);
     const Tokens range =
-        m_deployment.most_worst_case - m_deployment.least_worst_case;
+        m_deployment.max_worst_case - m_deployment.min_worst_case;
     request.worst_case =
-        m_deployment.least_worst_case +
+        m_deployment.min_worst_case +
         static_cast<Tokens>(Uniform() * static_cast<double>(range));
     request.spent = static_cast<Tokens>(
         Uniform() * static_cast<double>(request.worst_case));
@@ -218,7 +218,7 @@
     } else {
       Begin(entry, request, result == ReserveResult::kReservedPreauthorized);
     }
-    Tend(entry);
+    SendGrantAdjustments(entry);
   }
 
   void Begin(Entry& entry, const Request& request, bool standing) {
@@ -243,7 +243,7 @@
     entry.ledger->OnOpeningRefused(entry.budgets[request.team],
                                    request.worst_case, m_now);
     entry.waiting.push_back(request);
-    Tend(entry);
+    SendGrantAdjustments(entry);
   }
 
   void Dispatch(Entry& entry, AttemptId attempt, bool standing) {
@@ -274,7 +274,7 @@
                              request.worst_case, request.spent, !standing),
          [](const auto&) {});
     Retry(entry);
-    Tend(entry);
+    SendGrantAdjustments(entry);
   }
 
   // A refusal is false when the tokens that were neither consumed nor reserved
@@ -288,15 +288,15 @@
     if (left < request.worst_case) return;
     ++m_figures.false_refusals;
     if (!entry.connected) {
-      ++m_figures.false_while_cut;
-    } else if (InReach(request.team) >= request.worst_case) {
+      ++m_figures.false_while_partitioned;
+    } else if (ReachableTokens(request.team) >= request.worst_case) {
       ++m_figures.avoidable;
     }
   }
 
   // Tokens that the leader could grant immediately or recall from connected
   // entries.
-  Tokens InReach(size_t team) const {
+  Tokens ReachableTokens(size_t team) const {
     Tokens tokens = m_state->FindAccount(BudgetOf(team))->Free();
     for (const auto& entry : m_entries) {
       if (!entry->up || !entry->connected) continue;
@@ -312,13 +312,13 @@
     for (const Request& request : waiting) TryStart(entry, request);
   }
 
-  void LookAgain(size_t index) {
+  void RetryPeriodically(size_t index) {
     Entry& entry = *m_entries[index];
     if (entry.up) {
       Retry(entry);
-      Tend(entry);
+      SendGrantAdjustments(entry);
     }
-    After(kLookAgain, [this, index] { LookAgain(index); });
+    After(kRetryInterval, [this, index] { RetryPeriodically(index); });
   }
 
   // ---- messages between entries and control
@@ -346,20 +346,21 @@
     const Incarnation incarnation = entry.run.incarnation;
     auto command =
         std::make_shared<wire::CommandT>(entry.outbox.at(sequence).command);
-    After(kOneWay + kCommit, [this, &entry, command, incarnation] {
-      if (!entry.connected) return;
-      wire::CommandBatchT batch;
-      batch.stamp_ms = Stamp();
-      batch.commands.push_back(std::make_unique<wire::CommandT>(*command));
-      auto answer = std::make_shared<wire::CommandAnswerT>(
-          std::move(m_state->Apply(batch).front()));
-      RecallFor(*command, *answer);
-      After(kOneWay, [this, &entry, answer, incarnation] {
-        const bool heard =
-            entry.connected && entry.up && entry.run.incarnation == incarnation;
-        if (heard) Receive(entry, *answer);
-      });
-    });
+    After(
+        kOneWayLatency + kCommitLatency, [this, &entry, command, incarnation] {
+          if (!entry.connected) return;
+          wire::CommandBatchT batch;
+          batch.stamp_ms = Stamp();
+          batch.commands.push_back(std::make_unique<wire::CommandT>(*command));
+          auto answer = std::make_shared<wire::CommandAnswerT>(
+              std::move(m_state->Apply(batch).front()));
+          RecallFor(*command, *answer);
+          After(kOneWayLatency, [this, &entry, answer, incarnation] {
+            const bool delivered = entry.connected && entry.up &&
+                                   entry.run.incarnation == incarnation;
+            if (delivered) Receive(entry, *answer);
+          });
+        });
   }
 
   void Receive(Entry& entry, const wire::CommandAnswerT& answer) {
@@ -370,71 +371,75 @@
     on_answer(answer);
   }
 
-  void Tend(Entry& entry) {
-    for (const GrantAdjustment& wish : entry.ledger->TakeAdjustments(m_now)) {
-      const size_t team = wish.budget;
-      if (wish.kind == GrantAdjustment::Kind::kReturn) {
+  void SendGrantAdjustments(Entry& entry) {
+    for (const GrantAdjustment& adjustment :
+         entry.ledger->TakeAdjustments(m_now)) {
+      const size_t team = adjustment.budget;
+      if (adjustment.kind == GrantAdjustment::Kind::kReturn) {
         wire::ReturnGrantT body;
         body.budget = BudgetOf(team);
-        body.tokens = wish.wanted;
-        body.standing = wish.standing;
+        body.tokens = adjustment.wanted;
+        body.standing = adjustment.standing;
         Send(entry, std::move(body), [](const auto&) {});
-      } else if (!entry.outbox.contains(entry.asks[team])) {
-        Ask(entry, team, wish);
+      } else if (!entry.outbox.contains(entry.pending_grant_requests[team])) {
+        SubmitGrantRequest(entry, team, adjustment);
       }
     }
   }
 
-  void Ask(Entry& entry, size_t team, const GrantAdjustment& wish) {
-    entry.asks[team] = Send(
+  void SubmitGrantRequest(Entry& entry, size_t team,
+                          const GrantAdjustment& adjustment) {
+    entry.pending_grant_requests[team] = Send(
         entry,
-        state::GrantRequestOf(BudgetOf(team), wish.wanted,
-                              wish.demand_per_second, wish.minimum),
+        state::GrantRequestOf(BudgetOf(team), adjustment.wanted,
+                              adjustment.demand_per_second, adjustment.minimum),
         [this, &entry, team](const wire::CommandAnswerT& answer) {
           const auto* grant = answer.body.AsGrantAnswer();
           entry.ledger->OnGrant(entry.budgets[team],
                                 grant ? *grant : wire::GrantAnswerT(), m_now);
           Retry(entry);
-          Tend(entry);
+          SendGrantAdjustments(entry);
         });
   }
 
   void RecallFor(const wire::CommandT& command,
                  const wire::CommandAnswerT& answer) {
-    const auto* ask = command.body.AsRequestGrant();
+    const auto* grant_request = command.body.AsRequestGrant();
     const auto* grant = answer.body.AsGrantAnswer();
-    if (!m_variant.recall || ask == nullptr || grant == nullptr) return;
+    if (!m_variant.recall || grant_request == nullptr || grant == nullptr)
+      return;
     if (grant->tokens > 0 || grant->elsewhere == 0) return;
-    const HostRun asker{command.id->host, command.id->incarnation};
+    const HostRun requester{command.id->host, command.id->incarnation};
     for (const budget::RecallMessage& message : m_recalls.OnShortage(
-             asker, *ask, m_state->HoldingsOf(ask->budget), m_now))
+             requester, *grant_request,
+             m_state->HoldingsOf(grant_request->budget), m_now))
       for (const auto& entry : m_entries)
         if (entry->run.host == message.host) Recall(*entry, message.recall);
   }
 
   void Recall(Entry& entry, const wire::RecallT& recall) {
     if (!entry.connected) return;
-    After(kOneWay, [this, &entry, recall] {
+    After(kOneWayLatency, [this, &entry, recall] {
       if (!entry.connected || !entry.up) return;
       entry.ledger->OnRecall(recall.budget, recall.tokens, m_now);
-      Tend(entry);
+      SendGrantAdjustments(entry);
     });
   }
 
-  void Beat(size_t index) {
+  void SendHeartbeat(size_t index) {
     Entry& entry = *m_entries[index];
     if (entry.up && entry.connected) {
-      wire::EntryBeatT beat;
+      wire::EntryBeatT heartbeat;
       for (size_t team = 0; team < kTeams; ++team) {
         auto held = std::make_unique<wire::BudgetHoldingT>();
         held->budget = BudgetOf(team);
         held->tokens = entry.ledger->Held(entry.budgets[team]) -
                        entry.ledger->Reserved(entry.budgets[team]);
-        beat.held.push_back(std::move(held));
+        heartbeat.held.push_back(std::move(held));
       }
-      m_recalls.OnHeartbeat(entry.run.host, beat, m_now);
+      m_recalls.OnHeartbeat(entry.run.host, heartbeat, m_now);
     }
-    After(1s, [this, index] { Beat(index); });
+    After(1s, [this, index] { SendHeartbeat(index); });
   }
 
   void Close() {
--- a/bench/grant_simulation_types.h
+++ b/bench/grant_simulation_types.h
@@ -26,15 +26,15 @@
   double large_rate;
   size_t large_teams;
   double small_rate;
-  Tokens least_worst_case;
-  Tokens most_worst_case;
+  Tokens min_worst_case;
+  Tokens max_worst_case;
   Duration timeout;  // maximum time that a request waits for tokens
 };
 
 // The settings that differ between the compared runs.
 struct Variant {
   const char* name;
-  wire::GrantWay way;
+  wire::GrantWay grant_mode;
   uint32_t partition_seconds;
   bool recall;
 };
@@ -42,8 +42,8 @@
 struct Figures {
   uint64_t served = 0;
   uint64_t refused = 0;
-  uint64_t false_refusals = 0;   // enough budget was free or held somewhere
-  uint64_t false_while_cut = 0;  // of these, at cut-off entries
+  uint64_t false_refusals = 0;  // enough budget was free or held somewhere
+  uint64_t false_while_partitioned = 0;  // of these, at cut-off entries
   uint64_t avoidable = 0;  // of these, the leader could reach enough tokens
   Tokens overspend = 0;
   Tokens stranded = 0;  // counted as lost at the end of the run
@@ -86,7 +86,7 @@
   std::vector<budget::BudgetHandle> budgets;
   uint64_t sequence = 0;
   std::map<uint64_t, Pending> outbox;
-  std::vector<uint64_t> asks;  // sequence, by team
+  std::vector<uint64_t> pending_grant_requests;  // sequence, by team
   std::vector<Request> waiting;
   std::map<AttemptId, Request> running;
 };
--- a/bench/http_bench.cc
+++ b/bench/http_bench.cc
@@ -165,8 +165,8 @@
   // elapsed seconds.
   double Run(int open, int total, bool stream) {
     m_stream = stream;
-    m_left = total;
-    m_to_end = total;
+    m_unstarted = total;
+    m_unfinished = total;
     m_first_byte.clear();
     const Instant begin = m_loop.Now();
     for (int i = 0; i < open; ++i) StartOne();
@@ -185,7 +185,7 @@
 
  private:
   void StartOne() {
-    if (m_left-- <= 0) return;
+    if (m_unstarted-- <= 0) return;
     http::ClientRequest request;
     request.url = m_url;
     request.headers = {{"Authorization", "Bearer key"},
@@ -201,14 +201,14 @@
           std::chrono::duration<double, std::milli>(m_loop.Now() - begin)
               .count());
     };
-    callbacks.on_chunk = [this](std::string_view piece) {
-      m_bytes += piece.size();
+    callbacks.on_chunk = [this](std::string_view chunk) {
+      m_bytes += chunk.size();
       return true;
     };
     callbacks.on_end = [this](http::TransferEnd end) {
       if (end != http::TransferEnd::kWhole) ++m_failed;
       StartOne();
-      if (--m_to_end == 0) m_loop.Stop();
+      if (--m_unfinished == 0) m_loop.Stop();
     };
     m_client->Start(std::move(request), std::move(callbacks));
   }
@@ -217,8 +217,8 @@
   const std::string m_url;
   std::unique_ptr<http::Client> m_client;
   bool m_stream = false;
-  int m_left = 0;
-  int m_to_end = 0;
+  int m_unstarted = 0;
+  int m_unfinished = 0;
   int m_failed = 0;
   size_t m_bytes = 0;
   std::vector<double> m_first_byte;
@@ -229,10 +229,10 @@
   uint16_t port = 0;
 };
 
-// Forks a process that runs the server made by `make_part`. The child reports
-// its port through a pipe; the port is 0 if that fails.
-template <typename MakePart>
-Child Spawn(const MakePart& make_part) {
+// Forks a process that runs the server made by `make_component`. The child
+// reports its port through a pipe; the port is 0 if that fails.
+template <typename MakeComponent>
+Child Spawn(const MakeComponent& make_component) {
   std::fflush(stdout);  // else the child prints the buffer again
   int ends[2];
   if (pipe(ends) != 0) return {};
@@ -240,7 +240,7 @@
   if (process == 0) {
     loop::Loop loop;
     const loop::SignalWatcher end(loop, SIGTERM, [&loop] { loop.Stop(); });
-    const auto part = make_part(loop);
+    const auto part = make_component(loop);
     const uint16_t port = part->Port();
     if (write(ends[1], &port, sizeof port) != sizeof port) _exit(1);
     loop.Run();
@@ -301,8 +301,8 @@
   });
   loop::Loop loop;
   constexpr int kOpen = 64;
-  Callers straight(loop, endpoint.port);
-  const double straight_seconds = straight.Run(kOpen, size.requests, false);
+  Callers direct(loop, endpoint.port);
+  const double direct_seconds = direct.Run(kOpen, size.requests, false);
   Callers callers(loop, relay.port);
   const double seconds = callers.Run(kOpen, size.requests, false);
   const double median = callers.MedianFirstByte();
@@ -312,8 +312,8 @@
       "short requests: endpoint alone %.0f/s, through the relay %.0f/s (ratio "
       "%.2f), failed %d, median %.2f ms at %d open; relay: %.0f/s per core, "
       "%.1f MiB\n",
-      size.requests / straight_seconds, size.requests / seconds,
-      straight_seconds / seconds, callers.Failed(), median, kOpen,
+      size.requests / direct_seconds, size.requests / seconds,
+      direct_seconds / seconds, callers.Failed(), median, kOpen,
       size.requests / Seconds(used), MiB(used));
 }
 
--- a/bench/routes_bench.cc
+++ b/bench/routes_bench.cc
@@ -17,7 +17,7 @@
 
 // Returns the shortest duration of 20 runs, in milliseconds.
 template <typename Work>
-double TimeOf(Work work) {
+double MinMilliseconds(Work work) {
   constexpr int kRuns = 20;
   double best = 0;
   for (int run = 0; run < kRuns; ++run) {
@@ -38,15 +38,17 @@
   const auto step = state::PackDocument(next, base);
   const auto whole = state::PackDocument(next, {});
   std::string why;
-  const double read = TimeOf([&] { adapter::ReadDocument(next, &why); });
-  const double table =
-      TimeOf([&] { gateway::RouteTable(*adapter::ReadDocument(next, &why)); });
+  const double read =
+      MinMilliseconds([&] { adapter::ReadDocument(next, &why); });
+  const double table = MinMilliseconds(
+      [&] { gateway::RouteTable(*adapter::ReadDocument(next, &why)); });
   std::printf("%8zu %9zu %7zu %7.2f %7.2f %9zu %7.2f %7.2f %7.2f %7.2f\n",
               routes, next.size(), step.size(),
-              TimeOf([&] { state::PackDocument(next, base); }),
-              TimeOf([&] { state::UnpackDocument(step, base); }), whole.size(),
-              TimeOf([&] { state::PackDocument(next, {}); }),
-              TimeOf([&] { state::UnpackDocument(whole, {}); }), read,
+              MinMilliseconds([&] { state::PackDocument(next, base); }),
+              MinMilliseconds([&] { state::UnpackDocument(step, base); }),
+              whole.size(),
+              MinMilliseconds([&] { state::PackDocument(next, {}); }),
+              MinMilliseconds([&] { state::UnpackDocument(whole, {}); }), read,
               table - read);
 }
 
--- a/bench/routing_bench.cc
+++ b/bench/routing_bench.cc
@@ -60,13 +60,13 @@
   for (const Deployment& deployment : kDeployments) {
     for (const PolicyRow& policy : kPolicies) {
       Result result = Model(deployment, policy).Run();
-      std::printf("| %s | %s | %.0f | %.0f | %.0f | %.0f | %.1f | %zu |\n",
-                  deployment.name, policy.name,
-                  Quantile(&result.first_token_ms, 0.5),
-                  Quantile(&result.first_token_ms, 0.95),
-                  Percent(result.cached_blocks, result.blocks),
-                  Percent(result.far, result.requests),
-                  Percent(result.to_slow, result.requests), result.refused);
+      std::printf(
+          "| %s | %s | %.0f | %.0f | %.0f | %.0f | %.1f | %zu |\n",
+          deployment.name, policy.name, Quantile(&result.first_token_ms, 0.5),
+          Quantile(&result.first_token_ms, 0.95),
+          Percent(result.cached_blocks, result.blocks),
+          Percent(result.remote, result.requests),
+          Percent(result.sent_to_slow, result.requests), result.refused);
     }
   }
 }
--- a/bench/routing_model.h
+++ b/bench/routing_model.h
@@ -25,8 +25,8 @@
 inline constexpr size_t kTokensPerBlock = 64;
 inline constexpr Duration kRun = 180s;
 inline constexpr Duration kWarmUp = 30s;
-inline constexpr Duration kLocalWay = 500us;
-inline constexpr Duration kFarWay = 2000us;
+inline constexpr Duration kLocalLatency = 500us;
+inline constexpr Duration kRemoteLatency = 2000us;
 inline constexpr Duration kReportEvery = 1s;
 inline constexpr Duration kReportLag = 300ms;
 inline constexpr Duration kEventLag = 500ms;
@@ -65,20 +65,20 @@
   template <typename Event>
   size_t Use(const std::vector<uint64_t>& hashes, const Event& event) {
     size_t hits = 0;
-    while (hits < hashes.size() && m_places.contains(hashes[hits])) ++hits;
+    while (hits < hashes.size() && m_positions.contains(hashes[hits])) ++hits;
     for (const uint64_t hash : hashes) {
-      const auto it = m_places.find(hash);
-      if (it != m_places.end()) {
+      const auto it = m_positions.find(hash);
+      if (it != m_positions.end()) {
         m_order.splice(m_order.begin(), m_order, it->second);
         continue;
       }
       m_order.push_front(hash);
-      m_places[hash] = m_order.begin();
+      m_positions[hash] = m_order.begin();
       event(hash, true);
     }
-    while (m_places.size() > m_capacity) {
+    while (m_positions.size() > m_capacity) {
       event(m_order.back(), false);
-      m_places.erase(m_order.back());
+      m_positions.erase(m_order.back());
       m_order.pop_back();
     }
     return hits;
@@ -87,7 +87,7 @@
  private:
   size_t m_capacity;
   std::list<uint64_t> m_order;
-  std::unordered_map<uint64_t, std::list<uint64_t>::iterator> m_places;
+  std::unordered_map<uint64_t, std::list<uint64_t>::iterator> m_positions;
 };
 
 struct Job {
@@ -118,10 +118,10 @@
   std::vector<double> first_token_ms;
   size_t blocks = 0;
   size_t cached_blocks = 0;
-  size_t far = 0;
+  size_t remote = 0;
   size_t requests = 0;
   size_t refused = 0;
-  size_t to_slow = 0;
+  size_t sent_to_slow = 0;
 };
 
 inline state::Configuration MakeConfiguration() {
@@ -193,9 +193,9 @@
       options.data_centre = deployment.data_centres[i % centres];
       options.seed = i + 1;
       m_routers.push_back(MakeRouter(options));
-      m_centres.push_back(options.data_centre);
+      m_entry_centres.push_back(options.data_centre);
     }
-    m_held.resize(kEntries);
+    m_waiting_jobs.resize(kEntries);
   }
 
   Result Run() {
@@ -250,8 +250,8 @@
 
   void Deliver(Duration /*lag*/) {
     m_directory.OnTimer(m_now);
-    if (m_directory.Generation() == m_seen) return;
-    m_seen = m_directory.Generation();
+    if (m_directory.Generation() == m_seen_generation) return;
+    m_seen_generation = m_directory.Generation();
     for (const auto& router : m_routers)
       router->Refresh(m_directory, m_configuration, m_now);
   }
@@ -287,7 +287,7 @@
       hash = hash * 6364136223846793005ULL + i + 1;
       job->hashes.push_back(hash);
     }
-    hash += ++m_unique * 7919;
+    hash += ++m_unique_prompts * 7919;
     const size_t own_blocks = 2 + m_random.Below(8);
     for (size_t i = 0; i < own_blocks; ++i) {
       hash = hash * 6364136223846793005ULL + i + 1;
@@ -302,7 +302,7 @@
     if (!job->query.service) job->query.prefix_hashes = &job->hashes;
     const RouteChoice choice = router.Choose(job->query, m_now);
     if (choice.outcome == RouteOutcome::kBusy) {
-      m_held[job->entry].push_back(std::move(job));
+      m_waiting_jobs[job->entry].push_back(std::move(job));
       return;
     }
     if (choice.outcome == RouteOutcome::kNone) {
@@ -313,17 +313,17 @@
     job->sent = m_now;
     job->engine =
         std::stoul(choice.endpoint.substr(choice.endpoint.find('-') + 1));
-    In(WayOf(*job), [this, job] {
+    In(NetworkLatency(*job), [this, job] {
       m_engines[job->engine].waiting.push_back(job);
       StartNext(job->engine);
     });
   }
 
-  bool IsFar(const Job& job) const {
-    return m_engines[job.engine].data_centre != m_centres[job.entry];
+  bool IsRemote(const Job& job) const {
+    return m_engines[job.engine].data_centre != m_entry_centres[job.entry];
   }
-  Duration WayOf(const Job& job) const {
-    return IsFar(job) ? kFarWay : kLocalWay;
+  Duration NetworkLatency(const Job& job) const {
+    return IsRemote(job) ? kRemoteLatency : kLocalLatency;
   }
 
   void StartNext(size_t number) {
@@ -342,12 +342,12 @@
         job->hashes, [this, number](uint64_t hash, bool stored) {
           SendEvent(number, hash, stored);
         });
-    const double crowd = 1 + static_cast<double>(engine.running) /
-                                 static_cast<double>(engine.slots);
-    double prefill = 10 + kPrefillMsPerToken * crowd *
+    const double load_factor = 1 + static_cast<double>(engine.running) /
+                                       static_cast<double>(engine.slots);
+    double prefill = 10 + kPrefillMsPerToken * load_factor *
                               static_cast<double>(kTokensPerBlock) *
                               static_cast<double>(job->hashes.size() - hits);
-    double decode = kDecodeMsPerToken * (0.5 + crowd / 2) *
+    double decode = kDecodeMsPerToken * (0.5 + load_factor / 2) *
                     static_cast<double>(job->output_tokens);
     if (engine.service) {
       prefill = 60 + 120 * Uniform(&m_random);
@@ -356,11 +356,11 @@
     prefill *= engine.slowness;
     decode *= engine.slowness;
     Count(*job, hits);
-    In(Ms(prefill) + WayOf(*job), [this, job] { FirstToken(*job); });
+    In(Ms(prefill) + NetworkLatency(*job), [this, job] { FirstToken(*job); });
     In(Ms(prefill + decode), [this, number, job] {
       --m_engines[number].running;
       StartNext(number);
-      In(WayOf(*job), [this, job] { End(*job); });
+      In(NetworkLatency(*job), [this, job] { End(*job); });
     });
   }
 
@@ -369,8 +369,8 @@
     m_result.blocks += job.hashes.size();
     m_result.cached_blocks += hits;
     ++m_result.requests;
-    if (IsFar(job)) ++m_result.far;
-    if (m_engines[job.engine].slowness > 1) ++m_result.to_slow;
+    if (IsRemote(job)) ++m_result.remote;
+    if (m_engines[job.engine].slowness > 1) ++m_result.sent_to_slow;
   }
 
   // Cache events of an engine are sent to one entry only, the one to which the
@@ -399,7 +399,7 @@
   void End(const Job& job) {
     m_routers[job.entry]->OnEnded(m_engines[job.engine].id, 0, false, m_now);
     std::deque<std::shared_ptr<Job>> held;
-    held.swap(m_held[job.entry]);
+    held.swap(m_waiting_jobs[job.entry]);
     for (std::shared_ptr<Job>& waiting : held) Route(std::move(waiting));
   }
 
@@ -411,11 +411,11 @@
   std::multimap<Instant, std::function<void()>> m_events;
   std::vector<Engine> m_engines;
   std::vector<std::unique_ptr<Router>> m_routers;
-  std::vector<DataCentreId> m_centres;
-  std::vector<std::deque<std::shared_ptr<Job>>> m_held;
+  std::vector<DataCentreId> m_entry_centres;
+  std::vector<std::deque<std::shared_ptr<Job>>> m_waiting_jobs;
   directory::Directory m_directory;
-  uint64_t m_seen = 0;
-  uint64_t m_unique = 0;
+  uint64_t m_seen_generation = 0;
+  uint64_t m_unique_prompts = 0;
   Result m_result;
 };
 
--- a/bench/spread_bench.cc
+++ b/bench/spread_bench.cc
@@ -20,8 +20,8 @@
 constexpr Duration kLink = 2ms;
 constexpr Duration kStep = 10ms;
 constexpr Duration kWarmUp = 12s;
-constexpr Duration kMeasured = 17s;
-constexpr Duration kGiveUp = 40s;
+constexpr Duration kMeasurementDuration = 17s;
+constexpr Duration kUnusableTimeout = 40s;
 constexpr size_t kLengthBytes = 4;
 
 struct Daemon {
@@ -31,7 +31,7 @@
   uint64_t bytes = 0;  // sent and received
 };
 
-struct OnTheWay {
+struct InFlightDelta {
   size_t to;
   HostId from;
   wire::DirectoryDeltaT delta;
@@ -95,7 +95,7 @@
   // kGiveUp.
   Duration UntilUnusable(size_t endpoint) {
     const Instant start = m_now;
-    while (m_now - start < kGiveUp) {
+    while (m_now - start < kUnusableTimeout) {
       Step();
       const EndpointId id = Name("engine", endpoint);
       bool all = true;
@@ -105,7 +105,7 @@
       }
       if (all) return m_now - start;
     }
-    return kGiveUp;
+    return kUnusableTimeout;
   }
 
   void Drain(size_t endpoint) {
@@ -147,7 +147,7 @@
 
   void Deliver() {
     while (!m_links.empty() && m_links.begin()->first <= m_now) {
-      const OnTheWay item = std::move(m_links.begin()->second);
+      const InFlightDelta item = std::move(m_links.begin()->second);
       m_links.erase(m_links.begin());
       m_daemons[item.to]->spread->OnDelta(item.from, item.delta, m_now);
     }
@@ -161,8 +161,8 @@
       const size_t bytes = FrameBytes(outgoing.delta);
       sender.bytes += bytes;
       m_daemons[to]->bytes += bytes;
-      m_links.emplace(m_now + kLink,
-                      OnTheWay{to, sender.host, std::move(outgoing.delta)});
+      m_links.emplace(m_now + kLink, InFlightDelta{to, sender.host,
+                                                   std::move(outgoing.delta)});
     }
   }
 
@@ -170,7 +170,7 @@
   Instant m_now = Instant{} + 1000s;
   std::vector<std::unique_ptr<Daemon>> m_daemons;
   std::vector<uint64_t> m_sequences;
-  std::multimap<Instant, OnTheWay> m_links;
+  std::multimap<Instant, InFlightDelta> m_links;
   size_t m_draining = SIZE_MAX;
   size_t m_killed = SIZE_MAX;
 };
@@ -179,16 +179,18 @@
   Fleet fleet(size);
   fleet.RunFor(kWarmUp);
   fleet.ResetBytes();
-  fleet.RunFor(kMeasured);
+  fleet.RunFor(kMeasurementDuration);
   uint64_t total = 0;
   uint64_t most = 0;
-  size_t least_known = SIZE_MAX;
+  size_t min_known_endpoints = SIZE_MAX;
   for (const auto& daemon : fleet.Daemons()) {
     total += daemon->bytes;
     most = std::max(most, daemon->bytes);
-    least_known = std::min(least_known, daemon->directory.All().size());
+    min_known_endpoints =
+        std::min(min_known_endpoints, daemon->directory.All().size());
   }
-  const double seconds = std::chrono::duration<double>(kMeasured).count();
+  const double seconds =
+      std::chrono::duration<double>(kMeasurementDuration).count();
   const double mean = static_cast<double>(total) /
                       static_cast<double>(size.daemons) / seconds / 1000;
   const double interval =
@@ -199,7 +201,7 @@
   fleet.Kill(5);
   const Duration silent = fleet.UntilUnusable(5);
   std::printf("| %zu | %zu | %zu | %.2f | %.2f | %.1f | %.2f | %.2f |\n",
-              size.daemons, size.endpoints, least_known, mean,
+              size.daemons, size.endpoints, min_known_endpoints, mean,
               static_cast<double>(most) / seconds / 1000, interval,
               static_cast<double>(ToMs(drained)) / 1000,
               static_cast<double>(ToMs(silent)) / 1000);
--- a/bench/state_bench.cc
+++ b/bench/state_bench.cc
@@ -30,9 +30,9 @@
 }
 
 // Builds a state by submitting batches of changes as its operator.
-class Filled {
+class StateBuilder {
  public:
-  Filled()
+  StateBuilder()
       : m_state(state::MakeState()), m_operator(m_state.get(), "control", 1) {}
 
   state::State& GetState() { return *m_state; }
@@ -96,9 +96,9 @@
 using Fill = std::function<size_t(size_t)>;
 
 // Returns the bytes by which `fill` grows the memory in use after `prepare`.
-size_t Measured(const std::function<void(Filled&)>& prepare,
-                const std::function<void(Filled&)>& fill) {
-  Filled filled;
+size_t Measured(const std::function<void(StateBuilder&)>& prepare,
+                const std::function<void(StateBuilder&)>& fill) {
+  StateBuilder filled;
   prepare(filled);
   // Memory that `prepare` uses, such as a plan kept in the history, is not
   // counted.
@@ -131,48 +131,49 @@
 
 void PrintSlopes() {
   std::printf("| record | size: bytes | bytes each (fit) |\n|---|---|---|\n");
-  const auto nothing = [](Filled&) {};
-  const auto one_budget = [](Filled& filled) {
+  const auto nothing = [](StateBuilder&) {};
+  const auto one_budget = [](StateBuilder& filled) {
     filled.AddTeams(1, false);
     filled.AddBudgets(1);
   };
   const std::vector<size_t> sizes = {20'000, 40'000, 80'000};
   PrintSlope("team", sizes, [&](size_t n) {
-    return Measured(nothing, [n](Filled& f) { f.AddTeams(n, false); });
+    return Measured(nothing, [n](StateBuilder& f) { f.AddTeams(n, false); });
   });
   PrintSlope("team with a key", sizes, [&](size_t n) {
-    return Measured(nothing, [n](Filled& f) { f.AddTeams(n, true); });
+    return Measured(nothing, [n](StateBuilder& f) { f.AddTeams(n, true); });
   });
   PrintSlope("budget", {50'000, 100'000, 200'000}, [&](size_t n) {
-    return Measured([](Filled& f) { f.AddTeams(10'000, false); },
-                    [n](Filled& f) { f.AddBudgets(n); });
+    return Measured([](StateBuilder& f) { f.AddTeams(10'000, false); },
+                    [n](StateBuilder& f) { f.AddBudgets(n); });
   });
   PrintSlope("grant (one holder of a budget)", sizes, [&](size_t n) {
     return Measured(
-        [n](Filled& f) {
+        [n](StateBuilder& f) {
           f.AddTeams(1, false);
           f.AddBudgets(n, 100);
         },
-        [n](Filled& f) {
+        [n](StateBuilder& f) {
           state::TestSender entry(&f.GetState(), "entry", 1);
           for (size_t i = 0; i < n; ++i) {
-            auto ask = state::GrantRequestOf(Filled::BudgetOf(i), 10, 5);
-            entry.Send(std::move(ask), kStamp);
+            auto grant_request =
+                state::GrantRequestOf(StateBuilder::BudgetOf(i), 10, 5);
+            entry.Send(std::move(grant_request), kStamp);
           }
         });
   });
   PrintSlope("bill", sizes, [&](size_t n) {
-    return Measured(one_budget, [n](Filled& f) {
+    return Measured(one_budget, [n](StateBuilder& f) {
       state::TestSender entry(&f.GetState(), "entry", 1);
       for (size_t i = 0; i < n; ++i) {
-        entry.Send(state::SettlementOf(Filled::BudgetOf(0),
+        entry.Send(state::SettlementOf(StateBuilder::BudgetOf(0),
                                        "~" + std::to_string(i), i, 0, 0),
                    kStamp);
       }
     });
   });
   PrintSlope("claim", sizes, [&](size_t n) {
-    return Measured(one_budget, [n](Filled& f) {
+    return Measured(one_budget, [n](StateBuilder& f) {
       state::TestSender entry(&f.GetState(), "entry", 1);
       for (size_t i = 0; i < n; ++i) {
         wire::ClaimT claim;
@@ -184,10 +185,10 @@
     });
   });
   PrintSlope("key of an aged request", sizes, [&](size_t n) {
-    return Measured(one_budget, [n](Filled& f) {
+    return Measured(one_budget, [n](StateBuilder& f) {
       state::TestSender entry(&f.GetState(), "entry", 1);
       for (size_t i = 0; i < n; ++i) {
-        entry.Send(state::SettlementOf(Filled::BudgetOf(0),
+        entry.Send(state::SettlementOf(StateBuilder::BudgetOf(0),
                                        "k" + std::to_string(i), i, 0, 0),
                    kStamp);
       }
@@ -213,8 +214,8 @@
 }
 
 void PrintTwoYearSize() {
-  const size_t bytes = Measured([](Filled&) {},
-                                [](Filled& f) {
+  const size_t bytes = Measured([](StateBuilder&) {},
+                                [](StateBuilder& f) {
                                   f.AddTeams(kTwoYearTeams, true);
                                   f.AddBudgets(kTwoYearBudgets);
                                 });
@@ -223,7 +224,7 @@
 }
 
 void PrintApplies(size_t batch_size) {
-  Filled filled;
+  StateBuilder filled;
   filled.AddTeams(1, false);
   filled.AddBudgets(100, 100);
   state::State& state = filled.GetState();
@@ -235,7 +236,7 @@
     batch.stamp_ms = kStamp;
     while (batch.commands.size() < batch_size) {
       const std::string key = "~" + std::to_string(++attempt);
-      const BudgetId budget = Filled::BudgetOf(attempt % 100);
+      const BudgetId budget = StateBuilder::BudgetOf(attempt % 100);
       auto add = [&](auto body) {
         batch.commands.push_back(
             std::make_unique<wire::CommandT>(entry.Command(std::move(body))));
@@ -246,7 +247,7 @@
     commands += batch.commands.size();
   }
   for (size_t i = 0; i < 100; ++i)
-    entry.Send(state::GrantRequestOf(Filled::BudgetOf(i), 10, 5), kStamp);
+    entry.Send(state::GrantRequestOf(StateBuilder::BudgetOf(i), 10, 5), kStamp);
   const auto start = std::chrono::steady_clock::now();
   for (const wire::CommandBatchT& batch : batches) state.Apply(batch);
   const double seconds = Seconds(std::chrono::steady_clock::now() - start);
--- a/examples/streaming_client.cc
+++ b/examples/streaming_client.cc
@@ -58,8 +58,8 @@
   callbacks.on_head = [](int status, const Headers&) {
     if (status != 200) std::cerr << "status " << status << '\n';
   };
-  callbacks.on_chunk = [&](std::string_view piece) {
-    rest += piece;
+  callbacks.on_chunk = [&](std::string_view chunk) {
+    rest += chunk;
     size_t end = rest.find('\n');
     while (end != std::string::npos) {
       done = PrintEvent(rest.substr(0, end)) || done;
