--- a/daemon/main.cc
+++ b/daemon/main.cc
@@ -42,7 +42,7 @@
   }
 }
 
-telemetry::LogLevel LevelOf(const std::string& name) {
+telemetry::LogLevel ParseLogLevel(const std::string& name) {
   if (name == "error") return telemetry::LogLevel::kError;
   return name == "warning" ? telemetry::LogLevel::kWarning
                            : telemetry::LogLevel::kInfo;
@@ -63,36 +63,36 @@
 
 // Reloads the settings file on SIGHUP and when its modification time changes.
 // If the file is invalid, the error is logged and nothing changes.
-class SettingsWatch {
+class SettingsWatcher {
  public:
-  SettingsWatch(loop::Loop& loop, std::string path, app::Daemon& daemon)
+  SettingsWatcher(loop::Loop& loop, std::string path, app::Daemon& daemon)
       : m_path(std::move(path)),
         m_daemon(daemon),
-        m_changed(ChangeOf(m_path)),
+        m_changed(ModificationTime(m_path)),
         m_on_hangup(loop, SIGHUP, [this] { Reload(); }),
-        m_timer(loop, [this] { Look(); }) {
-    m_timer.ArmIn(kLookEvery);
+        m_timer(loop, [this] { ReloadIfModified(); }) {
+    m_timer.ArmIn(kSettingsPollInterval);
   }
 
  private:
-  static constexpr Duration kLookEvery = 1s;
+  static constexpr Duration kSettingsPollInterval = 1s;
 
   // Time of the file's last modification in nanoseconds since 1970; 0 when it
   // cannot be read.
-  static int64_t ChangeOf(const std::string& path) {
+  static int64_t ModificationTime(const std::string& path) {
     struct stat status {};
     if (stat(path.c_str(), &status) != 0) return 0;
     constexpr int64_t kSecond = 1'000'000'000;
     return status.st_mtim.tv_sec * kSecond + status.st_mtim.tv_nsec;
   }
 
-  void Look() {
-    m_timer.ArmIn(kLookEvery);
-    if (ChangeOf(m_path) != m_changed) Reload();
+  void ReloadIfModified() {
+    m_timer.ArmIn(kSettingsPollInterval);
+    if (ModificationTime(m_path) != m_changed) Reload();
   }
 
   void Reload() {
-    m_changed = ChangeOf(m_path);
+    m_changed = ModificationTime(m_path);
     try {
       m_daemon.Reload(settings::ReadSettings(m_path));
       telemetry::Log(telemetry::LogLevel::kInfo, "settings_reloaded");
@@ -118,11 +118,12 @@
                                          [&] { daemon->Shutdown(); });
   const loop::SignalWatcher on_interrupt(loop, SIGINT,
                                          [&] { daemon->Shutdown(); });
-  const SettingsWatch watch(loop, path, *daemon);
-  app::SlowIterationLog slow_turns;
-  const loop::IterationWatcher turn_watch(
-      loop, app::kSlowIteration,
-      [&](Duration took) { slow_turns.OnSlowIteration(took, loop.Now()); });
+  const SettingsWatcher watch(loop, path, *daemon);
+  app::SlowIterationLog slow_iterations;
+  const loop::IterationWatcher iteration_watcher(
+      loop, app::kSlowIteration, [&](Duration took) {
+        slow_iterations.OnSlowIteration(took, loop.Now());
+      });
   WritePorts(settings.port_file, *daemon);
   telemetry::Log(telemetry::LogLevel::kInfo, "started",
                  {{"peer_port", std::to_string(daemon->PeerPort())},
@@ -143,7 +144,7 @@
       throw Error(ErrorKind::kInternal, "libsodium failed to initialize");
     const settings::Settings settings =
         settings::ReadSettings(settings_path.getValue());
-    telemetry::StartLog(settings.host, LevelOf(settings.log_level));
+    telemetry::StartLog(settings.host, ParseLogLevel(settings.log_level));
     Run(settings, settings_path.getValue());
     return 0;
   } catch (const Error& error) {
--- a/include/dotterelshift/ctl/transport.h
+++ b/include/dotterelshift/ctl/transport.h
@@ -13,7 +13,7 @@
   std::string operator_key;
 };
 
-struct TransportAnswer {
+struct TransportResponse {
   bool reached = false;  // the final response was received in full
   int status = 0;
   std::string body;
@@ -26,8 +26,8 @@
  public:
   virtual ~Transport() = default;
   // `host` is IP:port. Failures are returned, not thrown.
-  virtual TransportAnswer Send(const std::string& host,
-                               const TransportRequest& request) = 0;
+  virtual TransportResponse Send(const std::string& host,
+                                 const TransportRequest& request) = 0;
 };
 
 // Returns a transport over HTTP that uses libcurl. It sends the operator key
--- a/src/dotterelshift/ctl/arguments.cc
+++ b/src/dotterelshift/ctl/arguments.cc
@@ -60,7 +60,8 @@
     ExitRow{ExitCode::kDisagreement, "the report's totals disagree"},
 };
 
-constexpr std::array<std::string_view, 3> kForms = {"table", "json", "csv"};
+constexpr std::array<std::string_view, 3> kOutputFormats = {"table", "json",
+                                                            "csv"};
 
 void WriteOverview(std::ostream& out) {
   out << "usage: " << kProgram << " VERB [OPTIONS]\n\nverbs:\n";
@@ -97,16 +98,16 @@
 };
 
 // Parser for the command line of one verb.
-class VerbLine {
+class VerbCommandLine {
  public:
-  VerbLine(const VerbRow& row, std::ostream& out)
+  VerbCommandLine(const VerbRow& row, std::ostream& out)
       : m_row(row),
         m_output(row, out),
         m_line(std::string(row.summary), ' ', "", false) {
     m_line.setExceptionHandling(false);
     m_line.setOutput(&m_output);
     Reset(m_help, "h", "help", "Shows this.");
-    Reset(m_form, "o", "output", "table, json, or csv (report only).", false,
+    Reset(m_format, "o", "output", "table, json, or csv (report only).", false,
           "FORM");
     if (row.verb == Verb::kCheckSettings)
       AddCheckOptions();
@@ -135,9 +136,9 @@
     Take(m_from, &arguments.from);
     Take(m_to, &arguments.to);
     arguments.list = m_list && m_list->getValue();
-    if (m_form && m_form->isSet())
-      arguments.output = FormOf(m_form->getValue());
-    if (m_row.verb == Verb::kCheckSettings) CheckTogether(arguments);
+    if (m_format && m_format->isSet())
+      arguments.output = ParseOutputFormat(m_format->getValue());
+    if (m_row.verb == Verb::kCheckSettings) RequireFileOrList(arguments);
     return arguments;
   }
 
@@ -195,18 +196,19 @@
     if (argument) *value = argument->getValue();
   }
 
-  OutputForm FormOf(const std::string& word) const {
-    const auto* found = std::find(kForms.begin(), kForms.end(), word);
+  OutputFormat ParseOutputFormat(const std::string& word) const {
+    const auto* found =
+        std::find(kOutputFormats.begin(), kOutputFormats.end(), word);
     const bool csv = word == "csv" && m_row.verb != Verb::kReport;
-    if (found == kForms.end() || csv) {
+    if (found == kOutputFormats.end() || csv) {
       throw TCLAP::CmdLineParseException(
           csv ? "csv is for report only" : "not table, json or csv",
           "--output");
     }
-    return static_cast<OutputForm>(found - kForms.begin());
+    return static_cast<OutputFormat>(found - kOutputFormats.begin());
   }
 
-  static void CheckTogether(const Arguments& arguments) {
+  static void RequireFileOrList(const Arguments& arguments) {
     if (arguments.list == arguments.file.empty()) return;
     throw TCLAP::CmdLineParseException("one of --file and --list is needed",
                                        "check-settings");
@@ -218,7 +220,7 @@
   Switch m_help;
   std::optional<TCLAP::MultiArg<std::string>> m_hosts;
   Value m_key_file;
-  Value m_form;
+  Value m_format;
   Value m_file;
   Value m_team;
   Value m_from;
@@ -260,7 +262,7 @@
     return one == "--help" || one == "-h";
   });
   try {
-    VerbLine line(*row, out);
+    VerbCommandLine line(*row, out);
     if (help) {
       line.ShowHelp();
       return ExitCode::kOk;
--- a/src/dotterelshift/ctl/arguments.h
+++ b/src/dotterelshift/ctl/arguments.h
@@ -10,14 +10,14 @@
 
 namespace dotterelshift::ctl {
 
-enum class OutputForm { kTable, kJson, kCsv };
+enum class OutputFormat { kTable, kJson, kCsv };
 
 // A parsed and validated command line.
 struct Arguments {
   Verb verb = Verb::kStatus;
   std::vector<std::string> hosts;  // IP:port, tried in order
   std::string key_file;
-  OutputForm output = OutputForm::kTable;
+  OutputFormat output = OutputFormat::kTable;
   std::string file;    // plan: the intent; check-settings: the settings
   std::string plan;    // confirm
   std::string budget;  // budget: empty for all
--- a/src/dotterelshift/ctl/ctl.cc
+++ b/src/dotterelshift/ctl/ctl.cc
@@ -9,7 +9,7 @@
 
 #include "dotterelshift/base/error.h"         // for Error
 #include "dotterelshift/ctl/arguments.h"      // for ParseArguments
-#include "dotterelshift/ctl/explain.h"        // for RequestStory
+#include "dotterelshift/ctl/explain.h"        // for RequestTrace
 #include "dotterelshift/ctl/output.h"         // for WriteTable
 #include "dotterelshift/settings/settings.h"  // for ReadSettings
 
@@ -72,7 +72,7 @@
 
 // Throws a usage error if `word`, which becomes part of a URL, contains
 // characters with a special meaning in URLs.
-void CheckWord(const std::string& word) {
+void CheckUrlSafe(const std::string& word) {
   for (char c : word) {
     if (c <= ' ' || c > '~' ||
         std::string_view("?#&%\"<>\\").find(c) != std::string_view::npos)
@@ -90,7 +90,7 @@
   for (const std::string* word :
        {&arguments.plan, &arguments.budget, &arguments.team, &arguments.from,
         &arguments.to})
-    CheckWord(*word);
+    CheckUrlSafe(*word);
   TransportRequest request;
   request.operator_key = ReadKey(arguments.key_file);
   request.path = std::string(kBase) + std::string(NameOf(arguments.verb));
@@ -116,7 +116,7 @@
   std::string text;
 };
 
-Refusal RefusalOf(const TransportAnswer& answer) {
+Refusal ParseRefusal(const TransportResponse& answer) {
   const Json json = Json::parse(answer.body, nullptr, false);
   if (!json.is_object() || !json.contains("error") ||
       !json["error"].is_object())
@@ -134,7 +134,7 @@
          refusal.kind == RowOf(ErrorKind::kNotLeader).name;
 }
 
-ExitCode CodeOf(const Refusal& refusal) {
+ExitCode ExitCodeOf(const Refusal& refusal) {
   if (HasNoLeader(refusal)) return ExitCode::kNotReachable;
   const bool conflict = refusal.kind == RowOf(ErrorKind::kPlanConflict).name ||
                         refusal.kind == RowOf(ErrorKind::kPlanStale).name;
@@ -145,11 +145,11 @@
 // be reached, does not return JSON, or knows no leader; any other error is
 // final. The request may thus arrive twice, which is safe: a repeated confirm
 // gets its first answer, and a second plan changes nothing.
-Json Ask(const Arguments& arguments, Transport& transport) {
+Json SendToHosts(const Arguments& arguments, Transport& transport) {
   const TransportRequest request = RequestOf(arguments);
   Failure failure{ExitCode::kNotReachable, "no host answered"};
   for (const std::string& host : arguments.hosts) {
-    const TransportAnswer answer = transport.Send(host, request);
+    const TransportResponse answer = transport.Send(host, request);
     if (!answer.reached) {
       failure.text = host + " cannot be reached: " + answer.failure;
       continue;
@@ -160,15 +160,15 @@
       failure.text = host + " answered what is not JSON";
       continue;
     }
-    const Refusal refusal = RefusalOf(answer);
-    failure = {CodeOf(refusal), refusal.text};
+    const Refusal refusal = ParseRefusal(answer);
+    failure = {ExitCodeOf(refusal), refusal.text};
     if (!HasNoLeader(refusal)) break;
   }
   throw failure;
 }
 
 ExitCode CheckSettings(const Arguments& arguments, std::ostream& out) {
-  const bool as_json = arguments.output == OutputForm::kJson;
+  const bool as_json = arguments.output == OutputFormat::kJson;
   if (arguments.list) {
     if (as_json) {
       out << SettingTableJson().dump(2) << "\n";
@@ -190,17 +190,17 @@
 }
 
 ExitCode Explain(const Arguments& arguments, std::ostream& out) {
-  RequestStory story(arguments.request);
+  RequestTrace trace(arguments.request);
   for (const std::string& path : arguments.logs) {
     std::istringstream log(ReadAll(path));
-    story.ReadLog(log);
+    trace.ReadLog(log);
   }
-  if (!story.Found())
+  if (!trace.HasRequest())
     throw Failure{ExitCode::kRefused,
                   "no line tells of request " + arguments.request};
-  const bool as_json = arguments.output == OutputForm::kJson;
+  const bool as_json = arguments.output == OutputFormat::kJson;
   Json list = Json::array();
-  for (const LogLine& line : story.Lines()) {
+  for (const LogLine& line : trace.Lines()) {
     if (as_json) {
       list.push_back({{"time", line.time},
                       {"host", line.host},
@@ -216,20 +216,20 @@
   return ExitCode::kOk;
 }
 
-ExitCode Serve(const Arguments& arguments, Transport& transport,
-               std::ostream& out, std::ostream& err) {
+ExitCode RunVerb(const Arguments& arguments, Transport& transport,
+                 std::ostream& out, std::ostream& err) {
   if (arguments.verb == Verb::kCheckSettings)
     return CheckSettings(arguments, out);
   if (arguments.verb == Verb::kExplain) return Explain(arguments, out);
-  const Json answer = Ask(arguments, transport);
+  const Json answer = SendToHosts(arguments, transport);
   switch (arguments.output) {
-    case OutputForm::kTable:
+    case OutputFormat::kTable:
       WriteTable(arguments.verb, answer, out);
       break;
-    case OutputForm::kJson:
+    case OutputFormat::kJson:
       out << answer.dump(2) << "\n";
       break;
-    case OutputForm::kCsv:
+    case OutputFormat::kCsv:
       WriteReportCsv(answer, out);
       break;
   }
@@ -247,7 +247,7 @@
   const auto parsed = ParseArguments(arguments, out, err);
   if (const ExitCode* code = std::get_if<ExitCode>(&parsed)) return *code;
   try {
-    return Serve(std::get<Arguments>(parsed), transport, out, err);
+    return RunVerb(std::get<Arguments>(parsed), transport, out, err);
   } catch (const Failure& failure) {
     err << kProgram << failure.text << "\n";
     return failure.code;
--- a/src/dotterelshift/ctl/ctl_test.cc
+++ b/src/dotterelshift/ctl/ctl_test.cc
@@ -51,14 +51,14 @@
 // Returns a prepared response per host, and records what was sent.
 class MockTransport : public Transport {
  public:
-  TransportAnswer Send(const std::string& host,
-                       const TransportRequest& request) override {
-    asked.push_back(host);
+  TransportResponse Send(const std::string& host,
+                         const TransportRequest& request) override {
+    requested_hosts.push_back(host);
     last = request;
     return answers[host];
   }
-  std::map<std::string, TransportAnswer> answers;
-  std::vector<std::string> asked;
+  std::map<std::string, TransportResponse> answers;
+  std::vector<std::string> requested_hosts;
   TransportRequest last;
 };
 
@@ -70,12 +70,12 @@
 class CtlTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CtlTest);
   CPPUNIT_TEST(EveryVerbHasHelp);
-  CPPUNIT_TEST(BadCommandLinesAreUsageFaults);
-  CPPUNIT_TEST(ThePlanIsSentWithItsFile);
-  CPPUNIT_TEST(TheNextHostIsTried);
+  CPPUNIT_TEST(BadCommandLinesAreUsageErrors);
+  CPPUNIT_TEST(PlanSendsItsFile);
+  CPPUNIT_TEST(UnavailableHostFallsBackToTheNext);
   CPPUNIT_TEST(EveryErrorKindHasItsExitCode);
   CPPUNIT_TEST(ReportAsTableCsvAndJson);
-  CPPUNIT_TEST(ADisagreementGivesItsExitCode);
+  CPPUNIT_TEST(DisagreementSetsItsExitCode);
   CPPUNIT_TEST(SettingsAreChecked);
   CPPUNIT_TEST_SUITE_END();
 
@@ -115,7 +115,7 @@
     AssertCode(ExitCode::kOk, RunWith({"--help"}), "");
   }
 
-  void BadCommandLinesAreUsageFaults() {
+  void BadCommandLinesAreUsageErrors() {
     const std::vector<std::vector<std::string>> lines = {
         {},
         {"destroy"},
@@ -136,10 +136,10 @@
     for (const auto& line : lines)
       AssertCode(ExitCode::kUsage, RunWith(line),
                  line.empty() ? "none" : line[0] + m_err.str());
-    CPPUNIT_ASSERT(m_transport.asked.empty());
+    CPPUNIT_ASSERT(m_transport.requested_hosts.empty());
   }
 
-  void ThePlanIsSentWithItsFile() {
+  void PlanSendsItsFile() {
     AnswerWith(200,
                R"({"plan": "p1", "base_version": 3, "changes": [{"kind":
                "UpsertTeam", "subject": "ucad"}], "effects": ["e"],
@@ -155,14 +155,14 @@
                          m_out.str());
   }
 
-  void TheNextHostIsTried() {
+  void UnavailableHostFallsBackToTheNext() {
     m_transport.answers["h0"] = {false, 0, "", "refused"};
     m_transport.answers["hq"] = {true, 503, ErrorText(ErrorKind::kNoQuorum),
                                  ""};
     AnswerWith(200, R"({"plan": "p1", "version": 4})");
     AssertCode(ExitCode::kOk, RunAt({"confirm", "p1", "-H", "h0", "-H", "hq"}),
                m_err.str());
-    CPPUNIT_ASSERT_EQUAL(size_t{3}, m_transport.asked.size());
+    CPPUNIT_ASSERT_EQUAL(size_t{3}, m_transport.requested_hosts.size());
     CPPUNIT_ASSERT_EQUAL(std::string("plan p1 is in force as version 4\n"),
                          m_out.str());
     m_transport.answers["h1"] = m_transport.answers["h0"];
@@ -209,7 +209,7 @@
                              m_out.str().find(part) != std::string::npos);
   }
 
-  void ADisagreementGivesItsExitCode() {
+  void DisagreementSetsItsExitCode() {
     auto report = nlohmann::json::parse(kReport);
     report["disagreements"] = {"team ucad: its days differ"};
     AnswerWith(200, report.dump());
--- a/src/dotterelshift/ctl/explain.cc
+++ b/src/dotterelshift/ctl/explain.cc
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-void RequestStory::ReadLog(std::istream& log) {
+void RequestTrace::ReadLog(std::istream& log) {
   for (std::string text; std::getline(log, text);) {
     std::optional<LogLine> line = ReadLine(text);
     if (!line) continue;
@@ -49,12 +49,12 @@
   }
 }
 
-bool RequestStory::Found() const {
+bool RequestTrace::HasRequest() const {
   return std::any_of(m_lines.begin(), m_lines.end(),
                      [](const LogLine& line) { return !line.request.empty(); });
 }
 
-std::vector<LogLine> RequestStory::Lines() const {
+std::vector<LogLine> RequestTrace::Lines() const {
   std::set<std::string> hosts;
   std::string first;
   std::string last;
@@ -66,9 +66,9 @@
   }
   std::vector<LogLine> lines;
   for (const LogLine& line : m_lines) {
-    const bool of_its_hosts = hosts.contains(line.host);
-    const bool in_its_time = line.time >= first && line.time <= last;
-    if (!line.request.empty() || (of_its_hosts && in_its_time))
+    const bool host_involved = hosts.contains(line.host);
+    const bool during_request = line.time >= first && line.time <= last;
+    if (!line.request.empty() || (host_involved && during_request))
       lines.push_back(line);
   }
   std::stable_sort(
--- a/src/dotterelshift/ctl/explain.h
+++ b/src/dotterelshift/ctl/explain.h
@@ -20,13 +20,13 @@
 // logged about themselves between its first and its last line. Lines that are
 // not log records are skipped, as is text before a line's JSON object (such as
 // a log collector's time stamp).
-class RequestStory {
+class RequestTrace {
  public:
-  explicit RequestStory(std::string request) : m_request(std::move(request)) {}
+  explicit RequestTrace(std::string request) : m_request(std::move(request)) {}
 
   void ReadLog(std::istream& log);
   // Whether any line belongs to the request.
-  bool Found() const;
+  bool HasRequest() const;
   // The request's lines and, in between, those about the daemons that handled
   // it; ordered by time.
   std::vector<LogLine> Lines() const;
--- a/src/dotterelshift/ctl/explain_test.cc
+++ b/src/dotterelshift/ctl/explain_test.cc
@@ -9,12 +9,12 @@
 
 class ExplainTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ExplainTest);
-  CPPUNIT_TEST(ALifeIsToldInOrderOverAllHosts);
-  CPPUNIT_TEST(OtherLinesAreBorne);
+  CPPUNIT_TEST(LinesAreOrderedAcrossHosts);
+  CPPUNIT_TEST(UnrelatedLinesAreIgnored);
   CPPUNIT_TEST_SUITE_END();
 
-  void ALifeIsToldInOrderOverAllHosts() {
-    RequestStory story("r1");
+  void LinesAreOrderedAcrossHosts() {
+    RequestTrace trace("r1");
     std::istringstream second(
         "12.1 b {\"time\":\"T3\",\"host\":\"b\",\"event\":\"sent\","
         "\"request\":\"r1\",\"endpoint\":\"e\"}\n");
@@ -26,10 +26,10 @@
 {"time":"T9","host":"a","event":"peer_up","peer":"x"}
 {"time":"T4","host":"a","event":"ended","request":"r1","outcome":"stream_cut"}
 )");
-    story.ReadLog(second);
-    story.ReadLog(first);
-    CPPUNIT_ASSERT(story.Found());
-    const std::vector<LogLine> lines = story.Lines();
+    trace.ReadLog(second);
+    trace.ReadLog(first);
+    CPPUNIT_ASSERT(trace.HasRequest());
+    const std::vector<LogLine> lines = trace.Lines();
     CPPUNIT_ASSERT_EQUAL(size_t{4}, lines.size());
     CPPUNIT_ASSERT_EQUAL(std::string(" send=1"), lines[0].rest);
     CPPUNIT_ASSERT_EQUAL(std::string("peer_down"), lines[1].event);
@@ -37,11 +37,11 @@
     CPPUNIT_ASSERT_EQUAL(std::string("ended"), lines[3].event);
   }
 
-  void OtherLinesAreBorne() {
-    RequestStory story("r1");
+  void UnrelatedLinesAreIgnored() {
+    RequestTrace trace("r1");
     std::istringstream log("no json\n{\"half\n{}\n[1]\n\xff\n{\"event\":5}\n");
-    story.ReadLog(log);
-    CPPUNIT_ASSERT(!story.Found());
+    trace.ReadLog(log);
+    CPPUNIT_ASSERT(!trace.HasRequest());
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(ExplainTest);
--- a/src/dotterelshift/ctl/transport.cc
+++ b/src/dotterelshift/ctl/transport.cc
@@ -7,7 +7,7 @@
 namespace dotterelshift::ctl {
 namespace {
 
-constexpr int kMostRedirects = 5;
+constexpr int kMaxRedirects = 5;
 constexpr int kTemporaryRedirect = 307;
 constexpr long kConnectTimeoutMs = 3000;  // NOLINT(google-runtime-int): curl's
 constexpr long kTotalTimeoutMs = 30000;   // NOLINT(google-runtime-int): curl's
@@ -38,13 +38,13 @@
   CurlTransport() { curl_global_init(CURL_GLOBAL_DEFAULT); }
   ~CurlTransport() override { curl_global_cleanup(); }
 
-  TransportAnswer Send(const std::string& host,
-                       const TransportRequest& request) override {
+  TransportResponse Send(const std::string& host,
+                         const TransportRequest& request) override {
     std::string url = "http://" + host + request.path;
-    TransportAnswer answer;
+    TransportResponse answer;
     // Redirects are followed here because libcurl drops the Authorization
     // header when it is redirected to another host.
-    for (int i = 0; i <= kMostRedirects && !url.empty(); ++i)
+    for (int i = 0; i <= kMaxRedirects && !url.empty(); ++i)
       answer = SendOnce(request, &url);
     if (answer.status == kTemporaryRedirect) {
       answer.reached = false;
@@ -56,12 +56,12 @@
  private:
   // Sends one request to `url`, and sets `url` to the target of the redirect,
   // or to empty if there is none.
-  static TransportAnswer SendOnce(const TransportRequest& request,
-                                  std::string* url) {
+  static TransportResponse SendOnce(const TransportRequest& request,
+                                    std::string* url) {
     const Easy easy(curl_easy_init());
     const HeaderList headers = HeadersOf(request);
     std::array<char, CURL_ERROR_SIZE> failure{};
-    TransportAnswer answer;
+    TransportResponse answer;
     CURL* handle = easy.get();
     curl_easy_setopt(handle, CURLOPT_URL, url->c_str());
     curl_easy_setopt(handle, CURLOPT_PROTOCOLS_STR, "http");
--- a/src/dotterelshift/operators/api.cc
+++ b/src/dotterelshift/operators/api.cc
@@ -124,7 +124,7 @@
   void Accept(ExchangePointer exchange) override {
     Call call{.exchange = exchange};
     if (!Check(&call)) return;
-    if (!Leads()) return LeadAway(*exchange);
+    if (!Leads()) return RedirectToLeader(*exchange);
     if (call.verb == Verb::kConfirm) return Confirm(call);
     m_backend.ConfirmedRead([this, call](ErrorKind error) {
       if (error != ErrorKind::kNone) return Refuse(call, error);
@@ -201,7 +201,7 @@
 
   // Redirects a call to the leader; answers kNoQuorum if no other host is known
   // to lead.
-  void LeadAway(http::Exchange& exchange) const {
+  void RedirectToLeader(http::Exchange& exchange) const {
     const std::string leader = m_backend.LeaderHttpAddress();
     if (leader.empty() || leader == m_backend.SelfHttpAddress())
       return callers::SendErrorResponse(exchange, ErrorKind::kNoQuorum,
--- a/src/dotterelshift/operators/api_test.cc
+++ b/src/dotterelshift/operators/api_test.cc
@@ -77,16 +77,16 @@
 class ApiTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ApiTest);
   CPPUNIT_TEST(BadRequestsAreRefusedAndChangeNothing);
-  CPPUNIT_TEST(APlanChangesNothingUntilItIsConfirmed);
-  CPPUNIT_TEST(AResentConfirmGetsItsFirstAnswer);
-  CPPUNIT_TEST(OneOfTwoPlansWithOneBaseWins);
-  CPPUNIT_TEST(AStalePlanIsRefused);
-  CPPUNIT_TEST(NoAnswerWithoutAConfirmedRead);
-  CPPUNIT_TEST(AFollowerLeadsToTheLeader);
-  CPPUNIT_TEST(AnEntryWithoutKeysLeadsToTheLeader);
+  CPPUNIT_TEST(PlanChangesNothingUntilConfirmed);
+  CPPUNIT_TEST(ResentConfirmReturnsItsFirstAnswer);
+  CPPUNIT_TEST(OnlyOneOfTwoPlansOnTheSameBaseIsConfirmed);
+  CPPUNIT_TEST(StalePlanIsRefused);
+  CPPUNIT_TEST(CallsWithoutAQuorumAreRefused);
+  CPPUNIT_TEST(FollowerRedirectsToTheLeader);
+  CPPUNIT_TEST(EntryWithoutKeysRedirectsToTheLeader);
   CPPUNIT_TEST(EveryReadVerbAnswers);
-  CPPUNIT_TEST(WhereTheTokensOfATotalAreIsShown);
-  CPPUNIT_TEST(DisagreementsStandInTheReport);
+  CPPUNIT_TEST(BudgetShowsWhereItsTokensAre);
+  CPPUNIT_TEST(ReportListsDisagreements);
   CPPUNIT_TEST(DaysAreChecked);
   CPPUNIT_TEST_SUITE_END();
 
@@ -159,7 +159,7 @@
     CPPUNIT_ASSERT(!m_backend->state->FindPlan("plan-1"));
   }
 
-  void APlanChangesNothingUntilItIsConfirmed() {
+  void PlanChangesNothingUntilConfirmed() {
     const json plan = SendGood("POST", "plan", kIntent);
     CPPUNIT_ASSERT_EQUAL(size_t{5}, plan["changes"].size());
     CPPUNIT_ASSERT(!m_backend->state->GetConfiguration().FindTeam("ucad"));
@@ -172,7 +172,7 @@
     CPPUNIT_ASSERT_EQUAL(1000, budget[0]["bought"].get<int>());
   }
 
-  void AResentConfirmGetsItsFirstAnswer() {
+  void ResentConfirmReturnsItsFirstAnswer() {
     const std::string plan = PlanOf(kIntent);
     const json first = SendGood("POST", "confirm/" + plan);
     PlanAndConfirm("teams: [{id: other}]\n");
@@ -187,7 +187,7 @@
              authorization);
   }
 
-  void OneOfTwoPlansWithOneBaseWins() {
+  void OnlyOneOfTwoPlansOnTheSameBaseIsConfirmed() {
     PlanAndConfirm(kIntent);
     const std::string first = PlanOf("teams: [{id: ucad, weight: 2}]\n");
     const std::string second =
@@ -202,7 +202,7 @@
         m_backend->state->GetConfiguration().FindTeam("ucad")->weight);
   }
 
-  void AStalePlanIsRefused() {
+  void StalePlanIsRefused() {
     PlanAndConfirm(kIntent);
     const std::string plan = PlanOf("teams: [{id: ucad, weight: 2}]\n");
     PlanAndConfirm("teams: [{id: pikine}]\n");
@@ -214,7 +214,7 @@
     CPPUNIT_ASSERT(!m_backend->state->GetConfiguration().FindTeam("ucad"));
   }
 
-  void NoAnswerWithoutAConfirmedRead() {
+  void CallsWithoutAQuorumAreRefused() {
     m_backend->read_error = ErrorKind::kNoQuorum;
     for (const char* verb :
          {"status", "report", "budget", "endpoints", "hosts", "orders"})
@@ -227,20 +227,20 @@
     CPPUNIT_ASSERT(!m_backend->state->GetConfiguration().FindTeam("ucad"));
   }
 
-  void AFollowerLeadsToTheLeader() {
+  void FollowerRedirectsToTheLeader() {
     m_backend->leader = "127.0.0.1:9";
-    const MockExchange led = Send("GET", "report?team=ucad");
-    CPPUNIT_ASSERT_EQUAL(307, led.status);
+    const MockExchange redirected = Send("GET", "report?team=ucad");
+    CPPUNIT_ASSERT_EQUAL(307, redirected.status);
     CPPUNIT_ASSERT_EQUAL(
         std::string("http://127.0.0.1:9/operator/v1/report?team=ucad"),
-        led.headers.at(0).second);
+        redirected.headers.at(0).second);
     AssertRefused(Send("GET", "status", "", "Bearer wrong"),
                   ErrorKind::kUnauthorized, "");
     m_backend->leader = "";
     AssertRefused(Send("GET", "status"), ErrorKind::kNoQuorum, "");
   }
 
-  void AnEntryWithoutKeysLeadsToTheLeader() {
+  void EntryWithoutKeysRedirectsToTheLeader() {
     MakeApiWith({});
     AssertRefused(Send("GET", "status"), ErrorKind::kUnauthorized, "leads");
     m_backend->leader = "127.0.0.1:9";
@@ -279,7 +279,7 @@
 
   // A team can be refused before its total is spent, because holders keep the
   // rest. Operators must see which holders, and which of them are dead.
-  void WhereTheTokensOfATotalAreIsShown() {
+  void BudgetShowsWhereItsTokensAre() {
     wire::PublishRoutesT routes;
     routes.version = 1;
     auto total = std::make_unique<wire::TeamTotalT>();
@@ -304,7 +304,7 @@
                            holder["dead"].get<bool>());
   }
 
-  void DisagreementsStandInTheReport() {
+  void ReportListsDisagreements() {
     PlanAndConfirm(kIntent);
     const DisagreeingState state(*m_backend->state);
     const json lines = RenderReport(state, {"ucad", 0, 1})["disagreements"];
--- a/src/dotterelshift/operators/render.cc
+++ b/src/dotterelshift/operators/render.cc
@@ -112,7 +112,7 @@
   return json;
 }
 
-bool Concerns(const ReportRange& range, const TeamId& team) {
+bool IncludesTeam(const ReportRange& range, const TeamId& team) {
   return range.team.empty() || range.team == team;
 }
 
@@ -205,9 +205,10 @@
     json["days"].push_back(RenderDay(day));
   json["budgets"] = RenderBudgets(state, "");
   json["budgets"].erase(
-      std::remove_if(
-          json["budgets"].begin(), json["budgets"].end(),
-          [&](const Json& budget) { return !Concerns(range, budget["team"]); }),
+      std::remove_if(json["budgets"].begin(), json["budgets"].end(),
+                     [&](const Json& budget) {
+                       return !IncludesTeam(range, budget["team"]);
+                     }),
       json["budgets"].end());
   json["disagreements"] = ReportDisagreements(state, range);
   return json;
@@ -298,7 +299,7 @@
   std::map<TeamId, TeamSums> by_accounts;
   for (const auto& [id, budget] : state.GetConfiguration().Budgets()) {
     const state::BudgetAccount* account = state.FindAccount(id);
-    if (!account || !Concerns(range, budget.team)) continue;
+    if (!account || !IncludesTeam(range, budget.team)) continue;
     by_accounts[budget.team].spent += account->settled;
     by_accounts[budget.team].billed += account->billed;
     if (account->Free() < 0)
