--- a/cmake/Libraries.cmake
+++ b/cmake/Libraries.cmake
@@ -1,4 +1,4 @@
-# The libraries of the project, all from Debian's packages, behind one target.
+# Interface target for all third-party libraries, which come from Debian packages.
 find_package(PkgConfig REQUIRED)
 find_package(Boost REQUIRED COMPONENTS log)
 find_package(yaml-cpp REQUIRED)
--- a/cmake/Options.cmake
+++ b/cmake/Options.cmake
@@ -1,4 +1,4 @@
-# Compiler settings that every target of the project shares.
+# Compiler settings shared by all targets.
 set(CMAKE_CXX_STANDARD 20)
 set(CMAKE_CXX_STANDARD_REQUIRED ON)
 set(CMAKE_CXX_EXTENSIONS OFF)
--- a/cmake/Program.cmake
+++ b/cmake/Program.cmake
@@ -1,4 +1,4 @@
-# dotterelshift_program(NAME SOURCES...): a program on top of the project's library.
+# dotterelshift_program(NAME SOURCES...): adds an executable that links the project's library.
 function(dotterelshift_program name)
   add_executable(${name} ${ARGN})
   target_link_libraries(${name} PRIVATE dotterelshift)
