--- a/include/dotterelshift/app/control_link.h
+++ b/include/dotterelshift/app/control_link.h
@@ -31,7 +31,7 @@
   Duration resend_after =
       1s;  // an unanswered command is sent again, with the same id
   // Limit of the resend timeout, which doubles at each resend to the same
-  // leader so that resends do not add load to a leader that is behind.
+  // leader so that resends do not add load to a leader that has a backlog.
   Duration max_resend_timeout = 8s;
   size_t commands_per_frame = 512;
   // Reports the sequence below which all answers have arrived, so that control
--- a/include/dotterelshift/base/ids.h
+++ b/include/dotterelshift/base/ids.h
@@ -16,7 +16,7 @@
 using ModelName = std::string;
 
 // Identifies one start of a host's process. Taken from the wall clock at start,
-// so a later start has a larger value.
+// so a later start has a larger value unless the clock was set back.
 using Incarnation = uint64_t;
 
 // One incarnation of a host's process. A newer incarnation of the same host
--- a/include/dotterelshift/directory/directory.h
+++ b/include/dotterelshift/directory/directory.h
@@ -16,10 +16,11 @@
 namespace dotterelshift::directory {
 
 struct DirectoryOptions {
-  Duration silent_after = 3s;   // without updates or local evidence: unusable
-  Duration forget_after = 60s;  // a silent record is dropped after this; a
-                                // tombstone keeps its incarnation and flags
-  Duration tombstone = 600s;
+  Duration silent_after = 3s;  // without updates or local evidence: unusable
+  // A record without updates or local evidence for this long is dropped. A
+  // tombstone keeps its incarnation, sequence and sticky flags.
+  Duration forget_after = 60s;
+  Duration tombstone = 600s;  // how long a tombstone is kept
   Duration dead_hold = 1s;  // not used for this long after a refused connection
 };
 
@@ -61,7 +62,7 @@
   // Applies an update from an endpoint or from another daemon. Returns true
   // when it changed the record, which is then part of the next delta.
   bool OnRecord(const wire::EndpointRecordT& record, Instant now);
-  // The same, but returns what changed.
+  // Like OnRecord(), but returns what changed.
   RecordUpdate Take(const wire::EndpointRecordT& record, Instant now);
   // Applies a load report. Returns kStale when the incarnation is not the known
   // one or the report is not newer.
@@ -69,7 +70,7 @@
                          const LoadReport& load, Instant now);
   // Sets whether the endpoint announces itself only to this daemon. If so, its
   // idle timeout is DirectoryOptions::silent_after, since no other daemon can
-  // have newer updates of it.
+  // have newer updates about it.
   void SetAnnouncedHere(const EndpointId& endpoint, bool announced_here);
   // Sets the idle timeout of endpoints that announce themselves to other
   // daemons. DirectoryOptions::silent_after is the lower bound.
@@ -78,12 +79,12 @@
   void OnAlive(const EndpointId& endpoint, Instant now);
   void OnDead(const EndpointId& endpoint, uint64_t incarnation, Instant now);
   // Expires silent records. Returns true when the set of usable endpoints
-  // changed.
+  // changed or a record was dropped.
   bool OnTimer(Instant now);
 
-  // The records that changed since the last call, to be disseminated, and all
-  // records, for a daemon that has just joined.
+  // The records that changed since the last call, to be disseminated.
   wire::DirectoryDeltaT TakeDelta(Instant now);
+  // All records, for a daemon that has just joined.
   wire::DirectoryDeltaT AllRecords(Instant now) const;
 
   // The record with its current age, as it is sent to other daemons.
@@ -97,7 +98,8 @@
   uint64_t Generation() const { return m_generation; }
 
  private:
-  // What is kept of a dropped record, so that late updates cannot revive it.
+  // The data kept about a dropped record, so that late updates cannot revive
+  // it.
   struct Tombstone {
     uint64_t incarnation = 0;
     uint64_t sequence = 0;
--- a/include/dotterelshift/directory/spread.h
+++ b/include/dotterelshift/directory/spread.h
@@ -23,8 +23,8 @@
   Duration digest_interval = 3s;     // how often neighbours compare digests
   Duration min_pull_interval =
       10s;  // between full transfers from one neighbour
-  // Bound on the traffic of all load reports, sent and received together. With
-  // more endpoints each is reported less often.
+  // Bound on the traffic of all load reports, sent and received together. The
+  // more endpoints there are, the less often each is reported.
   double pulse_bytes_per_second = 12'000;
 };
 
@@ -46,8 +46,10 @@
 // same way as a small pulse, which also serves as keep-alive, at a rate bounded
 // in bytes per second. The daemon that last received announcements from an
 // endpoint detects its silence and sends that as an update. Neighbours compare
-// digests of their records, and one that differs requests a full transfer. This
-// repairs the effects of lost frames, partitions and changes of the roster.
+// digests of their records. A daemon whose digest differs from a neighbour's
+// twice in a row, or that differs and has no records, requests a full transfer.
+// This repairs the effects of lost frames, partitions and changes of the
+// roster.
 class Spread {
  public:
   Spread(const SpreadOptions& options, Directory* directory);
@@ -73,14 +75,14 @@
  private:
   // An update of one endpoint to be forwarded to all neighbours but `from`.
   struct Pending {
-    bool whole = false;
+    bool whole = false;  // send the full record, not only a pulse
     HostId from;
   };
   struct TrackedEndpoint {
     uint64_t key = 0;
     Instant last_pulse{};
-    // Consecutive announcements to this daemon without a newer update of
-    // others.
+    // Consecutive announcements to this daemon, with no newer update from
+    // another daemon in between.
     uint32_t consecutive_announcements = 0;
   };
   struct Neighbour {
--- a/include/dotterelshift/http/client.h
+++ b/include/dotterelshift/http/client.h
@@ -65,7 +65,7 @@
   virtual ~Client() = default;
   virtual TransferId Start(ClientRequest request,
                            TransferCallbacks callbacks) = 0;
-  // Resets the transfer's connection, so that the server sees the client leave
+  // Resets the transfer's connection, so that the server notices the disconnect
   // and the unsent bytes of the request are discarded.
   virtual void Cancel(TransferId transfer) = 0;
   // Cancels a transfer if no byte of its request has been handed over to a
--- a/include/dotterelshift/peers/hub.h
+++ b/include/dotterelshift/peers/hub.h
@@ -69,7 +69,7 @@
 // Bytes queued on connections and not sent yet.
 struct HubBacklog {
   size_t bytes = 0;  // of all connections
-  size_t most = 0;   // of one
+  size_t most = 0;   // of the connection with the largest backlog
 };
 
 // The connections of one daemon to the others: length-prefixed FlatBuffers over
--- a/include/dotterelshift/settings/settings.h
+++ b/include/dotterelshift/settings/settings.h
@@ -13,9 +13,10 @@
 
 namespace dotterelshift::settings {
 
-// Settings of one daemon, read once at start. The YAML keys are the names of
-// the fields. docs/SETTINGS.md lists each with unit, default and bounds; it is
-// generated from the table that validates them.
+// Settings of one daemon, read at start. Daemon::Reload() applies those that
+// may change while it runs. The YAML keys are the names of the fields.
+// docs/SETTINGS.md lists each with unit, default and bounds; it is generated
+// from the table that validates them.
 struct Settings {
   std::string host;
   std::string fleet;
@@ -52,11 +53,11 @@
   bool serve_when_cut_off = true;
   // After SIGTERM new requests are still accepted for this long.
   Duration shutdown_notice = 2s;
-  Duration cut_off_after = 3s;    // without a heartbeat of a confirmed leader
-  Duration shutdown_limit = 60s;  // after SIGTERM, streams included
+  Duration cut_off_after = 3s;    // since the newest answered heartbeat
+  Duration shutdown_limit = 60s;  // after SIGTERM, including streams
   uint32_t max_head_bytes = 4 << 10;
   uint32_t max_body_bytes = 8 << 20;
-  double retry_ratio = 0.2;  // of the requests, fleet-wide
+  double retry_ratio = 0.2;  // retries per request, fleet-wide
   Duration retry_window = 10s;
   uint32_t retry_slack = 50;  // further retries per window, fleet-wide
   double link_mbit = 0;       // of the host, per second; 0: not known
--- a/src/dotterelshift/app/control.cc
+++ b/src/dotterelshift/app/control.cc
@@ -28,7 +28,7 @@
 constexpr Duration kTick = 100ms;
 // How often the leader proposes to compact old bills and claims.
 constexpr Duration kAgeOutInterval = 60s;
-// Below the longest delivery time that the order core allows for.
+// Shorter than the longest delivery time that the order core allows for.
 constexpr Duration kOrderTimeout = 8s;
 
 std::vector<HostId> FirstMembers(const settings::Settings& settings) {
@@ -444,7 +444,7 @@
 void Control::OnTick() {
   const Instant now = m_loop.Now();
   SendOrders();
-  // Retries pushes that were held back by an entry's backlog.
+  // Retries pushes that were postponed because of an entry's backlog.
   SchedulePushes();
   if (m_replica->Leads() && now >= m_next_age_out) {
     m_next_age_out = now + kAgeOutInterval;
--- a/src/dotterelshift/app/entry.cc
+++ b/src/dotterelshift/app/entry.cc
@@ -19,10 +19,10 @@
 // Interval at which control's reachability, the holdings and the gauges are
 // checked.
 constexpr Duration kTick = 50ms;
-// How long a drained entry waits until control has taken back its grants.
+// How long a drained entry waits for control to accept its returned grants.
 constexpr Duration kGrantReturnTimeout = 10s;
 // Interval at which the router adopts the load that endpoints report. The
-// reports themselves lag.
+// reports themselves are delayed.
 constexpr Duration kLoadRefreshInterval = 500ms;
 
 // The request core numbers its own commands from 1.
--- a/src/dotterelshift/app/entry_pushes.h
+++ b/src/dotterelshift/app/entry_pushes.h
@@ -75,7 +75,8 @@
   size_t Push(Entry& entry, Instant now);
   size_t PushConfiguration(Entry& entry, Instant now);
   size_t PushRoutes(Entry& entry, Instant now);
-  // The full document as a step; packed once for all entries that need it.
+  // The full document in a RoutesStep; packed once for all entries that need
+  // it.
   const wire::RoutesStepT& FullRoutes(const state::PublishedRoutes& published);
   void TrackRollout(Instant now);
   void LogRollout(Instant now);
--- a/src/dotterelshift/app/gateway_entry.cc
+++ b/src/dotterelshift/app/gateway_entry.cc
@@ -420,7 +420,7 @@
 }
 
 // Applies only what may change while running: the addresses through which the
-// group is found.
+// group can be reached.
 void GatewayEntry::Reload(const settings::Settings& settings) {
   for (const std::string& seed : settings.seeds)
     m_hub->Dial(PeerAddressOf(seed, settings.peer_port));
@@ -444,9 +444,9 @@
     if (drained || now >= m_drain->response_deadline) EndOpenRequests(drained);
     return;
   }
-  // Holdings that control has not taken back by the exit are lost with this
-  // incarnation, and a caller that has not received its refusal does not know
-  // that it may retry.
+  // Holdings whose return control has not accepted by the exit are lost with
+  // this incarnation, and a caller that has not received its refusal does not
+  // know that it may retry.
   const bool returned = m_link.Idle();
   const Duration reporting = m_drain->exit - m_drain->response_deadline;
   const Instant last = std::min(m_drain->exit, *m_returning_since + reporting);
--- a/src/dotterelshift/app/gateway_traffic.h
+++ b/src/dotterelshift/app/gateway_traffic.h
@@ -35,8 +35,8 @@
   void Pump();
   // Decides for each response whether its caller may keep the connection.
   // `silent` is the number of callers that send nothing on their connections:
-  // the head of their response is still to come, or has asked them to close.
-  // Without a policy, all callers may keep theirs.
+  // the head of their response has not been sent yet, or it asked them to close
+  // the connection. Without a policy, all callers may keep their connections.
   using KeepPolicy = std::function<bool(size_t silent)>;
   void SetKeepPolicy(KeepPolicy policy) { m_may_keep = std::move(policy); }
   size_t OpenResponses() const { return m_open.size(); }
@@ -118,7 +118,8 @@
   std::unique_ptr<http::Client> m_client;
   std::unordered_map<RequestId, Open> m_open;
   std::unordered_map<AttemptId, Transfer> m_transfers;
-  // Of attempts that ended during the batch of actions being executed.
+  // Send records of attempts that ended during the batch of actions being
+  // executed.
   std::unordered_map<AttemptId, SendRecord> m_ended_sends;
   RequestId m_last_request = 0;
   KeepPolicy m_may_keep;
--- a/src/dotterelshift/app/link_guard.cc
+++ b/src/dotterelshift/app/link_guard.cc
@@ -17,7 +17,8 @@
 // No summary is logged while link utilization is lower, unless a wait was long.
 constexpr double kMinLoggedUtilization = 0.5;
 
-// A wait for the outbound link from which on a summary is logged in any case.
+// A wait of at least this for the outbound link causes a summary also at lower
+// utilization.
 constexpr Duration kMinLoggedQueueWait = 100ms;
 
 // Size of the listen backlog, as the link time of the first bytes of its
--- a/src/dotterelshift/app/link_guard.h
+++ b/src/dotterelshift/app/link_guard.h
@@ -14,17 +14,17 @@
 
 namespace dotterelshift::app {
 
-// What a request that is handed to a connection has been through.
+// Earlier attempts of a request that is now handed to a connection.
 enum class SendKind {
-  kFirst,    // first attempt of its request
-  kDelayed,  // not the first attempt, but none before had a connection
-  kRetry,    // the request was handed to a connection before
+  kFirst,    // this is its first attempt
+  kDelayed,  // earlier attempts never got a connection
+  kRetry,    // an earlier attempt was handed to a connection
 };
 
 // Keeps the load from callers within the capacity of the host's link: accepts
 // connections while there is capacity, limits how many callers may keep theirs,
-// and closes idle ones while a queue may be standing. Logs a line per second
-// while the link is at least half full.
+// and closes idle ones while a queue drains. Logs a line per second while the
+// link is at least half full or requests wait long for the outbound link.
 class LinkGuard {
  public:
   explicit LinkGuard(const settings::Settings& settings);
@@ -56,10 +56,10 @@
   void Watch(http::Server& server, const peers::HubCounters& peers,
              Instant now);
 
-  // Whether callers should not send their next request on the same connection.
+  // Whether callers should send their next request on a new connection.
   bool IsFull(Instant now) const;
   // Whether the caller of a response that is sent now may keep its connection;
-  // `silent` is the number of callers that send nothing on theirs.
+  // `silent` is the number of callers that send nothing now.
   bool MayKeep(const http::Server& server, size_t silent, Instant now) const;
   // Whether the load balancer should send new connections to other entries.
   bool IsShedding() const { return m_shedding; }
--- a/src/dotterelshift/app/registration.h
+++ b/src/dotterelshift/app/registration.h
@@ -21,9 +21,9 @@
   HostRun self;
   std::string data_centre;
   std::string address;  // at which the other daemons connect
-  // Whether an incarnation of which no command was accepted may raise its
-  // number above the newest known one. Needed after the wall clock was set back
-  // between two starts. Only for a role that reads its incarnation from Self()
+  // Whether this incarnation may raise its number above the newest known one
+  // while it is not registered. Needed if the wall clock was set back between
+  // two starts. Only for a role that reads its incarnation from Self()
   // each time.
   bool may_raise = false;
 };
--- a/src/dotterelshift/app/routes_port.cc
+++ b/src/dotterelshift/app/routes_port.cc
@@ -80,7 +80,7 @@
   }
 
  private:
-  // Logs when reads begin to fail, fail in another way, or succeed again.
+  // Logs when reads begin to fail, fail with another error, or succeed again.
   void LogRead(ErrorKind outcome) {
     ++m_reads;
     if (outcome == m_read_outcome) return;
--- a/src/dotterelshift/directory/directory.cc
+++ b/src/dotterelshift/directory/directory.cc
@@ -31,7 +31,7 @@
          a.gone == b.gone && a.silent == b.silent;
 }
 
-// When any daemon first received the update.
+// The time at which the first daemon received the update.
 Instant ReceivedAt(uint32_t age_ms, Instant now) {
   return now - std::chrono::milliseconds(age_ms);
 }
--- a/src/dotterelshift/http/client.cc
+++ b/src/dotterelshift/http/client.cc
@@ -259,7 +259,7 @@
   // Makes the close of a cancelled transfer's connection a reset. After an
   // orderly close, the system would still send the buffered bytes of the
   // request (many when the link is full), and the server would run it for a
-  // caller that has left.
+  // caller that has disconnected.
   static void DropUnsent(curl_socket_t descriptor) {
     const linger at_once{.l_onoff = 1, .l_linger = 0};
     setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
--- a/src/dotterelshift/telemetry/team_series.cc
+++ b/src/dotterelshift/telemetry/team_series.cc
@@ -54,7 +54,7 @@
 TeamSeries::Series& TeamSeries::SeriesOf(const TeamId& team) {
   const auto found = m_labelled.find(team);
   if (found != m_labelled.end()) return found->second;
-  // A team may itself be named "other"; it is empty when the key is not known.
+  // A team may itself be named "other". `team` is empty if the key is unknown.
   if (m_labelled.size() >= m_max_teams || team.empty() || team == kOther)
     return m_others;
   return m_labelled.emplace(team, MakeSeries(team)).first->second;
