--- a/include/dotterelshift/app/daemon.h
+++ b/include/dotterelshift/app/daemon.h
@@ -20,11 +20,12 @@
   // Begins the graceful shutdown, which stops the loop when it is complete.
   // Further calls have no effect.
   virtual void Shutdown() = 0;
-  // Applies those of the re-read settings that may change while running.
+  // Applies those of the newly read settings that may change while running.
   virtual void Reload(const settings::Settings&) {}
 };
 
-// Both throw Error with kBadSettings or one of the storage error kinds.
+// MakeEntry() and MakeControl() throw Error with kBadSettings or one of the
+// storage error kinds.
 std::unique_ptr<Daemon> MakeEntry(loop::Loop& loop,
                                   const settings::Settings& settings,
                                   Incarnation incarnation);
--- a/include/dotterelshift/telemetry/log.h
+++ b/include/dotterelshift/telemetry/log.h
@@ -22,8 +22,8 @@
 // are buffered up to a bound, then dropped and counted, so that logging never
 // blocks the event loop.
 void StartLog(const std::string& host, LogLevel least);
-// The same with another stream, which must outlive the log. Nothing is written
-// until one of the two is called.
+// Like the overload above, but writes to `stream`, which must outlive the log.
+// Nothing is logged before one of the two overloads is called.
 void StartLog(const std::string& host, LogLevel least, std::ostream& stream);
 
 // Writes one line for a change of state. Frequent events are counted in metrics
@@ -32,7 +32,7 @@
          std::initializer_list<LogField> fields = {});
 
 // Writes one line for a decision on a request. Lines above a fixed rate are
-// dropped; the next line that is written gives their number.
+// dropped; the next line that is written contains their number.
 void LogDecision(
     std::string_view event, const std::string& request,
     const std::vector<std::pair<std::string_view, std::string>>& inputs);
--- a/src/dotterelshift/app/entry_pushes.cc
+++ b/src/dotterelshift/app/entry_pushes.cc
@@ -19,11 +19,11 @@
 // between data centres.
 constexpr size_t kMaxFullMeshEntries = 16;
 
-// Nothing is pushed to an entry whose connection has a larger backlog: a
-// version that waits here is replaced by the next one, a version in the
-// connection's buffer is not. Otherwise frequent changes on slow links would be
-// buffered once for each entry and version. At most one document for each entry
-// is buffered.
+// Nothing is pushed to an entry whose connection has a larger backlog. A
+// version that was not pushed yet is replaced by the next one; a version in the
+// connection's buffer is sent in any case. Without this limit, frequent changes
+// on slow links would be buffered once for each entry and version. With it, at
+// most one document is buffered for each entry.
 constexpr size_t kMaxBacklogBytes = 64 << 10;
 
 // Bytes pushed in one loop iteration. Sending a document to each entry of a
@@ -47,7 +47,7 @@
 std::vector<std::string> ReplicaAddresses(const replication::Node& node) {
   std::vector<std::string> addresses;
   for (const auto& member : node.Members().replicas) {
-    // Hosts named by their address have no separate address.
+    // Without a separate address, the host is named by its address.
     const std::string& address =
         member->address.empty() ? member->host : member->address;
     if (ParseAddress(address)) addresses.push_back(address);
--- a/src/dotterelshift/app/entry_pushes.h
+++ b/src/dotterelshift/app/entry_pushes.h
@@ -68,7 +68,7 @@
     RoutesSentTotals sent_before;
     bool logged = true;
   };
-  // `wants_full`: the entry could not apply the delta that was sent.
+  // `wants_full` is true if the entry could not apply the delta sent to it.
   static void OnReportedVersion(PushedVersion& pushed, uint64_t version,
                                 bool wants_full, Instant now);
   // Return the approximate number of bytes sent.
--- a/src/dotterelshift/app/gateway_entry.cc
+++ b/src/dotterelshift/app/gateway_entry.cc
@@ -81,7 +81,7 @@
   gateway::RetryShare m_retries;
   LinkGuard m_link_guard;
   gateway::SendPacer m_pacer;
-  uint64_t m_paced_bytes = 0;  // not paced, as last reported to m_pacer
+  uint64_t m_paced_bytes = 0;  // other bytes sent, as last reported to m_pacer
   quarantine::Blocklist m_blocklist;
   std::unique_ptr<gateway::Core> m_core;
   std::unique_ptr<telemetry::Metrics> m_metrics;
--- a/src/dotterelshift/app/gateway_traffic.h
+++ b/src/dotterelshift/app/gateway_traffic.h
@@ -105,7 +105,8 @@
   static http::Headers ResponseHeaders(const http::Headers& headers,
                                        bool keeps);
   bool MayKeep() const;
-  // Called when the response of a request has ended or its caller has left.
+  // Called when the response of a request has ended or its caller has
+  // disconnected.
   void Forget(RequestId request);
   std::shared_ptr<http::Exchange> Take(RequestId request);
   void ArmTimer();
--- a/src/dotterelshift/app/gateway_traffic_test.cc
+++ b/src/dotterelshift/app/gateway_traffic_test.cc
@@ -1,6 +1,6 @@
-// A caller leaves at each stage of its request. Bytes that were not handed over
-// by then must not reach the endpoint, whose connection is reset at once, even
-// while this host still holds bytes for it.
+// A caller disconnects at each stage of its request. Bytes that were not handed
+// over by then must not reach the endpoint, whose connection is reset at once,
+// even while this host still holds bytes for it.
 #include "dotterelshift/app/gateway_traffic.h"
 
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
@@ -35,7 +35,8 @@
 constexpr char kAnswerToAnother[] =
     "HTTP/1.1 200 OK\r\nx-id: caller-2\r\ncontent-length: 1000000\r\n\r\n";
 
-// A caller that can leave at any time and reads as much as the test specifies.
+// A caller that can disconnect at any time and reads as much as the test
+// specifies.
 class FakeExchange : public http::Exchange {
  public:
   FakeExchange(const std::string& path, size_t body) {
--- a/src/dotterelshift/app/link_guard.cc
+++ b/src/dotterelshift/app/link_guard.cc
@@ -21,8 +21,8 @@
 // utilization.
 constexpr Duration kMinLoggedQueueWait = 100ms;
 
-// Size of the listen backlog, as the link time of the first bytes of its
-// connections: callers in the backlog have already sent these.
+// Size of the listen backlog, as the time in which the link transfers the first
+// bytes of its connections, which callers in the backlog have already sent.
 constexpr Duration kBacklog = 500ms;
 
 // Callers are asked to close their connections until this long after
--- a/src/dotterelshift/app/link_guard.h
+++ b/src/dotterelshift/app/link_guard.h
@@ -40,7 +40,7 @@
   void OnHandedOver(const http::HandOver& what, SendKind kind, Instant now);
   // Estimated wait for the outbound link of bytes that are handed over now.
   Duration OutboundWait(Instant now) const { return m_outbound_wait.Wait(now); }
-  // Control answered a heartbeat `trip` after it had been sent.
+  // Control answered a heartbeat; `trip` is the time since it was sent.
   void OnControlRoundTrip(Duration trip);
 
   // Traffic over the link since the start, except callers' requests.
--- a/src/dotterelshift/app/replica_start.h
+++ b/src/dotterelshift/app/replica_start.h
@@ -91,7 +91,7 @@
 
 // The leader repairs the membership. A replica that knows no leader sends
 // hellos to all control hosts, because it may have been replaced while it was
-// away.
+// not running or disconnected.
 template <ReplicaRuntime Runtime>
 void Replica<Runtime>::RepairMembership() {
   const Instant now = m_loop.Now();
--- a/src/dotterelshift/app/replica_start_test.cc
+++ b/src/dotterelshift/app/replica_start_test.cc
@@ -97,7 +97,7 @@
   }
 
   // Entries that reconnect send all their pending commands at once. A single
-  // batch of them would be applied in one loop iteration, however the apply
+  // batch of them would be applied in one loop iteration, even though the apply
   // time of log entries is limited.
   void LeaderStaysWhenManyEntriesReturnAtOnce() {
     constexpr uint64_t kCommands = 1000;
--- a/src/dotterelshift/app/routes_spread_test.cc
+++ b/src/dotterelshift/app/routes_spread_test.cc
@@ -92,7 +92,7 @@
   static constexpr Duration kLatency = 2ms;
   static constexpr double kLeaderBytesPerSecond = 21e6;
   static constexpr double kEntryBytesPerSecond = 1.25e6;
-  // Rate at which a small fraction of a processor packs and sends.
+  // Rate of packing and sending with a small fraction of a processor.
   static constexpr double kHandledBytesPerSecond = 16e6;
   // Fixed processing cost of a frame, as an upper bound for any frame.
   static constexpr size_t kFrameOverheadBytes = 8 << 10;
--- a/src/dotterelshift/http/client.cc
+++ b/src/dotterelshift/http/client.cc
@@ -40,8 +40,8 @@
   bool head_received = false;
   bool sent = false;  // the request may have been sent, in part or whole
   uint64_t* bytes_sent = nullptr;  // total of the client
-  bool cancelled = false;          // no more callbacks; removed once curl has
-                                   // returned
+  // No more callbacks are called; removed once curl has returned.
+  bool cancelled = false;
   curl_socket_t descriptor = CURL_SOCKET_BAD;  // used now or last
 };
 
--- a/src/dotterelshift/telemetry/team_series.cc
+++ b/src/dotterelshift/telemetry/team_series.cc
@@ -9,10 +9,11 @@
 constexpr uint64_t kRequestsPerRound = 4096;
 
 // A team without a label replaces one with a label when it is busier by this
-// factor. Otherwise two similar teams would swap in each round.
+// factor. Otherwise two similarly busy teams would swap the label in each
+// round.
 constexpr uint64_t kPromotionFactor = 2;
 
-// Number of teams without a label that are tracked per team with one.
+// Number of teams tracked without a label for each team that may have one.
 constexpr size_t kTrackedPerNamed = 4;
 
 constexpr auto kLessRecent = [](const auto& a, const auto& b) {
--- a/src/dotterelshift/telemetry/team_series.h
+++ b/src/dotterelshift/telemetry/team_series.h
@@ -26,7 +26,7 @@
     Times times;
     prometheus::Counter* tokens = nullptr;
     std::unordered_map<ErrorKind, prometheus::Counter*> requests;
-    uint64_t recent = 0;  // requests, halved after each round
+    uint64_t recent = 0;  // count of requests, halved after each round
   };
 
   Series& SeriesOf(const TeamId& team);
--- a/src/dotterelshift/telemetry/time_series.h
+++ b/src/dotterelshift/telemetry/time_series.h
@@ -49,7 +49,7 @@
  public:
   explicit TimeFamilies(prometheus::Registry& registry);
   Times Add(const prometheus::Labels& labels);
-  // Adds the counts of the series `times` to `heir` and removes the series.
+  // Adds the counts of the series `times` to `target` and removes `times`.
   void MergeAndRemove(const Times& times, const Times& target);
 
  private:
