--- a/src/dotterelshift/app/control_link.cc
+++ b/src/dotterelshift/app/control_link.cc
@@ -206,7 +206,8 @@
   m_unsent_spools.push_back(sequence);
 }
 
-// Without a leader no command is marked: the next leader is sent all of them.
+// Without a leader, no unanswered command is queued for resending, because all
+// of them are sent to the next leader.
 void ControlLink::MarkOverdue(Instant now) {
   if (!m_leader.empty()) MarkOverdueIn(m_unanswered, &m_unsent, now);
   MarkOverdueIn(m_unstored_spools, &m_unsent_spools, now);
@@ -219,7 +220,7 @@
     const bool overdue =
         waiting.sent != Instant{} && now - waiting.sent >= waiting.timeout;
     if (!overdue) continue;
-    // Not marked again until it has been sent.
+    // Prevents that it is queued again before it has been sent.
     waiting.sent = {};
     waiting.timeout =
         std::min(waiting.timeout * 2, m_options.max_resend_timeout);
--- a/src/dotterelshift/app/gateway_entry.cc
+++ b/src/dotterelshift/app/gateway_entry.cc
@@ -463,8 +463,8 @@
 
 // Ends open requests before the holdings are returned, so that their spend is
 // part of the final reports. If `drained`, no request is open; otherwise the
-// log line counts what the shutdown waited for, and a line for each open
-// request follows.
+// log line contains the numbers of open requests, responses and exchanges, and
+// a line for each open request follows.
 void GatewayEntry::EndOpenRequests(bool drained) {
   m_returning_since = m_loop.Now();
   const Duration stopping = *m_returning_since - m_drain->begun;
--- a/src/dotterelshift/app/gateway_traffic.cc
+++ b/src/dotterelshift/app/gateway_traffic.cc
@@ -267,8 +267,8 @@
   const auto exchange = Take(refuse.request);
   if (exchange == nullptr) return;
   const ErrorRow& row = RowOf(refuse.kind);
-  // A quarantined content may be harmless; what its caller needs to know is
-  // that it has not run.
+  // A quarantined content may be harmless, so the status only says that the
+  // request has not run.
   const bool held_back = refuse.kind == ErrorKind::kQuarantined;
   const int status = held_back ? kUnavailable : row.status;
   http::Headers headers = {{"Content-Type", "application/json"},
--- a/src/dotterelshift/http/server.cc
+++ b/src/dotterelshift/http/server.cc
@@ -215,8 +215,8 @@
     const auto& on_accepted = m_options.connections.on_accepted;
     if (on_accepted) on_accepted();
     StartReceiving(*connection);
-    // Watch only for the caller closing its side, edge-triggered. The library
-    // watches for data.
+    // Watch only for the end of the caller's sending side, edge-triggered. The
+    // library watches for data.
     epoll_event event{};
     event.events = EPOLLRDHUP | EPOLLET;
     event.data.ptr = connection;
@@ -233,8 +233,8 @@
     delete connection;
   }
 
-  // Handles callers that have closed their side: an exchange in flight ends at
-  // once, even if the library is not reading its connection.
+  // Handles callers that have closed their sending side: an exchange in flight
+  // ends at once, even if the library is not reading its connection.
   void HandleClosedCallers() {
     std::array<epoll_event, 64> events;
     const int count =
