--- a/src/dotterelshift/app/entry_pushes.h
+++ b/src/dotterelshift/app/entry_pushes.h
@@ -68,14 +68,15 @@
     RoutesSentTotals sent_before;
     bool logged = true;
   };
-  // `wants_full`: the entry could not apply the delta that was sent.
+  // `wants_full` is true if the entry could not apply the delta sent to it.
   static void OnReportedVersion(PushedVersion& pushed, uint64_t version,
                                 bool wants_full, Instant now);
   // Return the approximate number of bytes sent.
   size_t Push(Entry& entry, Instant now);
   size_t PushConfiguration(Entry& entry, Instant now);
   size_t PushRoutes(Entry& entry, Instant now);
-  // The full document as a step; packed once for all entries that need it.
+  // The full document in a RoutesStep; packed once for all entries that need
+  // it.
   const wire::RoutesStepT& FullRoutes(const state::PublishedRoutes& published);
   void TrackRollout(Instant now);
   void LogRollout(Instant now);
--- a/src/dotterelshift/app/gateway_entry.cc
+++ b/src/dotterelshift/app/gateway_entry.cc
@@ -81,7 +81,7 @@
   gateway::RetryShare m_retries;
   LinkGuard m_link_guard;
   gateway::SendPacer m_pacer;
-  uint64_t m_paced_bytes = 0;  // not paced, as last reported to m_pacer
+  uint64_t m_paced_bytes = 0;  // other bytes sent, as last reported to m_pacer
   quarantine::Blocklist m_blocklist;
   std::unique_ptr<gateway::Core> m_core;
   std::unique_ptr<telemetry::Metrics> m_metrics;
@@ -420,7 +420,7 @@
 }
 
 // Applies only what may change while running: the addresses through which the
-// group is found.
+// group can be reached.
 void GatewayEntry::Reload(const settings::Settings& settings) {
   for (const std::string& seed : settings.seeds)
     m_hub->Dial(PeerAddressOf(seed, settings.peer_port));
@@ -444,9 +444,9 @@
     if (drained || now >= m_drain->response_deadline) EndOpenRequests(drained);
     return;
   }
-  // Holdings that control has not taken back by the exit are lost with this
-  // incarnation, and a caller that has not received its refusal does not know
-  // that it may retry.
+  // Holdings whose return control has not accepted by the exit are lost with
+  // this incarnation, and a caller that has not received its refusal does not
+  // know that it may retry.
   const bool returned = m_link.Idle();
   const Duration reporting = m_drain->exit - m_drain->response_deadline;
   const Instant last = std::min(m_drain->exit, *m_returning_since + reporting);
@@ -463,8 +463,8 @@
 
 // Ends open requests before the holdings are returned, so that their spend is
 // part of the final reports. If `drained`, no request is open; otherwise the
-// log line counts what the shutdown waited for, and a line for each open
-// request follows.
+// log line contains the numbers of open requests, responses and exchanges, and
+// a line for each open request follows.
 void GatewayEntry::EndOpenRequests(bool drained) {
   m_returning_since = m_loop.Now();
   const Duration stopping = *m_returning_since - m_drain->begun;
--- a/src/dotterelshift/http/client.cc
+++ b/src/dotterelshift/http/client.cc
@@ -40,8 +40,8 @@
   bool head_received = false;
   bool sent = false;  // the request may have been sent, in part or whole
   uint64_t* bytes_sent = nullptr;  // total of the client
-  bool cancelled = false;          // no more callbacks; removed once curl has
-                                   // returned
+  // No more callbacks are called; removed once curl has returned.
+  bool cancelled = false;
   curl_socket_t descriptor = CURL_SOCKET_BAD;  // used now or last
 };
 
@@ -259,7 +259,7 @@
   // Makes the close of a cancelled transfer's connection a reset. After an
   // orderly close, the system would still send the buffered bytes of the
   // request (many when the link is full), and the server would run it for a
-  // caller that has left.
+  // caller that has disconnected.
   static void DropUnsent(curl_socket_t descriptor) {
     const linger at_once{.l_onoff = 1, .l_linger = 0};
     setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
