--- a/include/dotterelshift/admission/fair_queue.h
+++ b/include/dotterelshift/admission/fair_queue.h
@@ -52,12 +52,12 @@
 
 // Adaptive limit on the requests that this entry has in flight at one endpoint.
 // It grows while latency stays near its best and shrinks when latency rises or
-// the endpoint refuses. A plain value, one per endpoint.
+// the endpoint refuses. There is one object per endpoint.
 //
 // It starts small, so that the best latency is measured before queueing can
 // inflate it, and grows fast until latency first rises. If latency is still far
 // from the best after the limit has shrunk to its start value, the engine has
-// become slower for good, and the best latency is measured anew.
+// become permanently slower, and the best latency is measured again.
 class ConcurrencyLimit {
  public:
   static constexpr int kUnknownInFlight = -1;
--- a/include/dotterelshift/budget/ledger.h
+++ b/include/dotterelshift/budget/ledger.h
@@ -54,9 +54,8 @@
   // it by Settle() and a wire::Settle with the same attempt.
   kReserved,
   // Reserved from the pre-authorized amount. Dispatch at once, without an
-  // opening; end it by SettlePreauthorized() and a wire::Settle with witnessed
-  // =
-  // false.
+  // opening; end it by SettlePreauthorized() and a wire::Settle whose
+  // `witnessed` is false.
   kReservedPreauthorized,
   // More tokens were requested. Try again after OnGrant() or Settle().
   kWait,
@@ -77,9 +76,9 @@
 };
 
 // The tokens that one entry holds of each budget, and how many of them are
-// reserved. Reserved never exceeds held. A holding may include a pre-authorized
-// amount: no more than this is ever spent without a committed opening, and
-// control counts it as spent when this incarnation dies.
+// reserved; never more than are held. A holding may include a pre-authorized
+// amount, which limits what is spent without a committed opening. Control
+// counts it as spent when this incarnation dies.
 class Ledger {
  public:
   virtual ~Ledger() = default;
--- a/include/dotterelshift/budget/recall_core.h
+++ b/include/dotterelshift/budget/recall_core.h
@@ -46,9 +46,9 @@
   void OnHeartbeat(const HostId& entry, const wire::EntryBeatT& beat,
                    Instant now);
 
-  // Whether to evaluate a shortage now: always when a request waits for tokens.
-  // A top-up within the repeat interval after another one is evaluated only
-  // when its requester has a larger demand.
+  // Whether to evaluate a shortage now. A shortage for which a request waits is
+  // always evaluated. A top-up within `min_repeat_interval` after another one
+  // is evaluated only if its requester has a larger demand.
   bool IsDue(const wire::RequestGrantT& grant_request, Instant now) const;
 
   // To be called when a grant was empty or below its minimum although other
--- a/include/dotterelshift/ctl/transport.h
+++ b/include/dotterelshift/ctl/transport.h
@@ -30,8 +30,8 @@
                                  const TransportRequest& request) = 0;
 };
 
-// Returns a transport over HTTP that uses libcurl. It sends the operator key
-// along when it follows a 307 redirect.
+// Returns a transport over HTTP that uses libcurl. It also sends the operator
+// key when it follows a 307 redirect.
 std::unique_ptr<Transport> MakeTransport();
 
 }  // namespace dotterelshift::ctl
--- a/include/dotterelshift/gateway/core.h
+++ b/include/dotterelshift/gateway/core.h
@@ -29,9 +29,8 @@
   // A request is sent this long before its prefill start, to cover the network
   // latency to the endpoint.
   Duration send_lead = 2ms;
-  // Part of the time to a stream's first event that is neither waiting nor
-  // prefill: the first decoding step and the network round trip. 15 to 30 ms
-  // without load.
+  // Time to a stream's first event in addition to waiting and prefill: the
+  // first decoding step and the network round trip. 15 to 30 ms without load.
   Duration first_event_overhead = 30ms;
   // How long a request may wait for tokens that were requested from control and
   // from the other entries: a few round trips and a commit.
@@ -60,7 +59,8 @@
   // Minimum retry delay sent to a caller when no endpoint can run its request
   // in time.
   Duration min_retry_after = 500ms;
-  uint64_t seed = 1;  // of the split by weight and the jitter of retry delays
+  // Random seed of the split by weight and of the jitter of retry delays.
+  uint64_t seed = 1;
 };
 
 // ---- Actions that the core requests
@@ -124,21 +124,22 @@
                             Refuse, RelayResponse, RelayHead, RelayChunk,
                             FinishStream, AbortStream, Decision>;
 
-// A report to control: an endpoint broke off while it ran a content, or a
-// content that was suspected got a complete response. Control counts the
-// reports of all entries.
+// A report to control that an endpoint failed while it ran a request with this
+// content, or that a suspected content got a complete response. Control counts
+// the reports of all entries.
 struct SuspectReport {
   uint64_t content_hash = 0;
   EndpointId endpoint;  // empty: the content is cleared of suspicion
   uint64_t incarnation = 0;
-  bool alone = false;  // no other request of the fleet ran there
+  // No other request ran at the endpoint, as far as this entry knows.
+  bool alone = false;
 };
 
 // Requests that are queued for the outbound link.
 struct LinkQueue {
   size_t requests = 0;
   uint64_t bytes = 0;
-  uint64_t refused = 0;  // since the start, for too long a wait
+  uint64_t refused = 0;  // since the start, because the wait was too long
 };
 
 // Handles requests under the published routes from arrival to the last byte:
--- a/include/dotterelshift/gateway/held_grants.h
+++ b/include/dotterelshift/gateway/held_grants.h
@@ -42,8 +42,9 @@
   // for the rest of the day.
   double trickle_threshold = 0.03;
   Duration trickle_duration = 20s;
-  // Limit on the released tokens that accumulate, as time at the release rate.
-  // A request of that size may have to wait this long.
+  // Maximum number of released tokens that accumulate while none are used,
+  // expressed as time at the release rate. A request that needs all of them may
+  // have to wait this long.
   Duration trickle_burst = 10s;
   // Maximum age at which control's figure for the remainder is used for
   // rationing and for predicting grants.
@@ -57,7 +58,7 @@
   kUnlimited,  // the team's consumption is not limited
   kReserved,   // to be settled when the request has ended
   kWait,       // more tokens were requested from control and other entries
-  kKept,       // the remainder of the total is rationed; may succeed later
+  kKept,       // the remainder is rationed; a later attempt may succeed
   kExhausted,  // the remainder, or what one request may use of it, is too small
 };
 
@@ -144,8 +145,8 @@
   // Grant requests that control has not answered, by the command's sequence
   // number.
   std::unordered_map<uint64_t, TeamId> m_pending_requests;
-  // Teams whose demand is not known yet, and the time of their first request;
-  // the epoch if there was none.
+  // Teams whose demand is not known yet, and the time of their first request; a
+  // default Instant if there was none.
   std::unordered_map<TeamId, Instant> m_demand_unknown;
   size_t m_entries = 1;
   bool m_connected = false;
--- a/include/dotterelshift/gateway/link_busy_time.h
+++ b/include/dotterelshift/gateway/link_busy_time.h
@@ -21,8 +21,8 @@
 // Measures how long one direction of a link has been fully used without a gap.
 //
 // Load pattern: the length of the queue in front of a full link cannot be
-// observed, as no more than the link's rate ever arrives. A link that had a gap
-// had no queue at that time, so a queue is at most as old as the time since the
+// observed, as bytes never arrive faster than the link's rate. A link that had
+// a gap had no queue at that time, so a queue has existed at most since the
 // last gap.
 class LinkBusyTime {
  public:
--- a/include/dotterelshift/gateway/send_pacer.h
+++ b/include/dotterelshift/gateway/send_pacer.h
@@ -17,8 +17,8 @@
   // Limit on the bytes in the system's send queue including the prompt to be
   // sent, as transmission time on the link.
   Duration max_queued = 60ms;
-  // A prompt that exceeds the limit by itself is sent once no more than this is
-  // queued before it.
+  // A prompt of any size may be sent once no more than this is queued before
+  // it, even if the limit is then exceeded.
   Duration min_queued = 20ms;
 };
 
@@ -31,8 +31,8 @@
 // who have left are sent first and delay all responses, closes and frames to
 // control for seconds. Prompts queued in the entry can be dropped at no cost.
 //
-// Models the system's queue as the bytes written less what the link has carried
-// since. Responses and frames are counted but never delayed.
+// Estimates the system's queue as the bytes written minus the bytes that the
+// link has carried since. Responses and frames are counted but never delayed.
 class SendPacer {
  public:
   explicit SendPacer(const SendPacerOptions& options) : m_options(options) {}
@@ -40,8 +40,8 @@
   // Whether the link's capacity is known; otherwise nothing is delayed.
   bool IsBounded() const { return m_options.bytes_per_second > 0; }
 
-  // Whether a prompt of this size may be sent, and the earliest time at which
-  // it may be if nothing else is written before.
+  // Whether a prompt of this size may be sent now, and the earliest time at
+  // which it may be sent if nothing else is written before then.
   bool MaySend(uint64_t bytes, Instant now) const;
   Instant Next(uint64_t bytes) const;
   // Time until a prompt may be sent if `bytes_before` are sent before it.
@@ -49,7 +49,7 @@
 
   // The prompt of an attempt is released for sending.
   void OnPrompt(AttemptId attempt, uint64_t bytes, Instant now);
-  // None of an attempt's prompt was written to a connection.
+  // The attempt ended before any byte of its prompt was written.
   void OnNotSent(AttemptId attempt, Instant now);
   // Anything other than a prompt was written.
   void OnBytes(uint64_t bytes, Instant now);
--- a/include/dotterelshift/operators/api.h
+++ b/include/dotterelshift/operators/api.h
@@ -22,7 +22,7 @@
  public:
   virtual ~Backend() = default;
   // Commits a command. Calls back with kNone and the answer, or with the error
-  // that kept it from being accepted.
+  // because of which it was not accepted.
   virtual void Propose(
       wire::CommandT command,
       std::function<void(ErrorKind, wire::CommandAnswerT)> callback) = 0;
--- a/include/dotterelshift/routing/policy.h
+++ b/include/dotterelshift/routing/policy.h
@@ -55,8 +55,8 @@
     return std::find(exclude.begin(), exclude.end(), state.id) == exclude.end();
   }
 
-  // Returns a random endpoint that may be chosen. After a few rejected draws it
-  // takes the next admissible one in order. Null if there is none.
+  // Returns a random endpoint that may be chosen. After a few rejected draws,
+  // returns the next admissible endpoint in order; null if there is none.
   EndpointState* Sample(Random* random) const;
 
   // The fraction of the prompt that the endpoint is believed to have cached.
--- a/include/dotterelshift/routing/prefix_index.h
+++ b/include/dotterelshift/routing/prefix_index.h
@@ -28,7 +28,7 @@
 // that this entry sent. The result is a hint and may be wrong. A gap in an
 // endpoint's events increments its epoch, which invalidates all that was
 // recorded before. Memory is bounded by two generations of entries: when the
-// young one is full, the old one is dropped.
+// young generation is full, the old one is dropped.
 class PrefixIndex {
  public:
   explicit PrefixIndex(size_t max_entries = 1 << 17)
--- a/src/dotterelshift/gateway/core_link.cc
+++ b/src/dotterelshift/gateway/core_link.cc
@@ -18,7 +18,8 @@
 
 }  // namespace
 
-// No request is sent ahead of a more urgent one in the queue.
+// Whether the request may be sent now: the pacer admits it, and no more urgent
+// request is queued.
 bool CoreImpl::CanSendNow(const ActiveRequest& active, Instant now) const {
   if (m_dependencies.pacer == nullptr) return true;
   const bool first =
--- a/src/dotterelshift/gateway/held_grants.cc
+++ b/src/dotterelshift/gateway/held_grants.cc
@@ -99,9 +99,9 @@
   return BudgetDecision::kWait;
 }
 
-// Result of a reservation while only the last fraction of a total is left; none
-// if the request may have its tokens. A request larger than the bucket can
-// never be served, so its caller is not told to retry.
+// Result of a reservation while only the last fraction of a total is left;
+// nullopt if the request may reserve its tokens. A request larger than the
+// bucket can never be served, so its caller is not told to retry.
 std::optional<BudgetDecision> HeldGrants::ThrottleDecision(
     const TeamId& team, budget::BudgetHandle handle, Tokens worst_case,
     Instant now) {
--- a/src/dotterelshift/state/apply_request_grant.cc
+++ b/src/dotterelshift/state/apply_request_grant.cc
@@ -39,15 +39,15 @@
 
 // Percentage of the remainder of a published total that all entries together
 // may hold. What they hold is lost if they all die at once. With half of the
-// remainder they can serve through a cut of ten seconds from control, until the
-// last fifth of a day.
+// remainder they can serve through a disconnection of ten seconds from control,
+// until the last fifth of a day.
 constexpr Tokens kMaxHeldPercent = 45;
 
 // The reserve of a published total, in thousandths. Entries do not hold it:
 // control grants it to small requests one at a time, so that some of these are
 // still served after all entries died at once with the tokens that they held.
-// It is smaller than the last fraction of a total, which entries spread over
-// time.
+// It is smaller than the last fraction of a total, which entries release
+// gradually.
 constexpr Tokens kControlReservePerMille = 8;
 
 // A request is small if its minimum is at most 1 / kReserveDivisor of the
