--- a/include/dotterelshift/gateway/event_scanner.h
+++ b/include/dotterelshift/gateway/event_scanner.h
@@ -16,7 +16,7 @@
   std::string Take(std::string_view bytes);
 
   // The stream resumes at another endpoint: drops the partial event. Events
-  // that were passed on before are skipped when they come again.
+  // that were passed on before are skipped when they are received again.
   void Reset() { m_partial_event.clear(); }
 
   // The bytes of the last, still incomplete event.
--- a/include/dotterelshift/gateway/fleet_load.h
+++ b/include/dotterelshift/gateway/fleet_load.h
@@ -112,17 +112,17 @@
   void OnUnreachable(EndpointKey endpoint, Instant now);
   void OnOverloaded(EndpointKey endpoint, Instant now);
 
-  // Load updates for the other entries since the last call. Beyond the
-  // given number the oldest prompt segments are dropped, but no sums: a missing
-  // segment only makes other entries choose worse, while a missing sum would
-  // leave their counts wrong.
+  // Load updates for the other entries since the last call. If there are more
+  // than the given number, the oldest prompt segments are dropped, but no sums:
+  // without a segment other entries only choose endpoints less well, while
+  // without a sum their counts would stay wrong.
   std::vector<wire::LoadNote> TakeLoadUpdates(size_t most = kAllUpdates);
   bool HasLoadUpdates() const {
     return !m_changes.empty() || !m_segment_updates.empty();
   }
   void OnLoadUpdates(const HostId& from, const wire::LoadNotesT& notes,
                      Instant now);
-  // An entry is gone; its requests are removed from the load.
+  // An entry has left; its requests are removed from the load.
   void OnEntryGone(const HostId& entry);
 
   // Whether the endpoint announced that it leaves, or this incarnation is gone.
@@ -172,7 +172,7 @@
   };
   std::map<EndpointKey, Change> m_changes;
   std::vector<wire::LoadNote> m_segment_updates;
-  // Requests of other entries, subtracted from the load when an entry goes.
+  // Requests of other entries, subtracted from the load when an entry leaves.
   std::map<HostId, std::unordered_map<EndpointKey, int>> m_requests_by_entry;
 };
 
--- a/include/dotterelshift/gateway/link_load_shedder.h
+++ b/include/dotterelshift/gateway/link_load_shedder.h
@@ -19,7 +19,7 @@
   double clear_fraction = 0.45;
   Duration min_shed_time = 3s;
   // Shedding ends after this time at any load, so that a caller that overloads
-  // any entry it reaches does not take all entries out of rotation.
+  // each entry it is assigned to does not take all entries out of rotation.
   Duration max_shed_time = 6s;
   // Once back in rotation, an entry is not taken out again by rejected
   // connections before this time has passed.
@@ -41,8 +41,8 @@
 
   // Bytes carried by the link, in its busier direction.
   void OnBytes(size_t bytes, Instant now);
-  // A connection was rejected. Starts shedding, unless this entry has only just
-  // come back into rotation.
+  // A connection was rejected. Starts shedding, unless this entry has returned
+  // to rotation less than `min_stay_time` ago.
   void OnRejected(Instant now);
   // Whether new connections should go to other entries.
   bool IsShedding(Instant now);
--- a/include/dotterelshift/gateway/load_note_pacer.h
+++ b/include/dotterelshift/gateway/load_note_pacer.h
@@ -11,7 +11,8 @@
   double bytes_per_second = 0;  // capacity of the host's link; 0: not known
   // Fraction of the link that load updates may use.
   double part = 0.15;
-  // Maximum delay of an update: other entries place requests by them.
+  // Maximum delay of an update. Other entries choose endpoints by the load that
+  // updates report.
   Duration max_send_gap = 100ms;
   // Size of a batch to one entry: its frame and packet, and each update.
   size_t frame_bytes = 120;
--- a/include/dotterelshift/gateway/request.h
+++ b/include/dotterelshift/gateway/request.h
@@ -38,7 +38,7 @@
   // When the request's head was received. The epoch: unknown; the time at which
   // the request is handed to the core counts instead.
   Instant begun{};
-  bool reused_connection = false;  // came on a connection that was used before
+  bool reused_connection = false;  // not the first request on its connection
   std::string last_event_id;       // of a stream that the caller resumes
   Prompt prompt;
   uint64_t content_hash = 0;  // of path, key and body
--- a/include/dotterelshift/routing/outliers.h
+++ b/include/dotterelshift/routing/outliers.h
@@ -27,10 +27,10 @@
 void RecordAttemptEnd(EndpointState* state, bool failed,
                       const OutlierOptions& options, Instant now);
 
-// Ejects for a time the slow ones among the endpoints that serve the same
-// target, never more of them than OutlierOptions::max_ejected_fraction, so that
-// the others can carry the load. After an ejection an endpoint starts without
-// measurements.
+// Temporarily ejects the slow endpoints among those that serve the same target.
+// At most OutlierOptions::max_ejected_fraction of them may be ejected or
+// unusable after an ejection, so that the others can carry the load. After its
+// ejection an endpoint starts without measurements.
 void EjectSlow(const std::vector<EndpointState*>& peers,
                const OutlierOptions& options, Instant now);
 
--- a/include/dotterelshift/serving/request_core.h
+++ b/include/dotterelshift/serving/request_core.h
@@ -69,7 +69,7 @@
 };
 enum class ChunkVerdict {
   kForward,
-  kDrop,  // the attempt was abandoned, or the caller is gone
+  kDrop,  // the attempt was abandoned, or the caller has left
   kCut,   // over the output limit; the core has requested a cancellation
 };
 enum class AttemptEnd {
--- a/include/dotterelshift/state/state.h
+++ b/include/dotterelshift/state/state.h
@@ -20,7 +20,7 @@
 struct BudgetAccount {
   Tokens purchased = 0;
   Tokens settled = 0;  // consumed, including wasted attempts
-  Tokens billed = 0;   // of settled: complete responses, one per request key
+  Tokens billed = 0;   // of `settled`: complete responses, one per request key
   Tokens granted = 0;  // held by entries, unspent as far as control knows
   Tokens lost = 0;     // held by dead incarnations and possibly spent
   Tokens Free() const { return purchased - settled - granted - lost; }
@@ -30,7 +30,7 @@
 struct Holding {
   HostRun holder;
   Tokens tokens = 0;    // granted, not yet settled or returned
-  Tokens opened = 0;    // of these: in committed, unsettled openings
+  Tokens opened = 0;    // of `tokens`: in committed, unsettled openings
   Tokens standing = 0;  // pre-authorized: may have been spent
                         // without a committed opening
   bool dead = false;    // replaced by a newer incarnation, or retired: its
@@ -67,8 +67,9 @@
   // Answers kept per incarnation, so that a resent command gets the same answer
   // as the first time.
   size_t max_kept_answers = 4096;
-  // A content is quarantined when this many distinct endpoints have died while
-  // running it; twice as many if other requests were in flight at each of them.
+  // Request content (known by its hash) is quarantined when this many distinct
+  // endpoints have died while running it; twice as many if other requests were
+  // in flight at each of them.
   uint32_t quarantine_after = 3;
   WallMs quarantine_duration_ms = 600'000;
   WallMs suspect_retention_ms = 3'600'000;
@@ -86,8 +87,8 @@
 };
 
 // Prefix of request keys that an entry generated; a caller's key may not start
-// with it. Nobody can send a generated key again later, so it is not remembered
-// once its request has been compacted.
+// with it. No caller can resend a generated key, so it is not remembered once
+// its request has been compacted.
 inline constexpr char kGeneratedKeyPrefix = '~';
 
 // The routes document that an operator's program published last; version 0 if
--- a/src/dotterelshift/gateway/core.cc
+++ b/src/dotterelshift/gateway/core.cc
@@ -217,7 +217,7 @@
     found->second.due = {};
     OnTimerExpired(found->second, now);
   }
-  // After the expired requests, so that none of them is sent.
+  // Done after the expired requests were handled, so that none of them is sent.
   SendWaiting(now);
 }
 
--- a/src/dotterelshift/gateway/core_impl.h
+++ b/src/dotterelshift/gateway/core_impl.h
@@ -145,7 +145,7 @@
   std::vector<Action> m_actions;
   std::vector<serving::RequestSummary> m_finished;
   std::vector<SuspectReport> m_suspect_reports;
-  std::set<uint64_t> m_suspected;  // contents reported but not cleared
+  std::set<uint64_t> m_suspected;  // content hashes reported, not cleared
 };
 
 }  // namespace dotterelshift::gateway
--- a/src/dotterelshift/gateway/core_response.cc
+++ b/src/dotterelshift/gateway/core_response.cc
@@ -217,8 +217,8 @@
   Fail(active, ErrorKind::kNoEndpoint, RetryAfter(active, 0s, now), now);
 }
 
-// A content that crashes each endpoint that runs it may be sent again through
-// any entry. Control therefore counts the affected endpoints for all entries.
+// Content that crashes every endpoint that runs it may be resent through any
+// entry. Control therefore counts the affected endpoints over all entries.
 void CoreImpl::ReportSuspectContent(const ActiveRequest& active) {
   constexpr size_t kMaxSuspected = 4096;
   if (m_suspected.size() >= kMaxSuspected) m_suspected.clear();
--- a/src/dotterelshift/gateway/fleet_load.cc
+++ b/src/dotterelshift/gateway/fleet_load.cc
@@ -92,7 +92,8 @@
   const uint32_t running = RunningAt(load);
   double cost = AsMs(placement.wait) + AsMs(placement.read);
   cost += m_options.per_running_ms * running;
-  // Beyond its slots, a request waits for another one to end.
+  // A request for which the endpoint has no free slot waits for another one to
+  // end.
   constexpr double kNoSlotMs = 200;
   if (running >= load.slots) cost += kNoSlotMs * (running - load.slots + 1);
   if (load.contact.data_centre != m_options.data_centre)
--- a/src/dotterelshift/serving/arrival.cc
+++ b/src/dotterelshift/serving/arrival.cc
@@ -203,7 +203,8 @@
     AwaitIsolation(request, now);
     return;
   }
-  // Retry endpoints that refused because of load when there is no other one.
+  // If there is no other endpoint, those that refused because of load are
+  // retried.
   if (request->last_failure == ErrorKind::kEndpointRefused &&
       !request->excluded.empty()) {
     request->excluded.clear();
--- a/src/dotterelshift/serving/serving_testing.h
+++ b/src/dotterelshift/serving/serving_testing.h
@@ -15,7 +15,8 @@
 #include "dotterelshift/state/state_testing.h"   // for TestSender
 
 // A test environment for the request core, with the real ledger, queue,
-// directory, router and state. The test plays control, endpoints and callers.
+// directory, router and state. The test takes the role of control, endpoints
+// and callers.
 namespace dotterelshift::serving {
 
 inline constexpr char kSecret[] = "secret";
--- a/src/dotterelshift/state/apply_age_out.cc
+++ b/src/dotterelshift/state/apply_age_out.cc
@@ -41,8 +41,8 @@
   orders.assign(kept.rbegin(), kept.rend());
 }
 
-// Days older than reports reach are summed up in one line, so that the totals
-// still agree with the accounts.
+// Sums the days older than StateOptions::report_retention_days into one line
+// per team, so that the totals still agree with the accounts.
 void AggregateOldDays(Tables& tables, WallMs stamp) {
   const int64_t first_kept =
       stamp / kDayMs - tables.options.report_retention_days;
--- a/src/dotterelshift/state/apply_claim.cc
+++ b/src/dotterelshift/state/apply_claim.cc
@@ -8,7 +8,8 @@
                          const wire::ClaimT& command) {
   if (claim.body_hash != command.body_hash)
     return wire::ClaimState::BodyDiffers;
-  // The attempt that holds the claim asks again; it is dispatched at most once.
+  // The attempt that holds the claim may claim again, as it is dispatched at
+  // most once.
   const bool own = claim.run == context.run && claim.attempt == command.attempt;
   switch (claim.progress) {
     case ClaimProgress::kRunning:
--- a/src/dotterelshift/state/grants.h
+++ b/src/dotterelshift/state/grants.h
@@ -9,8 +9,8 @@
 // purchased = settled + granted + lost + free and leaves no amount below zero.
 namespace dotterelshift::state {
 
-// The rules that keep spend within the budget. A test compiles one out to show
-// that it is needed.
+// The rules that keep spend within the budget. A test disables one at compile
+// time to show that it is needed.
 struct SafetyRules {
   // A dead incarnation may have spent its pre-authorized amount while it was
   // cut off, so that amount is not granted again.
--- a/src/dotterelshift/state/tables.h
+++ b/src/dotterelshift/state/tables.h
@@ -135,7 +135,7 @@
 
 struct Suspect {
   std::set<EndpointId> endpoints;  // distinct ones that died running this
-  bool alone = false;              // once it was the only request in flight
+  bool alone = false;  // was the only request in flight at least once
   WallMs last = 0;
   WallMs quarantined_until = 0;
 };
