--- a/include/dotterelshift/state/state.h
+++ b/include/dotterelshift/state/state.h
@@ -100,7 +100,7 @@
 
 // The replicated state machine. Deterministic: the same batches give the same
 // state, answers and snapshot bytes on every replica. It reads no clock: time
-// is the stamp of the latest batch and never goes back.
+// is the stamp of the latest batch and never decreases.
 class State {
  public:
   virtual ~State() = default;
--- a/src/dotterelshift/gateway/core.cc
+++ b/src/dotterelshift/gateway/core.cc
@@ -186,8 +186,8 @@
   Finish(found->second, ErrorKind::kCallerGone, false, now);
 }
 
-// Open requests get an error response, as a caller whose connection is just
-// closed can't tell whether its request ran.
+// Open requests get an error response: a caller whose connection is closed
+// without one can't tell whether its request ran.
 void CoreImpl::AbortOpenRequests(Instant now) {
   m_stopped = true;
   std::vector<RequestId> open;
--- a/src/dotterelshift/gateway/core_link_test.cc
+++ b/src/dotterelshift/gateway/core_link_test.cc
@@ -219,7 +219,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
   }
 
-  // Guard against link capacity that stays reserved for prompts that were not
+  // Guards against link capacity that stays reserved for prompts that were not
   // handed to any connection.
   void UnsentAttemptReleasesItsLinkCapacity() {
     PublishPlain(600ms);
@@ -233,8 +233,8 @@
   void WithdrawnAttemptReleasesItsLinkCapacity() {
     PublishPlain(600ms);
     const StartAttempt first = FillWithOnePrompt();
-    // The caller leaves, and then the attempt turns out not to have been handed
-    // to a connection.
+    // The caller leaves; after that the attempt is reported as not handed to a
+    // connection.
     m_core->OnCallerGone(1, m_now);
     Take();
     Run(0ms);
@@ -381,7 +381,7 @@
                                  &m_blocklist, m_pacer.get()});
   }
 
-  // Two routes with the given target, and /soon/ with a target of its own.
+  // Two routes with the given target, and /soon/ with its own target.
   void PublishPlain(Duration target, Duration soon = 600ms) {
     Routes routes;
     routes.version = 1;
--- a/src/dotterelshift/gateway/drain_test.cc
+++ b/src/dotterelshift/gateway/drain_test.cc
@@ -84,7 +84,7 @@
   }
 
   // A caller that gets an error response can react at once. One whose
-  // connection is just closed can't tell whether its request ran.
+  // connection is closed without a response can't tell whether its request ran.
   void OpenRequestsAreAnsweredAtShutdown() {
     Drain();
     Request("/stream/", 100, 1);
--- a/src/dotterelshift/state/apply_request_grant.cc
+++ b/src/dotterelshift/state/apply_request_grant.cc
@@ -9,8 +9,8 @@
 namespace {
 
 // A grant takes at most 1 / kFreeDivisor of the free tokens, unless its minimum
-// is more, so that near the end of a budget one holder does not keep the last
-// tokens from the others.
+// is more, so that near the end of a budget one holder does not get all of the
+// last tokens.
 constexpr Tokens kFreeDivisor = 4;
 
 // Takes back the unopened tokens of holders that have sent nothing for
