--- a/include/dotterelshift/budget/ledger.h
+++ b/include/dotterelshift/budget/ledger.h
@@ -76,9 +76,9 @@
 };
 
 // The tokens that one entry holds of each budget, and how many of them are
-// reserved; never more than are held. A holding may include a pre-authorized
-// amount, which limits what is spent without a committed opening. Control
-// counts it as spent when this incarnation dies.
+// reserved; never more than are held. Part of a holding may be pre-authorized:
+// it can be spent without a committed opening. When this incarnation dies,
+// control counts the pre-authorized tokens as lost: they may have been spent.
 class Ledger {
  public:
   virtual ~Ledger() = default;
@@ -111,9 +111,9 @@
                                    Instant now) = 0;
 
   // Control refused the opening of an attempt because it counts fewer tokens
-  // for this entry than the entry itself. The reservation ends with nothing
-  // spent, and all unreserved tokens are returned, which brings both counts
-  // into agreement.
+  // for this entry than the entry itself does. The reservation ends with
+  // nothing spent, and all unreserved tokens are returned, which brings both
+  // counts into agreement.
   virtual void OnOpeningRefused(BudgetHandle budget, Tokens reserved,
                                 Instant now) = 0;
 
@@ -124,8 +124,8 @@
   virtual void OnRecall(const BudgetId& budget, Tokens tokens, Instant now) = 0;
 
   // Gives pre-authorized tokens to another entry and returns how many; they are
-  // deducted from the holding. Gives at most the other entry's share by demand,
-  // or the minimum that its waiting request needs if that is more.
+  // deducted from the holding. Gives at most the larger of two amounts: the
+  // other entry's share by demand, and the minimum for its waiting request.
   virtual Tokens Lend(BudgetHandle budget, Tokens wanted, Tokens minimum,
                       Tokens demand_of_other, Instant now) = 0;
   // Adds tokens that another entry has lent.
--- a/include/dotterelshift/gateway/core.h
+++ b/include/dotterelshift/gateway/core.h
@@ -44,9 +44,9 @@
   // Interval at which a waiting request asks for the tokens again, each time
   // from other entries.
   Duration budget_retry_interval = 20ms;
-  // A request that has to wait for its prefill and whose first event would miss
-  // the target is still accepted if the event is expected within this fraction
-  // of the caller's timeout.
+  // A request that has to wait for its prefill is still accepted if its first
+  // event is expected later than the route's target time, but within this
+  // fraction of the request's timeout.
   double max_wait_fraction = 0.35;
   // Timeout of a caller that gives none.
   Duration default_caller_timeout = 60s;
--- a/include/dotterelshift/gateway/held_grants.h
+++ b/include/dotterelshift/gateway/held_grants.h
@@ -59,14 +59,14 @@
   kReserved,   // to be settled when the request has ended
   kWait,       // more tokens were requested from control and other entries
   kKept,       // the remainder is rationed; a later attempt may succeed
-  kExhausted,  // the remainder, or what one request may use of it, is too small
+  kExhausted,  // needs more than the remainder or than `trickle_burst` allows
 };
 
 // Reserves tokens for requests of teams with a published total, out of the
 // grants that control gave this entry, and reports what the requests consumed.
-// No request waits for a commit: grants are spent without a committed opening.
-// If this process dies, all tokens of its grants count as lost except those
-// that were reported as spent.
+// No request waits for a commit: grants are spent without an opening (the log
+// record that an attempt is about to be sent). If this process dies, all tokens
+// of its grants count as lost except those that were reported as spent.
 class HeldGrants {
  public:
   using NextId = std::function<std::unique_ptr<wire::CommandIdT>()>;
--- a/include/dotterelshift/replication/node.h
+++ b/include/dotterelshift/replication/node.h
@@ -48,10 +48,10 @@
   std::vector<wire::LogEntryT> entries;  // after the snapshot
 };
 
-// The work that an event has produced for the driver, to be done in this order:
-// write the hard state, the truncation and the entries, sync, then call
-// OnSynced(). Messages that promise durability are withheld inside the node
-// until then.
+// The work that an event has produced for the driver. `messages` can be sent at
+// once: until OnSynced(), the node withholds those that promise durability. The
+// writes (hard state, truncation, entries, `install`) must be synced before
+// that call. `committed` can be applied at once, but after any `install`.
 struct Ready {
   std::optional<HardState> hard_state;
   std::optional<uint64_t> truncate_from;  // drop this entry and all later ones
@@ -69,8 +69,8 @@
   }
 };
 
-// Maximum payload bytes of committed entries in one Ready. The last entry may
-// exceed it.
+// Once the committed entries of one Ready reach this many payload bytes, no
+// more are added; the total may thus exceed it, by less than the last entry.
 inline constexpr size_t kMaxCommittedBytes = 256 << 10;
 
 enum class NodeRole { kFollower, kPreCandidate, kCandidate, kLeader };
--- a/include/dotterelshift/serving/core.h
+++ b/include/dotterelshift/serving/core.h
@@ -69,8 +69,8 @@
   ErrorKind Authorize(Request* request);
   ErrorKind CheckAccess(const Request& request) const;
   void Enqueue(Request* request, Instant now);
-  // Queues the request (again) before this event ends, because the queue must
-  // not be modified while it offers requests.
+  // Queues the request, for the first time or again, in FinishEvent() of the
+  // current event: the queue must not be modified while it offers requests.
   void EnqueueDeferred(Request* request);
   // Tries to start a queued request. Returns false when it must stay queued.
   bool TryStart(RequestId id, Instant now);
--- a/src/dotterelshift/app/link_guard.h
+++ b/src/dotterelshift/app/link_guard.h
@@ -14,7 +14,7 @@
 
 namespace dotterelshift::app {
 
-// Earlier attempts of a request that is now handed to a connection.
+// How an attempt that is handed to a connection relates to earlier attempts.
 enum class SendKind {
   kFirst,    // this is its first attempt
   kDelayed,  // earlier attempts never got a connection
@@ -38,7 +38,7 @@
 
   // A request was handed to a connection to an endpoint.
   void OnHandedOver(const http::HandOver& what, SendKind kind, Instant now);
-  // Estimated wait for the outbound link of bytes that are handed over now.
+  // Estimated wait for the outbound link, for bytes that are handed over now.
   Duration OutboundWait(Instant now) const { return m_outbound_wait.Wait(now); }
   // Control answered a heartbeat; `trip` is the time since it was sent.
   void OnControlRoundTrip(Duration trip);
@@ -105,9 +105,9 @@
   gateway::LinkAdmission m_admission;
   gateway::LinkLoadShedder m_shedder;
   gateway::LinkWait m_outbound_wait;
-  uint64_t m_handed_over = 0;     // since the last Adjust(), in m_outbound_wait
+  uint64_t m_handed_over = 0;     // bytes handed over since the last Adjust()
   Traffic m_counted;              // at the last Adjust()
-  uint64_t m_received_bytes = 0;  // of callers' requests, until then
+  uint64_t m_received_bytes = 0;  // from callers, up to the last Adjust()
   Summary m_summary;
   std::map<wire::FrameBody, uint64_t> m_frame_bytes;  // at the last summary
   gateway::AdmissionDecision m_admission_state =
