--- a/src/dotterelshift/ctl/output.cc
+++ b/src/dotterelshift/ctl/output.cc
@@ -64,7 +64,7 @@
 
 // Returns a member of a response object; null if it is missing, as in the
 // responses of daemons of another version.
-const Json& MemberOrNull(const Json& object, const std::string& name) {
+const Json& At(const Json& object, const std::string& name) {
   static const Json nothing;
   const auto member = object.find(name);
   return member == object.end() ? nothing : *member;
@@ -89,21 +89,20 @@
 }
 
 void WritePlan(const Json& plan, std::ostream& out) {
-  out << "plan " << CellOf(MemberOrNull(plan, "plan")) << " on version "
-      << CellOf(MemberOrNull(plan, "base_version")) << "\n";
-  if (MemberOrNull(plan, "changes").empty()) out << "nothing to change\n";
-  out << (MemberOrNull(plan, "changes").empty() ? "" : "changes:\n");
-  for (const Json& change : MemberOrNull(plan, "changes"))
-    out << "  " << CellOf(MemberOrNull(change, "kind")) << " "
-        << CellOf(MemberOrNull(change, "subject")) << "\n";
-  WriteLines("effects", MemberOrNull(plan, "effects"), out);
-  WriteLines("warnings", MemberOrNull(plan, "warnings"), out);
+  out << "plan " << CellOf(At(plan, "plan")) << " on version "
+      << CellOf(At(plan, "base_version")) << "\n";
+  if (At(plan, "changes").empty()) out << "nothing to change\n";
+  out << (At(plan, "changes").empty() ? "" : "changes:\n");
+  for (const Json& change : At(plan, "changes"))
+    out << "  " << CellOf(At(change, "kind")) << " "
+        << CellOf(At(change, "subject")) << "\n";
+  WriteLines("effects", At(plan, "effects"), out);
+  WriteLines("warnings", At(plan, "warnings"), out);
 }
 
 void WriteConfirmation(const Json& answer, std::ostream& out) {
-  out << "plan " << CellOf(MemberOrNull(answer, "plan"))
-      << " is in force as version " << CellOf(MemberOrNull(answer, "version"))
-      << "\n";
+  out << "plan " << CellOf(At(answer, "plan")) << " is in force as version "
+      << CellOf(At(answer, "version")) << "\n";
 }
 
 // Writes the budgets as one table and all their holders as a second one.
@@ -111,8 +110,8 @@
   Json list = Json::array();
   Json holders = Json::array();
   for (Json budget : budgets) {
-    for (const Json& holder : MemberOrNull(budget, "holders")) {
-      Json row = {{"budget", MemberOrNull(budget, "budget")}};
+    for (const Json& holder : At(budget, "holders")) {
+      Json row = {{"budget", At(budget, "budget")}};
       row.update(holder);
       holders.push_back(std::move(row));
     }
@@ -131,7 +130,7 @@
 
 uint64_t SumRefusals(const Json& day, const char* which) {
   uint64_t sum = 0;
-  for (const auto& [kind, counts] : MemberOrNull(day, "refusals").items())
+  for (const auto& [kind, counts] : At(day, "refusals").items())
     sum += counts[which].get<uint64_t>();
   return sum;
 }
@@ -144,17 +143,16 @@
 }
 
 void WriteHistograms(const Json& report, std::ostream& out) {
-  const Json& bounds = MemberOrNull(report, "time_buckets_ms");
+  const Json& bounds = At(report, "time_buckets_ms");
   std::vector<Row> rows = {{"team", "day", "time", "class"}};
   for (size_t i = 0; i <= bounds.size(); ++i)
     rows[0].push_back(BucketName(bounds, i));
-  for (const Json& day : MemberOrNull(report, "days")) {
+  for (const Json& day : At(report, "days")) {
     for (const char* name : kHistograms) {
-      for (const auto& [request_class, counts] :
-           MemberOrNull(day, name).items()) {
-        Row& row = rows.emplace_back(Row{CellOf(MemberOrNull(day, "team")),
-                                         CellOf(MemberOrNull(day, "day")), name,
-                                         request_class});
+      for (const auto& [request_class, counts] : At(day, name).items()) {
+        Row& row =
+            rows.emplace_back(Row{CellOf(At(day, "team")),
+                                  CellOf(At(day, "day")), name, request_class});
         for (const Json& count : counts) row.push_back(CellOf(count));
         row.resize(rows[0].size(), "0");
       }
@@ -168,12 +166,11 @@
 void WriteRefusals(const Json& report, std::ostream& out) {
   std::vector<Row> rows = {
       {"team", "day", "refused", "with_budget_left", "without_budget_left"}};
-  for (const Json& day : MemberOrNull(report, "days")) {
-    for (const auto& [kind, counts] : MemberOrNull(day, "refusals").items()) {
-      rows.push_back({CellOf(MemberOrNull(day, "team")),
-                      CellOf(MemberOrNull(day, "day")), kind,
-                      CellOf(MemberOrNull(counts, "with_budget_left")),
-                      CellOf(MemberOrNull(counts, "without_budget_left"))});
+  for (const Json& day : At(report, "days")) {
+    for (const auto& [kind, counts] : At(day, "refusals").items()) {
+      rows.push_back({CellOf(At(day, "team")), CellOf(At(day, "day")), kind,
+                      CellOf(At(counts, "with_budget_left")),
+                      CellOf(At(counts, "without_budget_left"))});
     }
   }
   if (rows.size() == 1) return;
@@ -182,14 +179,12 @@
 }
 
 void WriteReport(const Json& report, std::ostream& out) {
-  out << "report from " << CellOf(MemberOrNull(report, "from")) << " to "
-      << CellOf(MemberOrNull(report, "to")) << "\n\n";
+  out << "report from " << CellOf(At(report, "from")) << " to "
+      << CellOf(At(report, "to")) << "\n\n";
   Json days = Json::array();
-  for (const Json& day : MemberOrNull(report, "days")) {
-    Json row = {{"team", MemberOrNull(day, "team")},
-                {"day", MemberOrNull(day, "day")}};
-    for (const char* measure : kDayMeasures)
-      row[measure] = MemberOrNull(day, measure);
+  for (const Json& day : At(report, "days")) {
+    Json row = {{"team", At(day, "team")}, {"day", At(day, "day")}};
+    for (const char* measure : kDayMeasures) row[measure] = At(day, measure);
     row["refused_with_budget_left"] = SumRefusals(day, "with_budget_left");
     row["refused_without"] = SumRefusals(day, "without_budget_left");
     days.push_back(std::move(row));
@@ -198,10 +193,10 @@
   WriteRefusals(report, out);
   WriteHistograms(report, out);
   out << "\nbudgets, since they were made\n";
-  WriteBudgets(MemberOrNull(report, "budgets"), out);
+  WriteBudgets(At(report, "budgets"), out);
   out << "\n";
-  WriteLines("DISAGREEMENTS", MemberOrNull(report, "disagreements"), out);
-  if (MemberOrNull(report, "disagreements").empty()) out << "totals agree\n";
+  WriteLines("DISAGREEMENTS", At(report, "disagreements"), out);
+  if (At(report, "disagreements").empty()) out << "totals agree\n";
 }
 
 // Writes one CSV line. Values are not quoted: the parser of intents accepts
@@ -216,18 +211,17 @@
 
 void WriteDayCsv(const Json& day, const Json& bounds, std::ostream& out) {
   for (const char* measure : kDayMeasures)
-    WriteCsvLine(MemberOrNull(day, "team"), MemberOrNull(day, "day"), measure,
-                 "", MemberOrNull(day, measure), out);
-  for (const auto& [kind, counts] : MemberOrNull(day, "refusals").items()) {
+    WriteCsvLine(At(day, "team"), At(day, "day"), measure, "", At(day, measure),
+                 out);
+  for (const auto& [kind, counts] : At(day, "refusals").items()) {
     for (const auto& [which, count] : counts.items())
-      WriteCsvLine(MemberOrNull(day, "team"), MemberOrNull(day, "day"),
-                   "refused_" + which, kind, count, out);
+      WriteCsvLine(At(day, "team"), At(day, "day"), "refused_" + which, kind,
+                   count, out);
   }
   for (const char* name : kHistograms) {
-    for (const auto& [request_class, counts] :
-         MemberOrNull(day, name).items()) {
+    for (const auto& [request_class, counts] : At(day, name).items()) {
       for (size_t i = 0; i < counts.size(); ++i) {
-        WriteCsvLine(MemberOrNull(day, "team"), MemberOrNull(day, "day"), name,
+        WriteCsvLine(At(day, "team"), At(day, "day"), name,
                      request_class + " " + BucketName(bounds, i), counts[i],
                      out);
       }
@@ -263,14 +257,12 @@
   constexpr std::array kBudgetMeasures = {
       "bought", "spent", "billed", "wasted", "granted", "stranded", "free"};
   out << "team,day,measure,detail,value\n";
-  for (const Json& day : MemberOrNull(report, "days"))
-    WriteDayCsv(day, MemberOrNull(report, "time_buckets_ms"), out);
-  for (const Json& budget : MemberOrNull(report, "budgets")) {
+  for (const Json& day : At(report, "days"))
+    WriteDayCsv(day, At(report, "time_buckets_ms"), out);
+  for (const Json& budget : At(report, "budgets")) {
     for (const char* measure : kBudgetMeasures)
-      WriteCsvLine(MemberOrNull(budget, "team"), Json(),
-                   std::string("budget_") + measure,
-                   CellOf(MemberOrNull(budget, "budget")),
-                   MemberOrNull(budget, measure), out);
+      WriteCsvLine(At(budget, "team"), Json(), std::string("budget_") + measure,
+                   CellOf(At(budget, "budget")), At(budget, measure), out);
   }
 }
 
--- a/src/dotterelshift/plan/effects.cc
+++ b/src/dotterelshift/plan/effects.cc
@@ -202,8 +202,7 @@
     for (const auto& host : m_state.Hosts()) known = known || host.run == run;
     for (const auto& [budget, unused] : m_before.Budgets())
       for (const state::Holding& holding : m_state.HoldingsOf(budget))
-        if (holding.holder == run)
-          DescribeRetiredHolding(name, budget, holding);
+        if (holding.holder == run) DescribeRetired(name, budget, holding);
     if (!known) return;
     Warn(name +
          " is the newest run of its host. If it still runs it goes on "
@@ -211,8 +210,8 @@
          "that part is given out again before a second retirement");
   }
 
-  void DescribeRetiredHolding(const std::string& name, const BudgetId& budget,
-                              const state::Holding& holding) {
+  void DescribeRetired(const std::string& name, const BudgetId& budget,
+                       const state::Holding& holding) {
     const std::string of = " of budget " + budget;
     if (!holding.dead) {
       Effect(name + " is shut out: what it cannot have spent of " +
