--- a/bench/admission_bench.cc
+++ b/bench/admission_bench.cc
@@ -1,6 +1,6 @@
-// Admission under a flood: one team sends ten times what an engine carries,
-// nine others a little. The clock is moved by hand and the arrivals come from a
-// seed, so each run prints the same figures.
+// Measures admission under overload: one team sends ten times what an engine
+// can serve, nine other teams send little. The simulated clock and the seeded
+// arrivals make the output the same in each run.
 #include <algorithm>  // for sort
 #include <cstdio>     // for printf
 #include <map>        // for map
@@ -15,21 +15,21 @@
 namespace dotterelshift::admission {
 namespace {
 
-constexpr int kSlots = 16;          // requests the engine runs at once
+constexpr int kSlots = 16;  // requests that the engine runs concurrently
 constexpr double kPrefill = 0.030;  // seconds to the first token
-constexpr double kDecode = 0.400;   // mean seconds from there to the end
-constexpr double kFloodRate = 370;  // requests a second
-constexpr double kQuietRate = 1;    // of each quiet team
+constexpr double kDecode = 0.400;   // mean seconds from first token to end
+constexpr double kFloodRate = 370;  // requests per second
+constexpr double kQuietRate = 1;    // requests per second of each quiet team
 constexpr int kQuietTeams = 9;
 constexpr double kRunSeconds = 120;
 constexpr Duration kDeadline = 5s;
 const std::string kTarget = "m";
-constexpr int kLearned = 0;  // in place of a fixed limit
+constexpr int kAdaptiveLimit = 0;  // adapts to first-token latency
 
 struct Policy {
   const char* name;
   bool fair;
-  int limit;  // fixed, or kLearned
+  int limit;  // a fixed limit, or kAdaptiveLimit
   bool refuse_early;
 };
 
@@ -53,8 +53,8 @@
   std::vector<double> first_token;  // seconds from arrival
   int arrived = 0;
   int served = 0;
-  int refused = 0;  // at arrival
-  int expired = 0;  // at the deadline, after waiting for it
+  int refused = 0;  // rejected on arrival
+  int expired = 0;  // still queued at the deadline
 };
 
 Instant At(double seconds) {
@@ -62,14 +62,15 @@
       std::chrono::duration<double>(seconds + 1)));
 }
 
-// One entry with its queue before one engine with slots and a queue of its own.
+// Simulates one entry with a fair queue in front of one engine, which has slots
+// and its own queue.
 class Run {
  public:
   explicit Run(const Policy& policy) : m_policy(policy) {
     for (int team = 0; team <= kQuietTeams; ++team) Arrive(team, 0);
   }
 
-  void Go() {
+  void RunToEnd() {
     while (!m_events.empty() && m_events.top().when < kRunSeconds) {
       const Event event = m_events.top();
       m_events.pop();
@@ -124,12 +125,12 @@
     waiting.team = m_policy.fair ? std::to_string(team) : "all";
     waiting.target = kTarget;
     waiting.deadline = At(m_now) + kDeadline;
-    const bool hopeless =
+    const bool refuse_now =
         m_policy.refuse_early &&
         m_estimator.RefuseFor(kTarget, m_queue->CostAhead(waiting), kDeadline,
                               At(m_now));
     const bool first = m_queue->Size() == 0;
-    if (hopeless || !m_queue->Push(waiting)) {
+    if (refuse_now || !m_queue->Push(waiting)) {
       ++totals.refused;
       return;
     }
@@ -138,7 +139,8 @@
   }
 
   int Limit() const {
-    return m_policy.limit == kLearned ? m_learned.Current() : m_policy.limit;
+    return m_policy.limit == kAdaptiveLimit ? m_adaptive_limit.Current()
+                                            : m_policy.limit;
   }
 
   void Dispatch() {
@@ -161,7 +163,7 @@
 
   void OnFirstToken(RequestId request) {
     const Sent& sent = m_sent[request];
-    m_learned.OnFirstToken(
+    m_adaptive_limit.OnFirstToken(
         std::chrono::duration_cast<Duration>(
             std::chrono::duration<double>(m_now - sent.dispatched)),
         At(m_now), m_in_flight);
@@ -183,10 +185,10 @@
   std::priority_queue<Event> m_events;
   std::unique_ptr<FairQueue> m_queue = MakeFairQueue();
   WaitEstimator m_estimator;
-  ConcurrencyLimit m_learned;
+  ConcurrencyLimit m_adaptive_limit;
   std::queue<RequestId> m_engine_queue;
   std::map<RequestId, Sent> m_sent;
-  std::map<bool, Totals> m_totals;  // by whether the team is a quiet one
+  std::map<bool, Totals> m_totals;  // key: whether the team is a quiet one
   double m_now = 0;
   int m_in_flight = 0;
   int m_running = 0;
@@ -197,7 +199,7 @@
 }  // namespace dotterelshift::admission
 
 int main() {
-  using dotterelshift::admission::kLearned;
+  using dotterelshift::admission::kAdaptiveLimit;
   using dotterelshift::admission::Policy;
   for (const Policy& policy :
        {Policy{"one queue, fixed 16", false, 16, false},
@@ -206,10 +208,10 @@
         Policy{"fair, fixed 16", true, 16, false},
         Policy{"fair, fixed 64", true, 64, false},
         Policy{"fair, fixed 256", true, 256, false},
-        Policy{"fair, learned", true, kLearned, false},
-        Policy{"fair, learned, early refusal", true, kLearned, true}}) {
+        Policy{"fair, learned", true, kAdaptiveLimit, false},
+        Policy{"fair, learned, early refusal", true, kAdaptiveLimit, true}}) {
     dotterelshift::admission::Run run(policy);
-    run.Go();
+    run.RunToEnd();
     run.Print();
   }
   return 0;
--- a/bench/commit_bench.cc
+++ b/bench/commit_bench.cc
@@ -1,6 +1,7 @@
-// The rate at which three control replicas commit, on loopback with real syncs;
-// the time without a leader after its death; the time of a restart. Each
-// replica is a process of this program, so that their files sync side by side.
+// Measures the commit rate of three control replicas on loopback with real file
+// syncs, the time from killing the leader to the next commit, and the restart
+// time. Each replica is a separate process of this program, so that the
+// replicas sync their files in parallel.
 
 #include <fcntl.h>     // for open
 #include <poll.h>      // for poll
@@ -28,7 +29,7 @@
 
 constexpr int kReplicas = 3;
 constexpr size_t kCommandsOutstanding = 16384;
-constexpr size_t kCommandsInProposal = 256;
+constexpr size_t kCommandsPerProposal = 256;
 constexpr Duration kPhase = 3s;
 constexpr Tokens kManyTokens = 1'000'000'000'000;
 
@@ -36,7 +37,7 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-// Proposes the commands of one entry: attempts that are opened and settled.
+// Proposes the commands of one entry, which opens and settles attempts.
 class Load {
  public:
   Load(loop::Loop& loop, app::ControlReplica& replica, Incarnation incarnation)
@@ -45,7 +46,8 @@
         m_run(nullptr, "entry", incarnation),
         m_incarnation(incarnation) {}
 
-  // Makes a team and a budget, once, and takes a grant.
+  // Creates a team and a budget, unless an earlier leader did, and requests a
+  // grant. Then calls `done`.
   void Prepare(const std::function<void()>& done) {
     std::vector<wire::ChangeT> changes;
     changes.push_back(state::TeamChange("team"));
@@ -59,35 +61,38 @@
         state::PlanOf(plan, version, "operator", std::move(changes))));
     commands.push_back(m_run.Command(state::ConfirmOf(plan)));
     commands.push_back(
-        m_run.Command(state::GrantAsk("budget", kManyTokens / 100)));
+        m_run.Command(state::GrantRequestOf("budget", kManyTokens / 100)));
     m_replica.Propose(std::move(commands),
                       [done](ErrorKind, const auto&) { done(); });
   }
 
-  // Keeps this many commands under way, so many in a proposal, until `end`;
-  // then tells how many were carried out.
-  void RunUntil(Instant end, size_t outstanding, size_t in_proposal,
+  // Keeps `outstanding` commands in flight, `commands_per_proposal` of them in
+  // each proposal, until `end`. Then calls `done` with the number of commands
+  // that succeeded.
+  void RunUntil(Instant end, size_t outstanding, size_t commands_per_proposal,
                 std::function<void(uint64_t)> done) {
     m_end = end;
-    m_in_proposal = in_proposal;
+    m_commands_per_proposal = commands_per_proposal;
     m_done = std::move(done);
-    m_carried_out = 0;
-    m_under_way = 0;
-    for (size_t i = 0; i < outstanding; i += in_proposal) ProposeSome();
+    m_succeeded_commands = 0;
+    m_proposals_in_flight = 0;
+    for (size_t i = 0; i < outstanding; i += commands_per_proposal)
+      ProposeBatch();
   }
 
-  // As many commands as that.
-  void RunCount(uint64_t count, std::function<void(uint64_t)> done) {
-    m_most = count;
-    RunUntil(Instant::max(), kCommandsOutstanding, kCommandsInProposal,
+  // Like RunUntil(), but stops after at least `count` successes.
+  void RunCommands(uint64_t count, std::function<void(uint64_t)> done) {
+    m_max_commands = count;
+    RunUntil(Instant::max(), kCommandsOutstanding, kCommandsPerProposal,
              std::move(done));
   }
 
  private:
-  void ProposeSome() {
+  void ProposeBatch() {
     std::vector<wire::CommandT> commands;
-    for (size_t i = 0; i < m_in_proposal; ++i) commands.push_back(Next());
-    ++m_under_way;
+    for (size_t i = 0; i < m_commands_per_proposal; ++i)
+      commands.push_back(Next());
+    ++m_proposals_in_flight;
     m_replica.Propose(std::move(commands),
                       [this](ErrorKind error, const auto& answers) {
                         OnAnswers(error, answers);
@@ -96,12 +101,13 @@
 
   void OnAnswers(ErrorKind error,
                  const std::vector<wire::CommandAnswerT>& answers) {
-    --m_under_way;
-    for (const auto& answer : answers) m_carried_out += answer.error == 0;
-    const bool goes_on = error == ErrorKind::kNone && m_loop.Now() < m_end &&
-                         m_carried_out < m_most;
-    if (goes_on) return ProposeSome();
-    if (m_under_way == 0) m_done(m_carried_out);
+    --m_proposals_in_flight;
+    for (const auto& answer : answers)
+      m_succeeded_commands += answer.error == 0;
+    const bool has_more = error == ErrorKind::kNone && m_loop.Now() < m_end &&
+                          m_succeeded_commands < m_max_commands;
+    if (has_more) return ProposeBatch();
+    if (m_proposals_in_flight == 0) m_done(m_succeeded_commands);
   }
 
   wire::CommandT Next() {
@@ -117,18 +123,18 @@
 
   loop::Loop& m_loop;
   app::ControlReplica& m_replica;
-  state::TestRun m_run;
+  state::TestSender m_run;
   Incarnation m_incarnation;
   Instant m_end{};
-  size_t m_in_proposal = 1;
-  uint64_t m_most = UINT64_MAX;
+  size_t m_commands_per_proposal = 1;
+  uint64_t m_max_commands = UINT64_MAX;
   uint64_t m_commands = 0;
-  uint64_t m_carried_out = 0;
-  size_t m_under_way = 0;
+  uint64_t m_succeeded_commands = 0;
+  size_t m_proposals_in_flight = 0;
   std::function<void(uint64_t)> m_done;
 };
 
-// ---- one replica's process ------------------------------------------------
+// ---- replica process ------------------------------------------------------
 
 std::string HostName(int replica) { return "r" + std::to_string(replica); }
 
@@ -167,13 +173,13 @@
     };
     callbacks.on_leadership_changed = [this] { OnLeadershipChanged(); };
     m_replica = app::MakeControlReplica(m_loop, options, std::move(callbacks));
-    m_check.ArmIn(kCheck);
+    m_join_check_timer.ArmIn(kJoinCheckInterval);
   }
 
   void Run() { m_loop.Run(); }
 
  private:
-  // A new leader commits a first command and says so.
+  // A new leader commits its first commands and then reports that it leads.
   void OnLeadershipChanged() {
     if (m_replica->GetNode().Role() != replication::NodeRole::kLeader) return;
     m_load.emplace(m_loop, *m_replica,
@@ -184,14 +190,15 @@
     });
   }
 
-  // A replica that follows a leader and holds all that is committed has joined.
+  // A replica has joined when it knows a leader, has applied a command, and its
+  // commit index has not changed since the previous check.
   void CheckJoined() {
     const replication::Node& node = m_replica->GetNode();
     const bool joined = node.Leader() != 0 && node.Commit() > 0 &&
                         m_replica->GetState().LastStamp() > 0 &&
                         m_last_commit == node.Commit();
     m_last_commit = node.Commit();
-    if (!joined) return m_check.ArmIn(kCheck);
+    if (!joined) return m_join_check_timer.ArmIn(kJoinCheckInterval);
     std::printf("joined %d\n", m_self);
     Flush();
   }
@@ -202,30 +209,31 @@
     const bool batched = command == 'b';
     const Instant begin = m_loop.Now();
     m_load->RunUntil(begin + kPhase, batched ? kCommandsOutstanding : 1,
-                     batched ? kCommandsInProposal : 1,
-                     [this, begin](uint64_t carried_out) {
+                     batched ? kCommandsPerProposal : 1,
+                     [this, begin](uint64_t succeeded_commands) {
                        const double seconds = Seconds(m_loop.Now() - begin);
-                       std::printf("rate %.0f\n",
-                                   static_cast<double>(carried_out) / seconds);
+                       std::printf(
+                           "rate %.0f\n",
+                           static_cast<double>(succeeded_commands) / seconds);
                        Flush();
                      });
   }
 
   static void Flush() { std::fflush(stdout); }
 
-  static constexpr Duration kCheck = 100ms;
+  static constexpr Duration kJoinCheckInterval = 100ms;
 
   int m_self;
   uint64_t m_last_commit = 0;
   loop::Loop m_loop;
-  loop::Timer m_check{m_loop, [this] { CheckJoined(); }};
+  loop::Timer m_join_check_timer{m_loop, [this] { CheckJoined(); }};
   loop::IoWatcher m_input;
   std::unique_ptr<peers::Hub> m_hub;
   std::unique_ptr<app::ControlReplica> m_replica;
   std::optional<Load> m_load;
 };
 
-// ---- the process that measures --------------------------------------------
+// ---- measuring process ----------------------------------------------------
 
 struct Child {
   pid_t pid = 0;
@@ -282,8 +290,8 @@
     child.output = -1;
   }
 
-  // The next line that any child says.
-  std::string Line() {
+  // Blocks until a child process has printed a line, and returns it.
+  std::string ReadLine() {
     while (true) {
       std::array<pollfd, kReplicas> polled{};
       for (int i = 0; i < kReplicas; ++i)
@@ -301,20 +309,20 @@
   }
 
   int WaitForLeader() {
-    std::string line = Line();
-    while (line.find("leads") != 0) line = Line();
+    std::string line = ReadLine();
+    while (line.find("leads") != 0) line = ReadLine();
     return line.back() - '0';
   }
 
   void WaitForJoin(int replica) {
-    while (Line() != "joined " + std::to_string(replica)) {
+    while (ReadLine() != "joined " + std::to_string(replica)) {
     }
   }
 
   double Rate(int leader, char phase) {
     if (write(m_children[leader].input, &phase, 1) != 1) std::abort();
-    std::string line = Line();
-    while (line.find("rate ") != 0) line = Line();
+    std::string line = ReadLine();
+    while (line.find("rate ") != 0) line = ReadLine();
     return std::stod(line.substr(5));
   }
 
@@ -332,7 +340,7 @@
   std::array<Child, kReplicas> m_children;
 };
 
-// Appends and syncs a file again and again; writes a second.
+// Appends to a file and syncs it repeatedly for 1 s; returns writes per second.
 double BareSyncRate(size_t bytes) {
   const TemporaryFolder folder;
   const int file = open((folder.Path() + "/file").c_str(),
@@ -355,8 +363,9 @@
               BareSyncRate(256 << 10));
   Group group(program);
   int leader = group.WaitForLeader();
-  // The batches come last: the leader makes a snapshot under them, which may
-  // cost it its lead, and a rate measured after that would be nought.
+  // The batches run after the single commands: the leader takes a snapshot
+  // during them and may lose its leadership. A rate that is then measured on
+  // the former leader would be 0.
   std::printf("three replicas, one command at a time: %.0f a second\n",
               group.Rate(leader, 's'));
   std::printf("three replicas, batches: %.0f commands a second\n",
@@ -378,11 +387,11 @@
       kKills, gaps[kKills / 2], gaps.back());
 }
 
-// Fills a replica's folder, then starts it again.
+// Fills a replica's data folder, then measures a restart from it.
 void MeasureRestart(uint64_t commands, uint64_t snapshot_every_bytes) {
   const TemporaryFolder folder;
   app::ControlReplicaOptions options;
-  options.snapshot.every_bytes = snapshot_every_bytes;
+  options.snapshot.min_log_bytes = snapshot_every_bytes;
   options.self = "r0";
   options.first_members = {"r0"};
   options.store.folder = folder.Path();
@@ -394,7 +403,7 @@
     Load load(loop, *replica, 1);
     while (!replica->Leads()) ev_run(loop.Raw(), EVRUN_ONCE);
     load.Prepare(
-        [&] { load.RunCount(commands, [&](uint64_t) { loop.Stop(); }); });
+        [&] { load.RunCommands(commands, [&](uint64_t) { loop.Stop(); }); });
     loop.Run();
   }
   const Instant begin = Clock::now();
@@ -433,7 +442,7 @@
   constexpr uint64_t kCommands = 1'000'000;
   dotterelshift::MeasureRestart(
       kCommands,
-      dotterelshift::app::ControlReplicaOptions().snapshot.every_bytes);
-  dotterelshift::MeasureRestart(kCommands, 1 << 30);  // the log alone
+      dotterelshift::app::ControlReplicaOptions().snapshot.min_log_bytes);
+  dotterelshift::MeasureRestart(kCommands, 1 << 30);  // log only, no snapshot
   return 0;
 }
--- a/bench/entry_bench.cc
+++ b/bench/entry_bench.cc
@@ -1,7 +1,7 @@
-// Measures one entry daemon between a client and fake endpoints, beside the
-// same client straight at the endpoints: what it adds to the first token, short
-// requests a second, token events a second over many streams, memory. Usage:
-// entry_bench [latency|short|streams|traffic ...]
+// Measures one entry daemon between a client and fake endpoints, compared with
+// the same client connected directly to the endpoints: added latency of the
+// first token, short requests per second, token events per second over many
+// streams, and memory. Usage: entry_bench [latency|short|streams|traffic ...]
 #include <unistd.h>  // for sysconf
 
 #include <algorithm>   // for sort
@@ -21,8 +21,8 @@
                                 // short program
 
 constexpr int kEndpoints = 4;
-constexpr char kUnwitnessedKey[] = "key-unwitnessed-0001";
-constexpr char kWitnessedKey[] = "key-witnessed-000001";
+constexpr char kPreauthorizedKey[] = "key-unwitnessed-0001";
+constexpr char kCommittedOpeningKey[] = "key-witnessed-000001";
 
 constexpr char kIntent[] = R"(
 teams:
@@ -46,7 +46,7 @@
   double peak_mb = 0;
 };
 
-// Processor time and peak memory of a process so far.
+// Returns the CPU time and peak memory that a process has used so far.
 Usage UsageOf(pid_t pid) {
   Usage usage;
   std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
@@ -81,7 +81,7 @@
   std::string key;
 };
 
-// What a run of many requests came to.
+// Totals of a run of many requests.
 struct RunResult {
   size_t whole = 0;
   size_t failed = 0;
@@ -99,10 +99,10 @@
   void Traffic();
 
  private:
-  // A number from the entry's /metrics.
+  // Reads a value from the entry's /metrics.
   double Metric(const std::string& name);
   void Wait(Duration duration);
-  RunResult Run(const Target& target, size_t requests, size_t at_once,
+  RunResult Run(const Target& target, size_t requests, size_t concurrency,
                 const std::string& body);
   void Report(const Target& target, const RunResult& result,
               const Usage& before);
@@ -110,8 +110,8 @@
   testing::Fleet m_fleet;
   Target m_fast{"endpoints alone", {}, "none"};
   Target m_paced{"endpoints alone", {}, "none"};
-  Target m_plain{"entry, unwitnessed", {}, kUnwitnessedKey};
-  Target m_strict{"entry, witnessed", {}, kWitnessedKey};
+  Target m_plain{"entry, unwitnessed", {}, kPreauthorizedKey};
+  Target m_strict{"entry, witnessed", {}, kCommittedOpeningKey};
 };
 
 Bench::Bench() {
@@ -136,14 +136,15 @@
   const auto confirmed = m_fleet.PlanAndConfirm("c1", kIntent);
   if (confirmed.status != 200) throw std::runtime_error(confirmed.body);
   m_fleet.AwaitVersion("e1", 1);
-  // Warm: holdings granted, connections open, every endpoint known.
+  // Warm up, so that grants are held, connections are open and all endpoints
+  // are known before anything is measured.
   Run(m_plain, 200, 8,
       R"({"model":"fast","max_tokens":1,"messages":[{"role":"user","content":"Which library?"}]})");
   Run(m_strict, 200, 8,
       R"({"model":"fast","max_tokens":1,"messages":[{"role":"user","content":"Which library?"}]})");
 }
 
-RunResult Bench::Run(const Target& target, size_t requests, size_t at_once,
+RunResult Bench::Run(const Target& target, size_t requests, size_t concurrency,
                      const std::string& body) {
   RunResult result;
   size_t started = 0;
@@ -154,17 +155,17 @@
     const Instant sent = m_fleet.GetLoop().Now();
     auto first = std::make_shared<bool>(true);
     http::TransferCallbacks callbacks;
-    callbacks.on_piece = [&, sent, first](std::string_view piece) {
+    callbacks.on_chunk = [&, sent, first](std::string_view chunk) {
       if (std::exchange(*first, false)) {
         result.first_ms.push_back(std::chrono::duration<double, std::milli>(
                                       m_fleet.GetLoop().Now() - sent)
                                       .count());
       }
-      if (piece.find("\"error\"") != std::string_view::npos &&
+      if (chunk.find("\"error\"") != std::string_view::npos &&
           result.failed < 2)
-        std::printf("%.*s\n", static_cast<int>(piece.size()), piece.data());
-      for (size_t at = piece.find("data:"); at != std::string_view::npos;
-           at = piece.find("data:", at + 5)) {
+        std::printf("%.*s\n", static_cast<int>(chunk.size()), chunk.data());
+      for (size_t at = chunk.find("data:"); at != std::string_view::npos;
+           at = chunk.find("data:", at + 5)) {
         ++result.events;
       }
       return true;
@@ -188,7 +189,7 @@
     request.body = body;
     m_fleet.GetClient().Start(std::move(request), callbacks);
   };
-  while (started < std::min(requests, at_once)) start();
+  while (started < std::min(requests, concurrency)) start();
   testing::RunUntil(m_fleet.GetLoop(), "all answers",
                     [&] { return ended == requests; });
   result.seconds =
@@ -198,7 +199,7 @@
 
 void Bench::Report(const Target& target, const RunResult& result,
                    const Usage& before) {
-  const Usage after = UsageOf(m_fleet.ProcessOf("e1").Pid());
+  const Usage after = UsageOf(m_fleet.GetProcess("e1").Pid());
   const double cpu = after.cpu_seconds - before.cpu_seconds;
   std::printf("%-20s %7zu whole %3zu failed  %8.0f requests/s  %9.0f events/s",
               target.name.c_str(), result.whole, result.failed,
@@ -233,13 +234,13 @@
 
 void Bench::Short() {
   constexpr size_t kRequests = 40000;
-  constexpr size_t kAtOnce = 128;
+  constexpr size_t kConcurrentRequests = 128;
   const std::string body =
       R"({"model":"fast","max_tokens":1,"messages":[{"role":"user","content":"Which library?"}]})";
-  std::printf("-- short requests, %zu at once\n", kAtOnce);
+  std::printf("-- short requests, %zu at once\n", kConcurrentRequests);
   for (const Target* target : {&m_fast, &m_plain, &m_strict}) {
-    const Usage before = UsageOf(m_fleet.ProcessOf("e1").Pid());
-    Report(*target, Run(*target, kRequests, kAtOnce, body), before);
+    const Usage before = UsageOf(m_fleet.GetProcess("e1").Pid());
+    Report(*target, Run(*target, kRequests, kConcurrentRequests, body), before);
   }
 }
 
@@ -249,7 +250,7 @@
       R"({"model":"paced","stream":true,"max_tokens":400,"messages":[{"role":"user","content":"Which library?"}]})";
   std::printf("-- %zu streams at once, 400 tokens each\n", kStreams);
   for (const Target* target : {&m_paced, &m_plain, &m_strict}) {
-    const Usage before = UsageOf(m_fleet.ProcessOf("e1").Pid());
+    const Usage before = UsageOf(m_fleet.GetProcess("e1").Pid());
     Report(*target, Run(*target, kStreams * 2, kStreams, body), before);
   }
 }
@@ -269,7 +270,7 @@
   testing::RunUntil(m_fleet.GetLoop(), "the time", [&] { return over; });
 }
 
-// What an entry and control exchange: idle, and for each request.
+// Measures the traffic between an entry and control, idle and per request.
 void Bench::Traffic() {
   constexpr size_t kRequests = 5000;
   constexpr int kIdleSeconds = 10;
@@ -280,28 +281,28 @@
            Metric("dotterelshift_peer_bytes_out_total");
   };
   std::printf("-- traffic between the entry and control, both ways\n");
-  Wait(12s);  // idle grants have flowed back
+  Wait(12s);  // until idle grants have been returned
   double before = bytes();
-  Usage entry = UsageOf(m_fleet.ProcessOf("e1").Pid());
-  Usage control = UsageOf(m_fleet.ProcessOf("c1").Pid());
+  Usage entry = UsageOf(m_fleet.GetProcess("e1").Pid());
+  Usage control = UsageOf(m_fleet.GetProcess("c1").Pid());
   Wait(std::chrono::seconds(kIdleSeconds));
   std::printf(
       "idle, %d endpoints: %.0f bytes/s, entry %.2f %% of a core, control %.2f "
       "%%\n",
       2 * kEndpoints, (bytes() - before) / kIdleSeconds,
       100 *
-          (UsageOf(m_fleet.ProcessOf("e1").Pid()).cpu_seconds -
+          (UsageOf(m_fleet.GetProcess("e1").Pid()).cpu_seconds -
            entry.cpu_seconds) /
           kIdleSeconds,
       100 *
-          (UsageOf(m_fleet.ProcessOf("c1").Pid()).cpu_seconds -
+          (UsageOf(m_fleet.GetProcess("c1").Pid()).cpu_seconds -
            control.cpu_seconds) /
           kIdleSeconds);
   for (const Target* target : {&m_plain, &m_strict}) {
     before = bytes();
-    control = UsageOf(m_fleet.ProcessOf("c1").Pid());
+    control = UsageOf(m_fleet.GetProcess("c1").Pid());
     const RunResult result = Run(*target, kRequests, 32, body);
-    const double cpu = UsageOf(m_fleet.ProcessOf("c1").Pid()).cpu_seconds -
+    const double cpu = UsageOf(m_fleet.GetProcess("c1").Pid()).cpu_seconds -
                        control.cpu_seconds;
     std::printf(
         "%-20s %.0f bytes a request, control %.0f microseconds of a core a "
--- a/bench/grant_policies.cc
+++ b/bench/grant_policies.cc
@@ -1,6 +1,6 @@
-// Compares the ways of holding grants on the two deployments' shapes, over the
-// real State, Ledger and RecallCore with a clock moved by hand. Prints a
-// Markdown table for docs/MEASURES.md; the same numbers each run.
+// Compares the grant modes under the load of two deployments, using the real
+// State, Ledger and RecallCore with a simulated clock. Prints a Markdown table
+// for docs/MEASURES.md; the numbers are the same in each run.
 #include <algorithm>  // for sort
 #include <cstdio>     // for snprintf
 #include <iostream>   // for cout
@@ -38,10 +38,11 @@
             << variant.partition_seconds << " | "
             << (variant.recall ? "on" : "off") << " | " << figures.served
             << " | " << figures.refused << " | " << figures.overspend << " | "
-            << figures.false_refusals << " | " << figures.false_while_cut
-            << " | " << figures.avoidable << " | " << figures.stranded << " ("
-            << Fixed(stranded, 2) << "%) | " << Fixed(commits, 2) << " | "
-            << Fixed(at(0.5), 1) << " | " << Fixed(at(0.99), 1) << " |\n";
+            << figures.false_refusals << " | "
+            << figures.false_while_partitioned << " | " << figures.avoidable
+            << " | " << figures.stranded << " (" << Fixed(stranded, 2)
+            << "%) | " << Fixed(commits, 2) << " | " << Fixed(at(0.5), 1)
+            << " | " << Fixed(at(0.99), 1) << " |\n";
 }
 
 }  // namespace
--- a/bench/http_bench.cc
+++ b/bench/http_bench.cc
@@ -1,7 +1,7 @@
-// What the HTTP plumbing of an entry carries on one core: an endpoint, a relay
-// (callers' front and endpoints' runner, nothing decided or metered between)
-// and callers, each a process of its own on loopback; the relay's processor
-// time is what counts.
+// Measures the throughput of an entry's HTTP layer on one core. An endpoint, a
+// relay and the callers run on loopback, each in its own process. The
+// relay joins callers::Front and endpoints::AttemptRunner without routing or
+// metering; its CPU time is the measured quantity.
 //
 //   http_bench [streams] [tokens per stream] [short requests] [token interval
 //              in ms]
@@ -44,8 +44,8 @@
   Duration interval = 10ms;
 };
 
-// Streams a token to all who listen each interval, so that an entry meets them
-// as engines send them: many streams, one token each.
+// Sends one token to every open stream in each interval, which is the pattern
+// in which engines send tokens: many streams, one token each.
 class Endpoint {
  public:
   Endpoint(loop::Loop& loop, const Size& size)
@@ -76,15 +76,15 @@
 
   void Tick() {
     m_timer.ArmIn(m_size.interval);
-    // Nobody gets a token before all are there.
+    // No token is sent until all streams are open.
     m_started =
         m_started || m_streams.size() == static_cast<size_t>(m_size.streams);
     if (!m_started) return;
     for (Stream& stream : m_streams) {
       if (stream.left-- > 0) {
-        stream.exchange->SendPiece(kEvent);
+        stream.exchange->WriteChunk(kEvent);
       } else {
-        stream.exchange->SendPiece("data: [DONE]\n\n");
+        stream.exchange->WriteChunk("data: [DONE]\n\n");
         stream.exchange->Finish();
       }
     }
@@ -99,7 +99,7 @@
   loop::Timer m_timer;
 };
 
-// Joins the callers' side and the endpoints' side.
+// Connects callers::Front directly to endpoints::AttemptRunner.
 class Relay {
  public:
   Relay(loop::Loop& loop, uint16_t endpoint)
@@ -130,10 +130,10 @@
                 [this](AttemptId attempt, int status, std::string_view type) {
                   m_front->SendHead(attempt, status, type);
                 },
-            .on_piece =
-                [this](AttemptId attempt, const serving::Piece&,
+            .on_chunk =
+                [this](AttemptId attempt, const serving::Chunk&,
                        std::string_view bytes) {
-                  return m_front->SendPiece(attempt, bytes);
+                  return m_front->WriteChunk(attempt, bytes);
                 },
             .on_end =
                 [this](AttemptId attempt, serving::AttemptEnd end) {
@@ -152,7 +152,7 @@
   std::unique_ptr<http::Server> m_server;
 };
 
-// Sends requests and counts what comes back.
+// Sends requests and counts response bytes and failures.
 class Callers {
  public:
   Callers(loop::Loop& loop, uint16_t port)
@@ -161,11 +161,12 @@
               "/v1/chat/completions"),
         m_client(http::MakeClient(loop)) {}
 
-  // Keeps `open` requests going until `total` have ended; returns the seconds.
+  // Keeps `open` requests in flight until `total` have ended. Returns the
+  // elapsed seconds.
   double Run(int open, int total, bool stream) {
     m_stream = stream;
-    m_left = total;
-    m_to_end = total;
+    m_unstarted = total;
+    m_unfinished = total;
     m_first_byte.clear();
     const Instant begin = m_loop.Now();
     for (int i = 0; i < open; ++i) StartOne();
@@ -176,7 +177,7 @@
   size_t Bytes() const { return m_bytes; }
   int Failed() const { return m_failed; }
 
-  // Median time to the first byte, in milliseconds.
+  // Median time to the response head, in milliseconds.
   double MedianFirstByte() {
     std::ranges::sort(m_first_byte);
     return m_first_byte.empty() ? 0 : m_first_byte[m_first_byte.size() / 2];
@@ -184,7 +185,7 @@
 
  private:
   void StartOne() {
-    if (m_left-- <= 0) return;
+    if (m_unstarted-- <= 0) return;
     http::ClientRequest request;
     request.url = m_url;
     request.headers = {{"Authorization", "Bearer key"},
@@ -200,14 +201,14 @@
           std::chrono::duration<double, std::milli>(m_loop.Now() - begin)
               .count());
     };
-    callbacks.on_piece = [this](std::string_view piece) {
-      m_bytes += piece.size();
+    callbacks.on_chunk = [this](std::string_view chunk) {
+      m_bytes += chunk.size();
       return true;
     };
     callbacks.on_end = [this](http::TransferEnd end) {
       if (end != http::TransferEnd::kWhole) ++m_failed;
       StartOne();
-      if (--m_to_end == 0) m_loop.Stop();
+      if (--m_unfinished == 0) m_loop.Stop();
     };
     m_client->Start(std::move(request), std::move(callbacks));
   }
@@ -216,8 +217,8 @@
   const std::string m_url;
   std::unique_ptr<http::Client> m_client;
   bool m_stream = false;
-  int m_left = 0;
-  int m_to_end = 0;
+  int m_unstarted = 0;
+  int m_unfinished = 0;
   int m_failed = 0;
   size_t m_bytes = 0;
   std::vector<double> m_first_byte;
@@ -228,17 +229,18 @@
   uint16_t port = 0;
 };
 
-// Runs a part in a process of its own, which reports its port.
-template <typename MakePart>
-Child Spawn(const MakePart& make_part) {
-  std::fflush(stdout);  // or the child writes it again
+// Forks a process that runs the server made by `make_component`. The child
+// reports its port through a pipe; the port is 0 if that fails.
+template <typename MakeComponent>
+Child Spawn(const MakeComponent& make_component) {
+  std::fflush(stdout);  // else the child prints the buffer again
   int ends[2];
   if (pipe(ends) != 0) return {};
   const pid_t process = fork();
   if (process == 0) {
     loop::Loop loop;
     const loop::SignalWatcher end(loop, SIGTERM, [&loop] { loop.Stop(); });
-    const auto part = make_part(loop);
+    const auto part = make_component(loop);
     const uint16_t port = part->Port();
     if (write(ends[1], &port, sizeof port) != sizeof port) _exit(1);
     loop.Run();
@@ -252,7 +254,7 @@
   return child;
 }
 
-// Ends a part; returns what it used.
+// Terminates a child process and returns its resource usage.
 rusage End(const Child& child) {
   rusage used{};
   kill(child.process, SIGTERM);
@@ -299,8 +301,8 @@
   });
   loop::Loop loop;
   constexpr int kOpen = 64;
-  Callers straight(loop, endpoint.port);
-  const double straight_seconds = straight.Run(kOpen, size.requests, false);
+  Callers direct(loop, endpoint.port);
+  const double direct_seconds = direct.Run(kOpen, size.requests, false);
   Callers callers(loop, relay.port);
   const double seconds = callers.Run(kOpen, size.requests, false);
   const double median = callers.MedianFirstByte();
@@ -310,8 +312,8 @@
       "short requests: endpoint alone %.0f/s, through the relay %.0f/s (ratio "
       "%.2f), failed %d, median %.2f ms at %d open; relay: %.0f/s per core, "
       "%.1f MiB\n",
-      size.requests / straight_seconds, size.requests / seconds,
-      straight_seconds / seconds, callers.Failed(), median, kOpen,
+      size.requests / direct_seconds, size.requests / seconds,
+      direct_seconds / seconds, callers.Failed(), median, kOpen,
       size.requests / Seconds(used), MiB(used));
 }
 
--- a/bench/routes_bench.cc
+++ b/bench/routes_bench.cc
@@ -1,6 +1,7 @@
-// What a change of the published routes costs, by the size of the document:
-// bytes and time to tell it as a step, to take the step, and to read the
-// document; and the document by itself, for who has none.
+// Measures the cost of a change of the published routes by document size: bytes
+// and time to encode the change as a delta, to apply the delta and to parse the
+// document. Also measures the full document, which is sent to receivers that
+// have no earlier version.
 #include <chrono>   // for steady_clock
 #include <cstdio>   // for printf
 #include <string>   // for string
@@ -14,9 +15,9 @@
 namespace dotterelshift {
 namespace {
 
-// The shortest of some runs, in milliseconds.
+// Returns the shortest duration of 20 runs, in milliseconds.
 template <typename Work>
-double TimeOf(Work work) {
+double MinMilliseconds(Work work) {
   constexpr int kRuns = 20;
   double best = 0;
   for (int run = 0; run < kRuns; ++run) {
@@ -37,15 +38,17 @@
   const auto step = state::PackDocument(next, base);
   const auto whole = state::PackDocument(next, {});
   std::string why;
-  const double read = TimeOf([&] { adapter::ReadDocument(next, &why); });
-  const double table =
-      TimeOf([&] { gateway::RouteTable(*adapter::ReadDocument(next, &why)); });
+  const double read =
+      MinMilliseconds([&] { adapter::ReadDocument(next, &why); });
+  const double table = MinMilliseconds(
+      [&] { gateway::RouteTable(*adapter::ReadDocument(next, &why)); });
   std::printf("%8zu %9zu %7zu %7.2f %7.2f %9zu %7.2f %7.2f %7.2f %7.2f\n",
               routes, next.size(), step.size(),
-              TimeOf([&] { state::PackDocument(next, base); }),
-              TimeOf([&] { state::UnpackDocument(step, base); }), whole.size(),
-              TimeOf([&] { state::PackDocument(next, {}); }),
-              TimeOf([&] { state::UnpackDocument(whole, {}); }), read,
+              MinMilliseconds([&] { state::PackDocument(next, base); }),
+              MinMilliseconds([&] { state::UnpackDocument(step, base); }),
+              whole.size(),
+              MinMilliseconds([&] { state::PackDocument(next, {}); }),
+              MinMilliseconds([&] { state::UnpackDocument(whole, {}); }), read,
               table - read);
 }
 
--- a/bench/routing_bench.cc
+++ b/bench/routing_bench.cc
@@ -1,6 +1,7 @@
-// Routing policies side by side. Without arguments: a small queue model of the
-// two deployments under each policy, as a markdown table that is the same each
-// run. With "choice": the time of one choice among 710 endpoints.
+// Compares the routing policies. Without arguments, simulates a queueing model
+// of two deployments under each policy and prints a Markdown table, which is
+// the same in each run. With "choice", measures the time of one routing choice
+// among 710 endpoints.
 #include <algorithm>  // for sort
 #include <chrono>     // for steady_clock
 #include <cstdio>     // for printf
@@ -59,18 +60,19 @@
   for (const Deployment& deployment : kDeployments) {
     for (const PolicyRow& policy : kPolicies) {
       Result result = Model(deployment, policy).Run();
-      std::printf("| %s | %s | %.0f | %.0f | %.0f | %.0f | %.1f | %zu |\n",
-                  deployment.name, policy.name,
-                  Quantile(&result.first_token_ms, 0.5),
-                  Quantile(&result.first_token_ms, 0.95),
-                  Percent(result.cached_blocks, result.blocks),
-                  Percent(result.far, result.requests),
-                  Percent(result.to_slow, result.requests), result.refused);
+      std::printf(
+          "| %s | %s | %.0f | %.0f | %.0f | %.0f | %.1f | %zu |\n",
+          deployment.name, policy.name, Quantile(&result.first_token_ms, 0.5),
+          Quantile(&result.first_token_ms, 0.95),
+          Percent(result.cached_blocks, result.blocks),
+          Percent(result.remote, result.requests),
+          Percent(result.sent_to_slow, result.requests), result.refused);
     }
   }
 }
 
-// The median time of a choice, in batches, for each policy.
+// Prints the median and p99 time of a choice, measured in batches, for each
+// policy.
 void TimeChoices() {
   constexpr size_t kEndpoints = 710;
   constexpr size_t kBatches = 4000;
--- a/bench/routing_model.h
+++ b/bench/routing_model.h
@@ -25,8 +25,8 @@
 inline constexpr size_t kTokensPerBlock = 64;
 inline constexpr Duration kRun = 180s;
 inline constexpr Duration kWarmUp = 30s;
-inline constexpr Duration kLocalWay = 500us;
-inline constexpr Duration kFarWay = 2000us;
+inline constexpr Duration kLocalLatency = 500us;
+inline constexpr Duration kRemoteLatency = 2000us;
 inline constexpr Duration kReportEvery = 1s;
 inline constexpr Duration kReportLag = 300ms;
 inline constexpr Duration kEventLag = 500ms;
@@ -40,7 +40,7 @@
   size_t models;    // drafting or copy model servers
   size_t services;  // loan-desk or layout and rate servers
   double requests_per_second;
-  size_t shared_blocks;  // of a typical prompt
+  size_t shared_blocks;  // shared prefix of a typical prompt
 };
 
 struct PolicyRow {
@@ -54,30 +54,31 @@
   return (static_cast<double>(random->Below(kSteps)) + 0.5) / kSteps;
 }
 
-// The prompt prefixes that an engine has cached, least recently used out first.
+// The prompt prefix blocks that an engine has cached, with LRU eviction.
 class PrefixCache {
  public:
   explicit PrefixCache(size_t capacity) : m_capacity(capacity) {}
 
-  // How many leading blocks are there; all are afterwards. Tells what was
-  // stored and dropped.
+  // Returns the number of leading blocks that were cached, then caches all of
+  // them. Calls event(hash, true) for each block stored and event(hash, false)
+  // for each block evicted.
   template <typename Event>
   size_t Use(const std::vector<uint64_t>& hashes, const Event& event) {
     size_t hits = 0;
-    while (hits < hashes.size() && m_places.contains(hashes[hits])) ++hits;
+    while (hits < hashes.size() && m_positions.contains(hashes[hits])) ++hits;
     for (const uint64_t hash : hashes) {
-      const auto it = m_places.find(hash);
-      if (it != m_places.end()) {
+      const auto it = m_positions.find(hash);
+      if (it != m_positions.end()) {
         m_order.splice(m_order.begin(), m_order, it->second);
         continue;
       }
       m_order.push_front(hash);
-      m_places[hash] = m_order.begin();
+      m_positions[hash] = m_order.begin();
       event(hash, true);
     }
-    while (m_places.size() > m_capacity) {
+    while (m_positions.size() > m_capacity) {
       event(m_order.back(), false);
-      m_places.erase(m_order.back());
+      m_positions.erase(m_order.back());
       m_order.pop_back();
     }
     return hits;
@@ -86,7 +87,7 @@
  private:
   size_t m_capacity;
   std::list<uint64_t> m_order;
-  std::unordered_map<uint64_t, std::list<uint64_t>::iterator> m_places;
+  std::unordered_map<uint64_t, std::list<uint64_t>::iterator> m_positions;
 };
 
 struct Job {
@@ -117,10 +118,10 @@
   std::vector<double> first_token_ms;
   size_t blocks = 0;
   size_t cached_blocks = 0;
-  size_t far = 0;
+  size_t remote = 0;
   size_t requests = 0;
   size_t refused = 0;
-  size_t to_slow = 0;
+  size_t sent_to_slow = 0;
 };
 
 inline state::Configuration MakeConfiguration() {
@@ -161,13 +162,14 @@
   return record;
 }
 
-// One deployment under one policy.
+// Simulates one deployment under one policy.
 //
-// An endpoint has slots and a prefix cache of limited size; a
-// request waits for a slot, its prompt is worked through except for what is
-// cached, and its tokens come slower the more slots are in use. Six entries
-// choose, each with a router of its own; load reports come once a second and
-// 300 ms late, cache events 500 ms late and one in twenty is lost.
+// An endpoint has slots and a prefix cache of limited size. A request waits for
+// a slot, the blocks of its prompt that are not cached are prefilled, and
+// prefill and decoding slow down as more slots are in use. Six entries route
+// requests, each with its own router. Load reports are sent once a second and
+// arrive 300 ms late; cache events arrive 500 ms late, and one in twenty is
+// lost.
 class Model {
  public:
   Model(const Deployment& deployment, const PolicyRow& policy)
@@ -191,9 +193,9 @@
       options.data_centre = deployment.data_centres[i % centres];
       options.seed = i + 1;
       m_routers.push_back(MakeRouter(options));
-      m_centres.push_back(options.data_centre);
+      m_entry_centres.push_back(options.data_centre);
     }
-    m_held.resize(kEntries);
+    m_waiting_jobs.resize(kEntries);
   }
 
   Result Run() {
@@ -228,7 +230,7 @@
         std::chrono::duration<double, std::milli>(ms));
   }
 
-  // Once a second each engine says how it is.
+  // Each engine reports its load about once a second.
   void Report(size_t engine) {
     Publish(engine);
     if (Elapsed() < kRun)
@@ -248,14 +250,14 @@
 
   void Deliver(Duration /*lag*/) {
     m_directory.OnTimer(m_now);
-    if (m_directory.Generation() == m_seen) return;
-    m_seen = m_directory.Generation();
+    if (m_directory.Generation() == m_seen_generation) return;
+    m_seen_generation = m_directory.Generation();
     for (const auto& router : m_routers)
       router->Refresh(m_directory, m_configuration, m_now);
   }
 
-  // Requests come at random; a few teams send most of them, each from a few
-  // templates that begin the same.
+  // Requests arrive at random times. A few teams send most of them, and each
+  // team uses a few templates, whose prompts share a prefix.
   void Arrive() {
     if (Elapsed() >= kRun) return;
     const double gap_ms =
@@ -285,7 +287,7 @@
       hash = hash * 6364136223846793005ULL + i + 1;
       job->hashes.push_back(hash);
     }
-    hash += ++m_unique * 7919;
+    hash += ++m_unique_prompts * 7919;
     const size_t own_blocks = 2 + m_random.Below(8);
     for (size_t i = 0; i < own_blocks; ++i) {
       hash = hash * 6364136223846793005ULL + i + 1;
@@ -300,7 +302,7 @@
     if (!job->query.service) job->query.prefix_hashes = &job->hashes;
     const RouteChoice choice = router.Choose(job->query, m_now);
     if (choice.outcome == RouteOutcome::kBusy) {
-      m_held[job->entry].push_back(std::move(job));
+      m_waiting_jobs[job->entry].push_back(std::move(job));
       return;
     }
     if (choice.outcome == RouteOutcome::kNone) {
@@ -311,17 +313,17 @@
     job->sent = m_now;
     job->engine =
         std::stoul(choice.endpoint.substr(choice.endpoint.find('-') + 1));
-    In(WayOf(*job), [this, job] {
+    In(NetworkLatency(*job), [this, job] {
       m_engines[job->engine].waiting.push_back(job);
       StartNext(job->engine);
     });
   }
 
-  bool IsFar(const Job& job) const {
-    return m_engines[job.engine].data_centre != m_centres[job.entry];
+  bool IsRemote(const Job& job) const {
+    return m_engines[job.engine].data_centre != m_entry_centres[job.entry];
   }
-  Duration WayOf(const Job& job) const {
-    return IsFar(job) ? kFarWay : kLocalWay;
+  Duration NetworkLatency(const Job& job) const {
+    return IsRemote(job) ? kRemoteLatency : kLocalLatency;
   }
 
   void StartNext(size_t number) {
@@ -340,12 +342,12 @@
         job->hashes, [this, number](uint64_t hash, bool stored) {
           SendEvent(number, hash, stored);
         });
-    const double crowd = 1 + static_cast<double>(engine.running) /
-                                 static_cast<double>(engine.slots);
-    double prefill = 10 + kPrefillMsPerToken * crowd *
+    const double load_factor = 1 + static_cast<double>(engine.running) /
+                                       static_cast<double>(engine.slots);
+    double prefill = 10 + kPrefillMsPerToken * load_factor *
                               static_cast<double>(kTokensPerBlock) *
                               static_cast<double>(job->hashes.size() - hits);
-    double decode = kDecodeMsPerToken * (0.5 + crowd / 2) *
+    double decode = kDecodeMsPerToken * (0.5 + load_factor / 2) *
                     static_cast<double>(job->output_tokens);
     if (engine.service) {
       prefill = 60 + 120 * Uniform(&m_random);
@@ -354,11 +356,11 @@
     prefill *= engine.slowness;
     decode *= engine.slowness;
     Count(*job, hits);
-    In(Ms(prefill) + WayOf(*job), [this, job] { FirstToken(*job); });
+    In(Ms(prefill) + NetworkLatency(*job), [this, job] { FirstToken(*job); });
     In(Ms(prefill + decode), [this, number, job] {
       --m_engines[number].running;
       StartNext(number);
-      In(WayOf(*job), [this, job] { End(*job); });
+      In(NetworkLatency(*job), [this, job] { End(*job); });
     });
   }
 
@@ -367,11 +369,12 @@
     m_result.blocks += job.hashes.size();
     m_result.cached_blocks += hits;
     ++m_result.requests;
-    if (IsFar(job)) ++m_result.far;
-    if (m_engines[job.engine].slowness > 1) ++m_result.to_slow;
+    if (IsRemote(job)) ++m_result.remote;
+    if (m_engines[job.engine].slowness > 1) ++m_result.sent_to_slow;
   }
 
-  // An engine's events reach the entry to which it announces itself.
+  // Cache events of an engine are sent to one entry only, the one to which the
+  // engine announces itself.
   void SendEvent(size_t number, uint64_t hash, bool stored) {
     wire::CacheEventT event;
     event.endpoint = m_engines[number].id;
@@ -396,7 +399,7 @@
   void End(const Job& job) {
     m_routers[job.entry]->OnEnded(m_engines[job.engine].id, 0, false, m_now);
     std::deque<std::shared_ptr<Job>> held;
-    held.swap(m_held[job.entry]);
+    held.swap(m_waiting_jobs[job.entry]);
     for (std::shared_ptr<Job>& waiting : held) Route(std::move(waiting));
   }
 
@@ -408,11 +411,11 @@
   std::multimap<Instant, std::function<void()>> m_events;
   std::vector<Engine> m_engines;
   std::vector<std::unique_ptr<Router>> m_routers;
-  std::vector<DataCentreId> m_centres;
-  std::vector<std::deque<std::shared_ptr<Job>>> m_held;
+  std::vector<DataCentreId> m_entry_centres;
+  std::vector<std::deque<std::shared_ptr<Job>>> m_waiting_jobs;
   directory::Directory m_directory;
-  uint64_t m_seen = 0;
-  uint64_t m_unique = 0;
+  uint64_t m_seen_generation = 0;
+  uint64_t m_unique_prompts = 0;
   Result m_result;
 };
 
--- a/include/dotterelshift/budget/grant_way.h
+++ b/include/dotterelshift/budget/grant_way.h
@@ -8,78 +8,82 @@
 #include "dotterelshift/base/tokens.h"              // for Tokens
 #include "dotterelshift/wire/commands_generated.h"  // for GrantWay
 
-// The ways in which an entry may hold part of a budget. What is spent never
-// exceeds the budget under any of them: the standing part bounds what a holder
-// may spend unseen, and control keeps that back when the holder dies. A way
-// only decides how large that part is and when it is drawn on.
+// Grant modes: policies for how an entry holds tokens of a budget. Spending
+// never exceeds the budget in any mode: the pre-authorized amount bounds what a
+// holder may spend without control knowing, and control withholds that amount
+// when the holder dies. A mode only determines how large the pre-authorized
+// amount is and when it is used.
 namespace dotterelshift::budget {
 
-// What control knows of a holding when it sets the standing part.
+// What control knows about a holding when it sets the pre-authorized amount.
 struct HoldingFacts {
   Tokens tokens = 0;
   Tokens unopened = 0;
   Tokens demand_per_second = 0;
-  uint32_t partition_seconds = 0;  // that the team asks to be covered
+  uint32_t partition_seconds = 0;  // partition length to cover, by the team
 };
 
-template <typename Way>
-concept GrantWayPolicy = requires(const HoldingFacts& facts, bool connected) {
+template <typename Mode>
+concept GrantModePolicy = requires(const HoldingFacts& facts, bool connected) {
   // Whether an attempt is dispatched without a committed opening.
-  { Way::GoesUnwitnessed(connected) } -> std::same_as<bool>;
-  // The size that the standing part should have.
-  { Way::StandingTarget(facts) } -> std::same_as<Tokens>;
-  // Whether control may take the unopened part of a silent holder back.
-  { Way::Lapses() } -> std::same_as<bool>;
+  { Mode::DispatchesWithoutOpening(connected) } -> std::same_as<bool>;
+  // The pre-authorized amount that the holding should have.
+  { Mode::PreauthorizedTarget(facts) } -> std::same_as<Tokens>;
+  // Whether control may reclaim the unopened tokens of a silent holder.
+  { Mode::ExpiresWhenSilent() } -> std::same_as<bool>;
 };
 
-// All of a grant may be spent unseen: no commit before an attempt, and all of
-// it is lost with its holder.
-struct UnwitnessedWay {
-  static constexpr bool GoesUnwitnessed(bool) { return true; }
-  static constexpr Tokens StandingTarget(const HoldingFacts& facts) {
+// The whole grant is pre-authorized: attempts need no committed opening, and
+// the whole grant is lost when its holder dies.
+struct UnwitnessedMode {
+  static constexpr bool DispatchesWithoutOpening(bool) { return true; }
+  static constexpr Tokens PreauthorizedTarget(const HoldingFacts& facts) {
     return facts.tokens;
   }
-  static constexpr bool Lapses() { return false; }
+  static constexpr bool ExpiresWhenSilent() { return false; }
 };
 
-// Every attempt is opened by a commit, and a holder that falls silent loses
-// what it has not opened. No clock needs to be trusted, because without a
-// commit nothing is dispatched; but an entry that is cut off serves nothing.
-struct ClockLeaseWay {
-  static constexpr bool GoesUnwitnessed(bool) { return false; }
-  static constexpr Tokens StandingTarget(const HoldingFacts&) { return 0; }
-  static constexpr bool Lapses() { return true; }
+// Every attempt needs a committed opening, and a silent holder loses the tokens
+// that it has not opened. This needs no trusted clock, because nothing is
+// dispatched without a commit; but an entry that is cut off serves nothing.
+struct ClockLeaseMode {
+  static constexpr bool DispatchesWithoutOpening(bool) { return false; }
+  static constexpr Tokens PreauthorizedTarget(const HoldingFacts&) { return 0; }
+  static constexpr bool ExpiresWhenSilent() { return true; }
 };
 
-// Every attempt is opened by a commit while the leader is in reach; cut off, an
-// entry spends its standing part, sized by demand and the partition to cover.
-struct WitnessedWay {
-  static constexpr bool GoesUnwitnessed(bool connected) { return !connected; }
-  static constexpr Tokens StandingTarget(const HoldingFacts& facts) {
+// Every attempt needs a committed opening while the leader is reachable. An
+// entry that is cut off spends its pre-authorized amount, which is sized by
+// demand and by the partition length to cover.
+struct WitnessedMode {
+  static constexpr bool DispatchesWithoutOpening(bool connected) {
+    return !connected;
+  }
+  static constexpr Tokens PreauthorizedTarget(const HoldingFacts& facts) {
     const Tokens seconds = facts.partition_seconds;
     const Tokens demand =
         std::min(facts.demand_per_second, kMaxTokens / (seconds + 1));
     return std::min(facts.unopened, demand * seconds);
   }
-  static constexpr bool Lapses() { return false; }
+  static constexpr bool ExpiresWhenSilent() { return false; }
 };
 
-static_assert(GrantWayPolicy<UnwitnessedWay>);
-static_assert(GrantWayPolicy<ClockLeaseWay>);
-static_assert(GrantWayPolicy<WitnessedWay>);
+static_assert(GrantModePolicy<UnwitnessedMode>);
+static_assert(GrantModePolicy<ClockLeaseMode>);
+static_assert(GrantModePolicy<WitnessedMode>);
 
-// Calls `use` with the policy of a way.
+// Calls `use` with the policy of the given grant mode.
 template <typename Use>
-auto WithWay(wire::GrantWay way, Use use) {
+auto WithGrantMode(wire::GrantWay way, Use use) {
   switch (way) {
     case wire::GrantWay::Unwitnessed:
-      return use(UnwitnessedWay());
+      return use(UnwitnessedMode());
     case wire::GrantWay::ClockLease:
-      return use(ClockLeaseWay());
+      return use(ClockLeaseMode());
     case wire::GrantWay::Witnessed:
       break;
   }
-  return use(WitnessedWay());
+  return use(WitnessedMode());
 }
 
 }  // namespace dotterelshift::budget
--- a/include/dotterelshift/budget/recall_core.h
+++ b/include/dotterelshift/budget/recall_core.h
@@ -12,70 +12,74 @@
 namespace dotterelshift::budget {
 
 struct RecallOptions {
-  Duration beat_memory = 3s;   // an entry's report of what it holds is believed
-                               // for so long
-  Duration repeat = 250ms;     // the same holder is not asked more often, nor
-                               // are holders for the same budget's top-ups
-  Duration sweep_every = 30s;  // reports on budgets that nobody lacks are
-                               // looked through so often
+  // Lifetime of an entry's report of its holdings.
+  Duration report_ttl = 3s;
+  // Minimum interval between two recalls from the same holder, and between two
+  // evaluations of top-ups for the same budget.
+  Duration min_repeat_interval = 250ms;
+  // Interval between removals of expired reports on budgets without a shortage.
+  Duration sweep_interval = 30s;
 };
 
-// A recall, and the entry that it goes to.
+// A recall and the entry that receives it.
 struct RecallMessage {
   HostId host;
   wire::RecallT recall;
 };
 
-// Decides on the leader which holders give back idle tokens when a request for
-// a grant could not be satisfied. Each holder keeps its share of the budget by
-// demand; the largest surplus is asked for first, and shares are cut into only
-// for what a waiting request lacks. Soft state: a new leader
-// starts empty and learns from the beats.
+// Runs on the leader and decides which holders must return idle tokens when a
+// grant request could not be satisfied. Each holder keeps its share of the
+// budget by demand. The largest surplus is recalled first; tokens within a
+// holder's share are recalled only as far as a waiting request needs them. Soft
+// state: a new leader starts empty and is filled by the entries' heartbeats.
 //
-// Where many entries are short of many budgets at a time, each shortage looks
-// at the holders of its own budget only, and top-ups are decided on once in
-// `repeat`: looking at all reports took 58% of a leader's processor time with
-// 86 entries and 24 budgets (perf, 12 s).
+// When many entries are short of many budgets at the same time, each shortage
+// examines only the holders of its own budget, and top-ups are evaluated at
+// most once per repeat interval: examining all reports took 58% of a leader's
+// processor time with 86 entries and 24 budgets (perf, 12 s).
 class RecallCore {
  public:
   explicit RecallCore(const RecallOptions& options = {}) : m_options(options) {}
 
-  // An entry's beat: `held` says what it holds of each budget and has not
-  // reserved.
-  void OnBeat(const HostId& entry, const wire::EntryBeatT& beat, Instant now);
+  // Processes an entry's heartbeat; `held` contains the unreserved tokens that
+  // it holds of each budget.
+  void OnHeartbeat(const HostId& entry, const wire::EntryBeatT& beat,
+                   Instant now);
 
-  // Whether a shortage is to be looked at now: always where a request waits; a
-  // top-up shortly after another one only for an asker with a larger claim.
-  bool IsDue(const wire::RequestGrantT& ask, Instant now) const;
+  // Whether to evaluate a shortage now. A shortage for which a request waits is
+  // always evaluated. A top-up within `min_repeat_interval` after another one
+  // is evaluated only if its requester has a larger demand.
+  bool IsDue(const wire::RequestGrantT& grant_request, Instant now) const;
 
-  // A grant came out smaller than its minimum, or empty, although others hold
-  // tokens; `holdings` are all of the budget's.
+  // To be called when a grant was empty or below its minimum although other
+  // entries hold tokens. `holdings` are all holdings of the budget.
   std::vector<RecallMessage> OnShortage(
-      const HostRun& asker, const wire::RequestGrantT& ask,
+      const HostRun& requester, const wire::RequestGrantT& grant_request,
       const std::vector<state::Holding>& holdings, Instant now);
 
  private:
   struct Report {
     Tokens idle = 0;
-    Instant heard;
+    Instant received;
   };
-  // What is known of one budget's holders.
+  // What is known about the holders of one budget.
   struct Budget {
     std::unordered_map<HostId, Report> reports;
-    std::unordered_map<HostId, Instant> asked;
+    std::unordered_map<HostId, Instant> last_recalled;
     Instant next_top_up{};
-    Tokens topped_up_demand = 0;  // of the asker that was looked at last
+    Tokens last_top_up_demand = 0;  // of the last evaluated requester
   };
   struct Surplus {
     HostId host;
-    Tokens tokens = 0;  // idle beyond its share
+    Tokens tokens = 0;  // idle tokens above the holder's share
     Tokens idle = 0;
   };
 
   Tokens IdleOf(const Budget& budget, const state::Holding& holding,
                 Instant now) const;
-  std::vector<Surplus> SurplusesOf(const Budget& budget, const HostRun& asker,
-                                   const wire::RequestGrantT& ask,
+  std::vector<Surplus> SurplusesOf(const Budget& budget,
+                                   const HostRun& requester,
+                                   const wire::RequestGrantT& grant_request,
                                    const std::vector<state::Holding>& holdings,
                                    Instant now) const;
   void Forget(Budget& budget, Instant now) const;
--- a/include/dotterelshift/directory/spread.h
+++ b/include/dotterelshift/directory/spread.h
@@ -18,12 +18,13 @@
 struct SpreadOptions {
   HostId self;
   size_t fan_out = 3;
-  Duration round = 100ms;      // what has gathered is sent on this often
-  Duration least_pulse = 1s;   // between two load reports of one endpoint
-  Duration digest_every = 3s;  // records are compared with the neighbours
-  Duration pull_again = 10s;   // at most one full transfer from one neighbour
-  // What all load reports may cost this daemon, sent and received together;
-  // with more endpoints each is reported less often.
+  Duration round = 100ms;            // how often pending updates are sent
+  Duration min_pulse_interval = 1s;  // between two load reports of an endpoint
+  Duration digest_interval = 3s;     // how often neighbours compare digests
+  Duration min_pull_interval =
+      10s;  // between full transfers from one neighbour
+  // Bound on the traffic of all load reports, sent and received together. The
+  // more endpoints there are, the less often each is reported.
   double pulse_bytes_per_second = 12'000;
 };
 
@@ -33,19 +34,22 @@
   wire::DirectoryDeltaT delta;
 };
 
-// Names one run of an endpoint in load reports: FNV-1a of id and incarnation.
+// Identifies one incarnation of an endpoint in load reports: FNV-1a of id and
+// incarnation.
 uint64_t PulseKey(const EndpointId& endpoint, uint64_t incarnation);
 
-// What of the directory is sent to which daemons, and when.
+// Disseminates the directory between daemons by gossip.
 //
-// News of what an endpoint offers, that it drains, is gone or silent goes out
-// in the next round as a whole record, and whoever learns it sends it on to its
-// neighbours. The load, which changes all the time, goes the same ways as a
-// small pulse, at a rate that keeps within a given number of bytes a second;
-// so does the sign of life. Silence is noticed where an endpoint was last
-// heard, and told as news. Neighbours compare digests of their records, and one
-// that lacks something asks for everything: that heals lost frames, partitions
-// and changes of the roster.
+// A change of what an endpoint offers, or that it is draining, gone or silent,
+// is sent as a full record in the next round, and each daemon that receives it
+// forwards it to its neighbours. The load changes all the time; it is sent the
+// same way as a small pulse, which also serves as keep-alive, at a rate bounded
+// in bytes per second. The daemon that last received announcements from an
+// endpoint detects its silence and sends that as an update. Neighbours compare
+// digests of their records. A daemon whose digest differs from a neighbour's
+// twice in a row, or that differs and has no records, requests a full transfer.
+// This repairs the effects of lost frames, partitions and changes of the
+// roster.
 class Spread {
  public:
   Spread(const SpreadOptions& options, Directory* directory);
@@ -54,45 +58,47 @@
   void OnPeerDown(const HostId& host, Instant now);
 
   // An endpoint announced itself to this daemon.
-  News OnAnnounced(const wire::EndpointRecordT& record, Instant now);
-  // A delta of another daemon. Its cache events are not looked at. True when
-  // something in it was new.
+  RecordUpdate OnAnnounced(const wire::EndpointRecordT& record, Instant now);
+  // Applies a delta of another daemon, except its cache events. Returns true
+  // when something in it was new.
   bool OnDelta(const HostId& from, const wire::DirectoryDeltaT& delta,
                Instant now);
 
-  // What is to be sent now; also lets silent records lapse.
+  // Returns what is to be sent now; also expires silent records.
   std::vector<Outgoing> OnTimer(Instant now);
   Instant NextTimer() const { return m_next_round; }
 
-  // How often one endpoint's load is spread at present.
+  // The current interval between load reports of one endpoint.
   Duration PulseInterval() const;
   const std::vector<HostId>& Neighbours() const { return m_neighbours; }
 
  private:
-  // What is to be sent on of one endpoint, and to whom not.
+  // An update of one endpoint to be forwarded to all neighbours but `from`.
   struct Pending {
-    bool whole = false;
+    bool whole = false;  // send the full record, not only a pulse
     HostId from;
   };
-  struct Known {
+  struct TrackedEndpoint {
     uint64_t key = 0;
     Instant last_pulse{};
-    uint32_t heard_in_a_row = 0;  // announcements here, none newer elsewhere
+    // Consecutive announcements to this daemon, with no newer update from
+    // another daemon in between.
+    uint32_t consecutive_announcements = 0;
   };
   struct Neighbour {
     Instant pulled{};
-    bool wants_all = false;  // it asked for everything
-    bool ask_all = false;    // it is to be asked for everything
-    bool differed = false;   // at its last digest
+    bool full_requested = false;  // it requested a full transfer
+    bool request_full = false;    // a full transfer is to be requested from it
+    bool differed = false;        // its last digest was different
   };
 
   void ChooseNeighbours();
-  void Note(const EndpointId& endpoint, News news, const HostId& from,
-            Instant now);
-  void TakePulses(const HostId& from, const wire::DirectoryDeltaT& delta,
-                  Instant now, bool* any_news);
+  void QueueUpdate(const EndpointId& endpoint, RecordUpdate news,
+                   const HostId& from, Instant now);
+  void ApplyPulses(const HostId& from, const wire::DirectoryDeltaT& delta,
+                   Instant now, bool* any_news);
   void CompareDigest(const HostId& from, uint64_t digest, Instant now);
-  void TellSilence(Instant now);
+  void AnnounceSilence(Instant now);
   uint64_t Digest() const;
   wire::DirectoryDeltaT DeltaFor(const HostId& host, bool with_digest,
                                  Instant now) const;
@@ -102,7 +108,7 @@
   std::set<HostId> m_roster;
   std::vector<HostId> m_neighbours;
   std::map<HostId, Neighbour> m_peers;
-  std::unordered_map<EndpointId, Known> m_known;
+  std::unordered_map<EndpointId, TrackedEndpoint> m_known;
   std::unordered_map<uint64_t, EndpointId> m_by_key;
   std::map<EndpointId, Pending> m_pending;
   Instant m_next_round{};
--- a/include/dotterelshift/gateway/event_scanner.h
+++ b/include/dotterelshift/gateway/event_scanner.h
@@ -8,31 +8,31 @@
 
 namespace dotterelshift::gateway {
 
-// Cuts an event stream into whole events, so that what is passed on always ends
-// between two events and the stream can go on at another endpoint from there.
+// Splits an event stream into events. The bytes passed on always end at an
+// event boundary, from where the stream can resume at another endpoint.
 class EventScanner {
  public:
-  // Takes bytes of the answer and returns those that are to be passed on now:
-  // whole events only.
+  // Adds bytes of the response. Returns the complete events to pass on now.
   std::string Take(std::string_view bytes);
 
-  // The stream goes on from another endpoint: the event that was not whole is
-  // dropped, and what was passed on before is left out when it comes again.
-  void Reset() { m_rest.clear(); }
+  // The stream resumes at another endpoint: drops the partial event. Events
+  // that were passed on before are skipped when they are received again.
+  void Reset() { m_partial_event.clear(); }
 
-  // The bytes of an event that is not whole yet.
-  const std::string& Rest() const { return m_rest; }
-  // The id of the last event passed on; none: no event had one.
+  // The bytes of the last, still incomplete event.
+  const std::string& PartialEvent() const { return m_partial_event; }
+  // The id of the last event passed on; nullopt if no event had one.
   std::optional<uint64_t> LastId() const { return m_last_id; }
   uint64_t Events() const { return m_events; }
-  // An id that does not follow the one before: events are missing.
+  // Whether an id did not follow the one before, so that events are missing.
   bool HasGap() const { return m_gap; }
 
  private:
-  // True when the event is to be passed on.
-  bool Note(std::string_view event);
+  // Records the event. Returns whether it is to be passed on, that is, whether
+  // it is not a duplicate.
+  bool Accept(std::string_view event);
 
-  std::string m_rest;
+  std::string m_partial_event;
   std::optional<uint64_t> m_last_id;
   uint64_t m_events = 0;
   bool m_gap = false;
--- a/include/dotterelshift/gateway/held_grants.h
+++ b/include/dotterelshift/gateway/held_grants.h
@@ -20,79 +20,89 @@
 namespace dotterelshift::gateway {
 
 struct HeldGrantsOptions {
-  // How often spend is reported. What is not reported yet counts as spent in
-  // full when this process dies, so it is short.
+  // Interval of spend reports. It is short, as whatever has not been reported
+  // counts as fully spent if this process dies.
   Duration report_every = 250ms;
-  // How long an entry without control should go on serving each team. All of it
-  // is lost when the process dies.
+  // How long an entry that is cut off from control should be able to serve each
+  // team. All tokens held for this are lost if the process dies.
   Duration partition = 9s;
-  // Before demand is known, all entries together hold this part of a total, so
-  // that a cut soon after the start is borne, too.
-  double first_part = 0.35;
-  // So long after a team's first request is its demand taken as known.
-  Duration demand_known_after = 10s;
-  // How often the other entries are asked for the same budget.
+  // Fraction of a total that all entries hold together before demand is known,
+  // so that they can also serve through a partition soon after the start.
+  double initial_fraction = 0.35;
+  // A team's demand counts as known this long after its first request.
+  Duration demand_warmup = 10s;
+  // Minimum interval between borrow requests to other entries for one budget.
   Duration borrow_every = 20ms;
-  // How long control's word on what is left of a total is believed.
-  Duration remainder_memory = 1s;
-  // The last part of a total is kept for requests that it covers many of, at
-  // such a rate that it lasts for `trickle_over`: without it a team whose total
-  // is nearly used up is not served at all for the rest of the day.
-  double trickle_below = 0.03;
-  Duration trickle_over = 20s;
-  // A small request may wait for so much of the trickle to gather.
-  Duration trickle_gathers = 10s;
-  Duration trickle_memory = 30s;  // how long the word on what is left serves
-  // A grant is likely while so many requests of the size are left.
+  // Maximum age at which control's figure for the remainder of a total is used
+  // to reject requests.
+  Duration remainder_max_age = 1s;
+  // Below this fraction of a total, the remainder is reserved for small
+  // requests and released at a rate that makes it last for `trickle_duration`.
+  // Otherwise a team whose total is nearly used up would get no service at all
+  // for the rest of the day.
+  double trickle_threshold = 0.03;
+  Duration trickle_duration = 20s;
+  // Maximum number of released tokens that accumulate while none are used,
+  // expressed as time at the release rate. A request that needs all of them may
+  // have to wait this long.
+  Duration trickle_burst = 10s;
+  // Maximum age at which control's figure for the remainder is used for
+  // rationing and for predicting grants.
+  Duration trickle_max_age = 30s;
+  // A grant is likely if the remainder covers this many requests of the same
+  // size.
   int likely_requests = 10;
 };
 
-enum class BudgetAnswer {
-  kNoTotal,    // the team's consumption is not limited
-  kReserved,   // settle it when the request has ended
-  kWait,       // more was asked for, of control and of the other entries
-  kKept,       // the last of the total is spread over time; later, perhaps
-  kExhausted,  // what is left, or what is open to one request, is too little
+enum class BudgetDecision {
+  kUnlimited,  // the team's consumption is not limited
+  kReserved,   // to be settled when the request has ended
+  kWait,       // more tokens were requested from control and other entries
+  kKept,       // the remainder is rationed; a later attempt may succeed
+  kExhausted,  // needs more than the remainder or than `trickle_burst` allows
 };
 
-// Reserves requests of teams with a published total out of what control granted
-// this entry, and reports what they consumed. Nothing waits for a commit: a
-// grant is all spent unseen, and lost with this process but for what it
-// reported.
+// Reserves tokens for requests of teams with a published total, out of the
+// grants that control gave this entry, and reports what the requests consumed.
+// No request waits for a commit: grants are spent without an opening (the log
+// record that an attempt is about to be sent). If this process dies, all tokens
+// of its grants count as lost except those that were reported as spent.
 class HeldGrants {
  public:
   using NextId = std::function<std::unique_ptr<wire::CommandIdT>()>;
   HeldGrants(const HeldGrantsOptions& options, NextId next_id);
 
   void OnRoutes(const RouteTable& routes, size_t entries, Instant now);
-  BudgetAnswer Reserve(const TeamId& team, Tokens worst_case, Instant now);
-  // Whether control is in reach and said lately that the total has tokens for
-  // many requests of this size, so that its next grant covers one that waits.
+  BudgetDecision Reserve(const TeamId& team, Tokens worst_case, Instant now);
+  // Whether control is reachable and recently reported a remainder large enough
+  // for many requests of this size, so that its next grant is likely to cover a
+  // waiting request.
   bool GrantIsLikely(const TeamId& team, Tokens worst_case, Instant now) const;
-  // Ends a reservation; `answered`: the caller got a whole answer.
+  // Ends a reservation; `answered`: the caller got a complete response.
   void Settle(const TeamId& team, Tokens reserved, Tokens spent, bool answered,
               Instant now);
 
-  // Other entries' borrow requests and loans. A loan has left this entry when
-  // OnBorrow returns: 0 when nothing can be spared.
+  // Handles another entry's request to borrow tokens. Returns the number of
+  // tokens lent, which are already deducted here; 0 if none are idle.
   Tokens OnBorrow(const wire::TokenBorrowT& borrow, const HostRun& from,
                   Instant now);
+  // Adds tokens that another entry has lent.
   void OnLoan(const wire::TokenLoanT& loan, Instant now);
-  std::vector<wire::TokenBorrowT> TakeBorrows() {
-    return std::exchange(m_borrows, {});
+  std::vector<wire::TokenBorrowT> TakeBorrowRequests() {
+    return std::exchange(m_borrow_requests, {});
   }
 
-  // What the desk decides from, for the log.
+  // The figures behind a decision, for the log.
   struct Position {
     Tokens held = 0;
     Tokens reserved = 0;
     Tokens demand_per_second = 0;
-    Tokens left_elsewhere = 0;  // as control said last
+    Tokens left_elsewhere = 0;  // as last reported by control
     Duration left_age = 0s;
   };
   Position PositionOf(const TeamId& team, Instant now) const;
 
-  // Over all teams with a published total.
+  // Sums over all teams with a published total.
   struct Sums {
     Tokens held = 0;
     Tokens reserved = 0;
@@ -101,21 +111,21 @@
 
   void SetConnected(bool connected, Instant now);
   void OnRecall(const wire::RecallT& recall, Instant now);
-  // Control's answer to a command of this desk. True when a waiting request may
-  // now be covered.
+  // Control's answer to a command sent from here. Returns true if a waiting
+  // request may now be covered.
   bool OnAnswer(const wire::CommandAnswerT& answer, Instant now);
 
-  // What is to be proposed to control now.
+  // Commands to propose to control now.
   std::vector<wire::CommandT> TakeCommands(Instant now);
-  // The same at shutdown: reports everything and returns what is left.
+  // The same at shutdown: reports all spend and returns the unspent tokens.
   std::vector<wire::CommandT> TakeLastCommands(Instant now);
   std::vector<wire::BudgetHoldingT> Holdings(Instant now) const;
 
  private:
   budget::HoldingPolicy PolicyOf(const TeamId& team) const;
-  void LearnDemand(Instant now);
-  bool IsAsking(const TeamId& team) const;
-  wire::CommandT CommandOf(const budget::GrantWish& wish);
+  void ApplyKnownDemand(Instant now);
+  bool HasPendingRequest(const TeamId& team) const;
+  wire::CommandT CommandOf(const budget::GrantAdjustment& wish);
   void AddReport(std::optional<wire::ReportHoldingsT> report,
                  std::vector<wire::CommandT>* commands);
   template <typename Body>
@@ -129,38 +139,41 @@
   const HeldGrantsOptions m_options;
   const NextId m_next_id;
   std::unique_ptr<budget::Ledger> m_ledger;
-  std::unordered_map<TeamId, budget::BudgetHandle> m_handles;  // with a total
+  // Teams with a total.
+  std::unordered_map<TeamId, budget::BudgetHandle> m_handles;
   SpendReports m_reports;
-  // Asks that control has not answered, by the command's sequence.
-  std::unordered_map<uint64_t, TeamId> m_asks;
-  // Teams whose demand is not known yet, and since when they draw; the epoch:
-  // not at all.
-  std::unordered_map<TeamId, Instant> m_unknown;
+  // Grant requests that control has not answered, by the command's sequence
+  // number.
+  std::unordered_map<uint64_t, TeamId> m_pending_requests;
+  // Teams whose demand is not known yet, and the time of their first request; a
+  // default Instant if there was none.
+  std::unordered_map<TeamId, Instant> m_demand_unknown;
   size_t m_entries = 1;
   bool m_connected = false;
   std::unordered_map<TeamId, Tokens> m_totals;
   Instant m_next_report{};
-  // What is left of a total, as control said last.
+  // The remainder of a total, as last reported by control.
   struct Remainder {
     Tokens tokens = 0;
-    Instant heard{};
+    Instant received_at{};
   };
-  bool IsBeyondTotal(const TeamId& team, budget::BudgetHandle handle,
-                     Tokens worst_case, Instant now) const;
-  void AskToBorrow(const TeamId& team, budget::BudgetHandle handle,
-                   Tokens worst_case, Instant now);
-  // What an entry may spend by now of the last part of a total.
+  bool ExceedsTotal(const TeamId& team, budget::BudgetHandle handle,
+                    Tokens worst_case, Instant now) const;
+  void QueueBorrowRequest(const TeamId& team, budget::BudgetHandle handle,
+                          Tokens worst_case, Instant now);
+  // Token bucket for the last fraction of a total.
   struct Trickle {
-    double gathered = 0;
+    double accumulated = 0;
     Instant since{};
   };
-  std::optional<BudgetAnswer> KeptAnswer(const TeamId& team,
-                                         budget::BudgetHandle handle,
-                                         Tokens worst_case, Instant now);
+  std::optional<BudgetDecision> ThrottleDecision(const TeamId& team,
+                                                 budget::BudgetHandle handle,
+                                                 Tokens worst_case,
+                                                 Instant now);
   std::unordered_map<TeamId, Remainder> m_remainders;
   std::unordered_map<TeamId, Trickle> m_trickles;
   std::unordered_map<TeamId, Instant> m_last_borrow;
-  std::vector<wire::TokenBorrowT> m_borrows;
+  std::vector<wire::TokenBorrowT> m_borrow_requests;
 };
 
 }  // namespace dotterelshift::gateway
--- a/include/dotterelshift/loop/turn_watch.h
+++ b/include/dotterelshift/loop/turn_watch.h
@@ -10,15 +10,15 @@
 
 namespace dotterelshift::loop {
 
-// Calls back at the end of each turn of the loop that took at least `limit`:
-// for so long nothing was read and no timer was served.
-class TurnWatch {
+// Calls back at the end of each iteration of the loop that took at least
+// `limit`. During that time, no descriptor was read and no timer was served.
+class IterationWatcher {
  public:
   using Callback = std::function<void(Duration took)>;
-  TurnWatch(Loop& loop, Duration limit, Callback callback);
-  ~TurnWatch();
-  TurnWatch(const TurnWatch&) = delete;
-  TurnWatch& operator=(const TurnWatch&) = delete;
+  IterationWatcher(Loop& loop, Duration limit, Callback callback);
+  ~IterationWatcher();
+  IterationWatcher(const IterationWatcher&) = delete;
+  IterationWatcher& operator=(const IterationWatcher&) = delete;
 
  private:
   static void OnBegin(struct ev_loop*, ev_check* watcher, int events);
@@ -29,7 +29,7 @@
   Callback m_callback;
   Instant m_begin;
   ev_check m_begins;
-  PrepareWatcher m_ends;  // after all others
+  PrepareWatcher m_ends;  // lowest priority: called after all others
 };
 
 }  // namespace dotterelshift::loop
--- a/include/dotterelshift/orders/order_core.h
+++ b/include/dotterelshift/orders/order_core.h
@@ -14,32 +14,43 @@
 namespace dotterelshift::orders {
 
 struct OrderOptions {
-  int loads_at_once = 2;  // what the weight store carries
-  Duration longest_delivery =
-      10s;  // after which an order on its way cannot arrive any more
-  Duration resend = 5s;  // to an endpoint that checks fencing numbers
-  Duration lease = 3s;  // longest lease that a predecessor may still believe in
-  int max_sends = 20;   // then the order counts as lost
+  // Model loads at a time; the weight store's bandwidth is limited.
+  int max_concurrent_loads = 2;
+  // After this time a sent order can no longer arrive.
+  Duration max_delivery_time = 10s;
+  // Resend interval for endpoints that check fencing numbers. Orders for other
+  // endpoints are resent after `max_delivery_time`.
+  Duration resend_interval = 5s;
+  // Longest lease that a previous leader may still hold.
+  Duration lease = 3s;
+  // After this many sends without a result the order is recorded as Lost.
+  int max_sends = 20;
 };
 
 struct OrderAction {
   enum class Kind { kSend, kRecord } kind = Kind::kSend;
   wire::OrderT order;
-  std::string address;                                 // kSend: the endpoint's
-  wire::OrderState state = wire::OrderState::Planned;  // kRecord
+  // For kSend: the address of the endpoint.
+  std::string address;
+  // For kRecord: the state to record.
+  wire::OrderState state = wire::OrderState::Planned;
   std::string detail;
 };
 
-// Decides on the leader which committed orders go out and when: staged under
-// the weight store's rate; to an endpoint that does not check fencing numbers
-// one at a time, only inside the lease, and after a new leader has waited out
-// its predecessor's lease and the longest delivery.
+// Decides on the leader which committed orders to send and when. Limits the
+// number of concurrent model loads, because the weight store has a limited
+// bandwidth, and sends the orders of one endpoint one at a time.
+//
+// An endpoint that does not check fencing numbers cannot reject an order of a
+// deposed leader. Orders are therefore sent to it only while the lease holds,
+// and a new leader first waits until its predecessor's lease has expired and
+// everything that the predecessor sent has been delivered or lost.
 class OrderCore {
  public:
   virtual ~OrderCore() = default;
   virtual void OnLeadership(bool leads, Instant now) = 0;
-  // What the endpoint said: Done or Refused end the order; Lost means that no
-  // answer came, and it may be sent again.
+  // The result of sending an order. Done and Refused end the order. Lost means
+  // that no answer came, so the order may be sent again.
   virtual void OnResult(const std::string& order, wire::OrderState state,
                         const std::string& detail, Instant now) = 0;
   virtual std::vector<OrderAction> Decide(const state::State& state,
--- a/include/dotterelshift/routing/outliers.h
+++ b/include/dotterelshift/routing/outliers.h
@@ -3,32 +3,36 @@
 
 #include <vector>  // for vector
 
-#include "dotterelshift/routing/seat.h"  // for Seat
+#include "dotterelshift/routing/endpoint_state.h"  // for EndpointState
 
 namespace dotterelshift::routing {
 
 struct OutlierOptions {
-  double slow_factor = 3;      // times the median first token of its kin
-  double slow_margin_ms = 50;  // and slower by at least this
-  int enough_samples = 8;
-  int failures = 3;              // in a row
-  Duration first_ejection = 2s;  // doubled each time in a row
-  Duration longest_ejection = 60s;
-  double most_ejected = 0.34;  // of the seats that serve the same target
+  // An endpoint is slow if its first-token time exceeds the median of the
+  // endpoints that serve the same target by both this factor and this margin.
+  double slow_factor = 3;
+  double slow_margin_ms = 50;
+  int min_samples = 8;           // before a first-token time is judged
+  int failures = 3;              // consecutive
+  Duration first_ejection = 2s;  // doubled with each consecutive ejection
+  Duration max_ejection = 60s;
+  double max_ejected_fraction =
+      0.34;  // of the endpoints that serve the same target
 };
 
-// An answer's first token came after this time.
-void NoteFirstToken(Seat* seat, double milliseconds);
+// Records the time to a response's first token.
+void RecordFirstToken(EndpointState* state, double milliseconds);
 
-// An attempt ended. Failures in a row eject the seat.
-void NoteEnd(Seat* seat, bool failed, const OutlierOptions& options,
-             Instant now);
+// Records the end of an attempt. Consecutive failures eject the endpoint.
+void RecordAttemptEnd(EndpointState* state, bool failed,
+                      const OutlierOptions& options, Instant now);
 
-// Takes the slow ones among seats that serve the same target out for a time,
-// never so many that the others could not carry the work. An ejected seat comes
-// back without a record and has to show anew how fast it is.
-void EjectSlow(const std::vector<Seat*>& kin, const OutlierOptions& options,
-               Instant now);
+// Temporarily ejects the slow endpoints among those that serve the same target.
+// At most OutlierOptions::max_ejected_fraction of them may be ejected or
+// unusable after an ejection, so that the others can carry the load. After its
+// ejection an endpoint starts without measurements.
+void EjectSlow(const std::vector<EndpointState*>& peers,
+               const OutlierOptions& options, Instant now);
 
 }  // namespace dotterelshift::routing
 
--- a/src/dotterelshift/admission/fair_queue_test.cc
+++ b/src/dotterelshift/admission/fair_queue_test.cc
@@ -28,16 +28,16 @@
 class FairQueueTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FairQueueTest);
   CPPUNIT_TEST(SharesFollowWeightAndCost);
-  CPPUNIT_TEST(FloodDoesNotHoldUpAnotherTeam);
-  CPPUNIT_TEST(IdleTeamGainsNothing);
+  CPPUNIT_TEST(FloodOfOneTeamDoesNotDelayAnother);
+  CPPUNIT_TEST(IdleTeamEarnsNoCredit);
   CPPUNIT_TEST(PriorityThenArrivalWithinATeam);
-  CPPUNIT_TEST(BoundsOfTeamAndQueue);
-  CPPUNIT_TEST(DeadlinesPass);
-  CPPUNIT_TEST(TeamThatCannotStartDoesNotHoldUpOthers);
-  CPPUNIT_TEST(ManyTeamsThatCannotStartAreTriedInTurn);
-  CPPUNIT_TEST(StartMayPushAndRemove);
-  CPPUNIT_TEST(CostAheadIsWhatIsServedBefore);
-  CPPUNIT_TEST(WaitFollowsTheRate);
+  CPPUNIT_TEST(EnforcesTeamAndQueueLimits);
+  CPPUNIT_TEST(ExpiredRequestsLeaveTheQueue);
+  CPPUNIT_TEST(BlockedTeamDoesNotDelayOthers);
+  CPPUNIT_TEST(ManyBlockedTeamsAreTriedRoundRobin);
+  CPPUNIT_TEST(CallbackMayPushAndRemove);
+  CPPUNIT_TEST(CostAheadMatchesTheCostServedBefore);
+  CPPUNIT_TEST(ExpectedWaitFollowsTheServiceRate);
   CPPUNIT_TEST(IdleTimeDoesNotSlowTheEstimate);
   CPPUNIT_TEST_SUITE_END();
 
@@ -46,7 +46,7 @@
     struct Row {
       double cost;
       uint32_t weight;
-      int served;  // of 60 starts, beside a team of cost 1 and weight 1
+      int served;  // out of 60 starts, against a team of cost 1 and weight 1
     };
     for (const Row& row : {Row{1, 1, 30}, Row{1, 2, 40}, Row{1, 5, 50},
                            Row{2, 1, 20}, Row{4, 2, 20}}) {
@@ -59,14 +59,14 @@
     }
   }
 
-  void FloodDoesNotHoldUpAnotherTeam() {
+  void FloodOfOneTeamDoesNotDelayAnother() {
     for (RequestId i = 0; i < 200; ++i) m_queue->Push(Make(i, "flood"));
     Start(50);
     m_queue->Push(Make(1000, "quiet"));
     CPPUNIT_ASSERT_EQUAL(1, Start(2)["quiet"]);
   }
 
-  void IdleTeamGainsNothing() {
+  void IdleTeamEarnsNoCredit() {
     for (RequestId i = 0; i < 200; ++i) m_queue->Push(Make(i, "a"));
     Start(100);
     for (RequestId i = 1000; i < 1100; ++i) m_queue->Push(Make(i, "b"));
@@ -87,7 +87,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_queue->Size());
   }
 
-  void BoundsOfTeamAndQueue() {
+  void EnforcesTeamAndQueueLimits() {
     m_queue = MakeFairQueue({.max_waiting_per_team = 2, .max_waiting = 3});
     CPPUNIT_ASSERT(m_queue->Push(Make(1, "a")));
     CPPUNIT_ASSERT(m_queue->Push(Make(2, "a")));
@@ -101,7 +101,7 @@
     CPPUNIT_ASSERT(!m_queue->Push(Make(4, "d")));
   }
 
-  void DeadlinesPass() {
+  void ExpiredRequestsLeaveTheQueue() {
     Waiting early = Make(1, "a");
     early.deadline = At(1s);
     m_queue->Push(Make(2, "a"));
@@ -112,7 +112,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_queue->Size());
   }
 
-  void TeamThatCannotStartDoesNotHoldUpOthers() {
+  void BlockedTeamDoesNotDelayOthers() {
     m_queue->Push(Make(1, "stuck"));
     m_queue->Push(Make(2, "free"));
     int started = 0;
@@ -125,7 +125,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_queue->SizeOf("stuck"));
   }
 
-  void ManyTeamsThatCannotStartAreTriedInTurn() {
+  void ManyBlockedTeamsAreTriedRoundRobin() {
     for (RequestId i = 0; i < 100; ++i)
       m_queue->Push(Make(i, "stuck" + std::to_string(i)));
     m_queue->Push(Make(1000, "free"));
@@ -137,7 +137,7 @@
     }
   }
 
-  void StartMayPushAndRemove() {
+  void CallbackMayPushAndRemove() {
     for (RequestId i = 0; i < 10; ++i) m_queue->Push(Make(i, "a"));
     int offered = 0;
     const auto start = [&](const Waiting& waiting) {
@@ -146,7 +146,7 @@
       if (offered == 1) m_queue->Push(Make(100, "b"));
       return offered % 2 == 0;
     };
-    // Each call makes some way, whatever its callback does.
+    // Each call makes progress, whatever its callback does.
     for (int calls = 1; m_queue->Size() > 0; ++calls) {
       m_queue->Offer(start);
       CPPUNIT_ASSERT(offered >= calls);
@@ -154,7 +154,7 @@
     CPPUNIT_ASSERT_EQUAL(11, offered);
   }
 
-  void CostAheadIsWhatIsServedBefore() {
+  void CostAheadMatchesTheCostServedBefore() {
     for (RequestId i = 0; i < 100; ++i) m_queue->Push(Make(i, "flood"));
     for (RequestId i = 200; i < 205; ++i) m_queue->Push(Make(i, "a", 2));
     m_queue->Push(Make(300, "a", 2, 1, 9));
@@ -172,19 +172,19 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0, m_queue->CostAhead(Make(1, "new")), 2);
   }
 
-  void WaitFollowsTheRate() {
+  void ExpectedWaitFollowsTheServiceRate() {
     WaitEstimator estimator;
     CPPUNIT_ASSERT(estimator.Expected("m", 1000, At(0s)) == 0s);
     estimator.OnWaiting("m", true, At(0s));
     for (int i = 1; i <= 100; ++i)
       estimator.OnStarted("m", 2, true, At(i * 50ms));
-    // 40 of cost a second.
+    // A cost of 40 is served per second.
     const Duration wait = estimator.Expected("m", 400, At(5s));
     CPPUNIT_ASSERT(wait > 9s && wait < 11s);
     CPPUNIT_ASSERT(!estimator.RefuseFor("m", 400, 15s, At(5s)));
     const auto refused = estimator.RefuseFor("m", 400, 2s, At(5s));
     CPPUNIT_ASSERT(refused && *refused > 7s && *refused < 10s);
-    // When nothing starts any more the estimate grows by itself.
+    // The estimate grows while no request is started.
     CPPUNIT_ASSERT(estimator.Expected("m", 400, At(10s)) > 2 * wait);
   }
 
@@ -199,7 +199,7 @@
   }
 
  private:
-  // Starts so many requests; returns how many of each team.
+  // Starts this many requests; returns the count per team.
   std::map<TeamId, int> Start(int count) {
     std::map<TeamId, int> started;
     m_queue->Offer([&](const Waiting& waiting) {
--- a/src/dotterelshift/app/control.cc
+++ b/src/dotterelshift/app/control.cc
@@ -15,7 +15,7 @@
 #include "dotterelshift/app/routes_port.h"         // for MakeRoutesControl
 #include "dotterelshift/base/address.h"            // for ParseAddress
 #include "dotterelshift/budget/recall_core.h"      // for RecallCore
-#include "dotterelshift/callers/front.h"           // for AnswerError
+#include "dotterelshift/callers/front.h"           // for SendErrorResponse
 #include "dotterelshift/endpoints/order_sender.h"  // for SendOrder
 #include "dotterelshift/orders/order_core.h"       // for OrderCore
 #include "dotterelshift/replication/membership.h"  // for VoterCount
@@ -26,9 +26,9 @@
 namespace {
 
 constexpr Duration kTick = 100ms;
-// How often the leader lets old bills and claims age out.
-constexpr Duration kAgeOutEvery = 60s;
-// Within the longest delivery that the order core waits out.
+// How often the leader proposes to compact old bills and claims.
+constexpr Duration kAgeOutInterval = 60s;
+// Shorter than the longest delivery time that the order core allows for.
 constexpr Duration kOrderTimeout = 8s;
 
 std::vector<HostId> FirstMembers(const settings::Settings& settings) {
@@ -41,13 +41,14 @@
   return own ? members : std::vector<HostId>{};
 }
 
-// A leader's lease ends before any replica may stand for election.
+// A leader's lease ends before any replica may start an election.
 Duration LeaseOf(Duration election_timeout) {
-  constexpr int kParts = 6;
-  return election_timeout / kParts * (kParts - 1);
+  constexpr int kLeaseDivisor = 6;
+  return election_timeout / kLeaseDivisor * (kLeaseDivisor - 1);
 }
 
-// Under published routes entries only listen, so control tells each of them.
+// With published routes the entries only receive gossip, so control sends to
+// each of them.
 directory::SpreadOptions SpreadOptionsOf(const settings::Settings& settings) {
   constexpr size_t kAll = 1000;
   directory::SpreadOptions options;
@@ -56,8 +57,8 @@
   return options;
 }
 
-// The control role: one replica of the state, the entries that propose to it,
-// and the operators.
+// The control role: runs one replica of the state and serves the entries that
+// propose to it and the operators.
 class Control : public Daemon {
  public:
   Control(loop::Loop& loop, const settings::Settings& settings,
@@ -72,7 +73,7 @@
   void Reload(const settings::Settings& settings) override;
 
  private:
-  void DialMember(const std::string& address);
+  void DialMemberAddress(const std::string& address);
 
   http::ServerOptions ServerOptions() const;
   peers::HubCallbacks HubCallbacks();
@@ -82,18 +83,18 @@
   void OnPeerUp(const peers::PeerInfo& peer);
   void OnPeerFrame(const peers::PeerInfo& peer, const wire::FrameT& frame);
   void OnPropose(const peers::PeerInfo& peer, const wire::ProposeT& propose);
-  void OnBeat(const peers::PeerInfo& peer, const wire::EntryBeatT& beat);
+  void OnHeartbeat(const peers::PeerInfo& peer, const wire::EntryBeatT& beat);
   void OnSpool(const peers::PeerInfo& peer, const wire::SpoolT& spool);
   void SendHint(const HostId& host);
   void OnApplied(const wire::CommandBatchT& batch,
                  const std::vector<wire::CommandAnswerT>& answers);
-  void RecallFor(const wire::CommandIdT& asker,
+  void RecallFor(const wire::CommandIdT& requester,
                  const wire::RequestGrantT& request,
                  const wire::GrantAnswerT& answer);
   void SendOrders();
   void SendOrder(const orders::OrderAction& action);
   void SchedulePushes();
-  void PushSome();
+  void PushPending();
   void OnTick();
   std::unique_ptr<wire::CommandIdT> NextId();
   void UpdateGauges();
@@ -137,7 +138,7 @@
       m_client(http::MakeClient(loop)),
       m_orders(orders::MakeOrderCore()),
       m_tick(loop, [this] { OnTick(); }),
-      m_push(loop, [this] { PushSome(); }) {
+      m_push(loop, [this] { PushPending(); }) {
   m_server = http::MakeServer(loop, ServerOptions(),
                               [this](std::shared_ptr<http::Exchange> exchange) {
                                 OnExchange(std::move(exchange));
@@ -163,7 +164,7 @@
   options.self_address = settings.address + ":" + std::to_string(m_hub->Port());
   options.self_healing = settings.self_healing;
   options.node.heartbeat = settings.leader_heartbeat;
-  options.node.election_least = settings.election_timeout;
+  options.node.min_election_timeout = settings.election_timeout;
   options.node.lease = LeaseOf(settings.election_timeout);
   m_replica = MakeControlReplica(loop, options, ReplicaCallbacks());
   m_pushes = std::make_unique<EntryPushes>(*m_hub, *m_replica);
@@ -184,7 +185,7 @@
 
 http::ServerOptions Control::ServerOptions() const {
   http::ServerOptions options = ListenOptions(m_settings);
-  options.refusal = callers::RefusalAnswer;
+  options.refusal = callers::ServerRefusalResponse;
   return options;
 }
 
@@ -218,9 +219,10 @@
       if (peer.role == wire::HostRole::Control) hosts.push_back(peer.run.host);
     return hosts;
   };
-  callbacks.on_members_heard = [this](const std::vector<std::string>& members) {
-    for (const std::string& address : members) DialMember(address);
-  };
+  callbacks.on_members_received =
+      [this](const std::vector<std::string>& members) {
+        for (const std::string& address : members) DialMemberAddress(address);
+      };
   callbacks.on_leadership_changed = [this] {
     const bool leads = m_replica != nullptr && m_replica->Leads();
     m_orders->OnLeadership(leads, m_loop.Now());
@@ -263,7 +265,7 @@
     exchange->Answer(200, {{"content-type", "text/plain; version=0.0.4"}},
                      m_metrics->Text());
   } else {
-    callers::AnswerError(*exchange, ErrorKind::kUnknownPath, path);
+    callers::SendErrorResponse(*exchange, ErrorKind::kUnknownPath, path);
   }
 }
 
@@ -281,7 +283,7 @@
   if (const auto* propose = frame.body.AsPropose()) {
     OnPropose(peer, *propose);
   } else if (const auto* beat = frame.body.AsEntryBeat()) {
-    OnBeat(peer, *beat);
+    OnHeartbeat(peer, *beat);
   } else if (const auto* spool = frame.body.AsSpool()) {
     OnSpool(peer, *spool);
   } else if (peer.role == wire::HostRole::Control) {
@@ -293,8 +295,8 @@
                         const wire::ProposeT& propose) {
   std::vector<wire::CommandT> commands;
   for (const auto& command : propose.commands) {
-    // An entry speaks only for its own run; a replica also for the entries
-    // whose spools it keeps.
+    // An entry may propose only for its own incarnation; a replica also for the
+    // entries whose commands it has spooled.
     const bool own = command != nullptr && command->id != nullptr &&
                      (peer.role == wire::HostRole::Control ||
                       (command->id->host == peer.run.host &&
@@ -326,19 +328,19 @@
   m_hub->Send(host, peers::MakeFrame(std::move(hint)));
 }
 
-void Control::OnBeat(const peers::PeerInfo& peer,
-                     const wire::EntryBeatT& beat) {
-  if (!m_pushes->OnBeat(peer.run.host, beat, m_loop.Now())) return;
-  m_recalls.OnBeat(peer.run.host, beat, m_loop.Now());
+void Control::OnHeartbeat(const peers::PeerInfo& peer,
+                          const wire::EntryBeatT& beat) {
+  if (!m_pushes->OnHeartbeat(peer.run.host, beat, m_loop.Now())) return;
+  m_recalls.OnHeartbeat(peer.run.host, beat, m_loop.Now());
   const HostId host = peer.run.host;
   m_replica->ConfirmedRead(
       [this, host, sequence = beat.sequence](ErrorKind error) {
         if (error == ErrorKind::kNone) {
           SchedulePushes();
-          return m_pushes->AnswerBeat(host, sequence, m_loop.WallNow());
+          return m_pushes->AnswerHeartbeat(host, sequence, m_loop.WallNow());
         }
-        // An entry that has just started knows the seeds alone, and none of
-        // them may lead.
+        // An entry that has just started knows only the seeds, and possibly
+        // none of them leads.
         SendHint(host);
       });
 }
@@ -347,7 +349,7 @@
   try {
     m_replica->Spool(spool);
   } catch (const Error& error) {
-    // Not stored, so not acknowledged: the entry tries another replica.
+    // Not stored, so not acknowledged: the entry sends it again.
     telemetry::Log(telemetry::LogLevel::kError, "spool_not_stored",
                    {{"detail", error.what()}});
     return;
@@ -362,7 +364,7 @@
 
 void Control::OnApplied(const wire::CommandBatchT& batch,
                         const std::vector<wire::CommandAnswerT>& answers) {
-  // While the folder is read at the start there is nobody to tell.
+  // While the log is restored at the start no entry is connected.
   if (m_replica == nullptr || !m_replica->Leads()) return;
   bool suspects = false;
   for (size_t i = 0; i < answers.size(); ++i) {
@@ -377,14 +379,15 @@
   if (suspects) m_pushes->PushQuarantineToAll(m_loop.WallNow());
 }
 
-// Asks holders for what is idle when a request got less than it needs.
-void Control::RecallFor(const wire::CommandIdT& asker,
+// Recalls idle tokens from other holders if a request was granted less than its
+// minimum.
+void Control::RecallFor(const wire::CommandIdT& requester,
                         const wire::RequestGrantT& request,
                         const wire::GrantAnswerT& answer) {
   const bool enough = answer.tokens > 0 && answer.tokens >= request.minimum;
   if (enough || answer.elsewhere == 0) return;
   if (!m_recalls.IsDue(request, m_loop.Now())) return;
-  const HostRun run{asker.host, asker.incarnation};
+  const HostRun run{requester.host, requester.incarnation};
   auto recalls = m_recalls.OnShortage(
       run, request, m_replica->GetState().HoldingsOf(request.budget),
       m_loop.Now());
@@ -407,7 +410,7 @@
       record.detail = action.detail;
       wire::CommandT command;
       command.body.Set(std::move(record));
-      // What is not committed is decided and recorded again.
+      // If the record is not committed, the order core decides again.
       m_backend->Propose(std::move(command),
                          [](ErrorKind, const wire::CommandAnswerT&) {});
     }
@@ -424,26 +427,27 @@
       });
 }
 
-// In a turn of its own, so that what a turn has applied is pushed once, and the
-// group is served between the pushes to a large fleet.
+// Pushes in a separate loop iteration, so that all changes applied in one
+// iteration are pushed once, and frames of the group are handled between the
+// pushes to a large fleet.
 void Control::SchedulePushes() {
   if (std::exchange(m_pushes_scheduled, true)) return;
   m_push.ArmIn(0ms);
 }
 
-void Control::PushSome() {
+void Control::PushPending() {
   m_pushes_scheduled = false;
   if (!m_replica->Leads()) return;
-  if (m_pushes->PushSome(m_loop.Now())) SchedulePushes();
+  if (m_pushes->PushPending(m_loop.Now())) SchedulePushes();
 }
 
 void Control::OnTick() {
   const Instant now = m_loop.Now();
   SendOrders();
-  // What waited for an entry's connection to empty.
+  // Retries pushes that were postponed because of an entry's backlog.
   SchedulePushes();
   if (m_replica->Leads() && now >= m_next_age_out) {
-    m_next_age_out = now + kAgeOutEvery;
+    m_next_age_out = now + kAgeOutInterval;
     wire::CommandT command;
     command.body.Set(wire::AgeOutT());
     m_backend->Propose(std::move(command),
@@ -460,8 +464,8 @@
   return id;
 }
 
-// A hub address that another daemon named; one that is none is passed over.
-void Control::DialMember(const std::string& address) {
+// Dials a hub address received from another daemon; ignores invalid ones.
+void Control::DialMemberAddress(const std::string& address) {
   if (ParseAddress(address)) m_hub->Dial(address);
 }
 
--- a/src/dotterelshift/app/directory_exchange.cc
+++ b/src/dotterelshift/app/directory_exchange.cc
@@ -4,7 +4,7 @@
 #include <utility>  // for move, exchange
 #include <variant>  // for get_if
 
-#include "dotterelshift/callers/front.h"           // for AnswerError
+#include "dotterelshift/callers/front.h"           // for SendErrorResponse
 #include "dotterelshift/endpoints/announcement.h"  // for ParseAnnouncement
 
 namespace dotterelshift::app {
@@ -37,12 +37,12 @@
 void DirectoryExchange::OnAnnounce(http::Exchange& exchange) {
   auto parsed = endpoints::ParseAnnouncement(exchange.GetRequest().body);
   if (const auto* refusal = std::get_if<callers::Refusal>(&parsed)) {
-    callers::AnswerError(exchange, refusal->kind, refusal->detail);
+    callers::SendErrorResponse(exchange, refusal->kind, refusal->detail);
     return;
   }
   const auto& announcement = std::get<endpoints::Announcement>(parsed);
   m_spread.OnAnnounced(announcement.record, m_loop.Now());
-  // Hints for this daemon only: see docs/decisions/routing.md.
+  // Cache events are hints for this daemon only: see docs/decisions/routing.md.
   if (!announcement.cache_events.empty())
     m_callbacks.on_cache_events(announcement.cache_events);
   exchange.Answer(200, {{"content-type", "application/json"}}, "{}");
@@ -79,7 +79,7 @@
   }
   if (m_directory.Generation() != m_generation) {
     m_generation = m_directory.Generation();
-    m_callbacks.on_offer();
+    m_callbacks.on_offer_changed();
   }
   m_timer.ArmAt(m_spread.NextTimer());
 }
--- a/src/dotterelshift/app/entry.cc
+++ b/src/dotterelshift/app/entry.cc
@@ -16,19 +16,20 @@
 
 using serving::ControlReach;
 
-// How often the reach of control, the holdings and the gauges are looked at.
+// Interval at which control's reachability, the holdings and the gauges are
+// checked.
 constexpr Duration kTick = 50ms;
-// How long a drained entry waits for control to take its grants back.
-constexpr Duration kReturnPatience = 10s;
-// How often the router takes over what endpoints report of their load, which
-// they themselves report with a lag.
-constexpr Duration kLoadRefreshEvery = 500ms;
+// How long a drained entry waits for control to accept its returned grants.
+constexpr Duration kGrantReturnTimeout = 10s;
+// Interval at which the router adopts the load that endpoints report. The
+// reports themselves are delayed.
+constexpr Duration kLoadRefreshInterval = 500ms;
 
 // The request core numbers its own commands from 1.
 constexpr uint64_t kRegistrationSequence = 0;
 
-// The entry role: callers on one side, endpoints and control on the other, the
-// request core between them.
+// The entry role: connects callers with endpoints and control through the
+// request core.
 class Entry : public Daemon {
  public:
   Entry(loop::Loop& loop, const settings::Settings& settings,
@@ -113,7 +114,7 @@
                }),
       m_prepare(
           loop, [this] { SendToControl(); }, EV_MINPRI + 1) {
-  serving::RequestCoreParts parts;
+  serving::RequestCoreDependencies parts;
   parts.configuration = &m_link.GetConfiguration();
   parts.directory = &m_directory.GetDirectory();
   parts.ledger = m_ledger.get();
@@ -186,7 +187,7 @@
   options.max_body_bytes = m_settings.max_body_bytes;
   options.max_connections = m_settings.max_connections;
   options.receive_timeout = m_settings.receive_timeout;
-  options.refusal = callers::RefusalAnswer;
+  options.refusal = callers::ServerRefusalResponse;
   return options;
 }
 
@@ -228,7 +229,7 @@
     exchange->Answer(200, {{"content-type", "text/plain; version=0.0.4"}},
                      m_metrics->Text());
   } else {
-    callers::AnswerError(*exchange, ErrorKind::kUnknownPath, path);
+    callers::SendErrorResponse(*exchange, ErrorKind::kUnknownPath, path);
   }
 }
 
@@ -249,7 +250,7 @@
 
 void Entry::TakeFromLink() {
   const Instant now = m_loop.Now();
-  m_core->OnEntries(m_link.EntryPlace(), m_link.EntryCount());
+  m_core->OnEntriesChanged(m_link.EntryIndex(), m_link.EntryCount());
   if (m_link.GetConfiguration().Version() != m_version) Refresh();
   if (m_link.Reach() != m_reach) {
     m_reach = m_link.Reach();
@@ -258,8 +259,8 @@
     m_core->OnControlReach(m_reach, now);
   }
   for (const wire::CommandAnswerT& answer : m_link.TakeAnswers()) {
-    // What a superseded run commits is refused, so it serves no more.
-    if (m_registration->OnAnswer(answer) == RunStanding::kSuperseded)
+    // Commands of a superseded incarnation are refused, so it stops serving.
+    if (m_registration->OnAnswer(answer) == IncarnationStatus::kSuperseded)
       Shutdown();
     m_core->OnAnswer(answer, now);
   }
@@ -292,7 +293,7 @@
   }
   m_link.SetHoldings(std::move(holdings));
   if (now >= m_next_load_refresh) {
-    m_next_load_refresh = now + kLoadRefreshEvery;
+    m_next_load_refresh = now + kLoadRefreshInterval;
     m_router->Refresh(m_directory.GetDirectory(), m_link.GetConfiguration(),
                       now);
   }
@@ -325,12 +326,12 @@
                       "Endpoints that may be given work",
                       static_cast<double>(usable));
   const std::pair<std::string_view, uint64_t> counters[] = {
-      {"dotterelshift_late_pieces_dropped_total", serving.late_pieces_dropped},
+      {"dotterelshift_late_pieces_dropped_total", serving.late_chunks_dropped},
       {"dotterelshift_retries_total", serving.retries},
       {"dotterelshift_retries_denied_total", serving.retries_denied},
       {"dotterelshift_false_refusals_total", serving.false_refusals},
       {"dotterelshift_unwitnessed_attempts_total",
-       serving.unwitnessed_attempts},
+       serving.attempts_without_opening},
       {"dotterelshift_spooled_settlements_total", serving.spooled_settlements},
       {"dotterelshift_peer_bytes_in_total", hub.bytes_in},
       {"dotterelshift_peer_bytes_out_total", hub.bytes_out},
@@ -351,13 +352,15 @@
 }
 
 void Entry::CheckDrained() {
-  if (!m_draining || !m_core->Drained() || m_traffic->OpenAnswers() > 0) return;
+  if (!m_draining || !m_core->Drained() || m_traffic->OpenResponses() > 0)
+    return;
   const Instant now = m_loop.Now();
   if (!m_drained_since.has_value()) m_drained_since = now;
-  // Settlements are committed or spooled by now. Grants go back as soon as
-  // control can be reached; after a while they are left to the next run.
+  // Settlements are committed or spooled by now. Grants are returned as soon as
+  // control can be reached; after kGrantReturnTimeout they are left to the next
+  // incarnation.
   const bool returned = m_reach == ControlReach::kConnected && m_link.Idle();
-  if (!returned && now - *m_drained_since < kReturnPatience) return;
+  if (!returned && now - *m_drained_since < kGrantReturnTimeout) return;
   telemetry::Log(telemetry::LogLevel::kInfo, "shutdown_done",
                  {{"grants_returned", returned ? "yes" : "no"}});
   m_loop.Stop();
--- a/src/dotterelshift/app/entry_pushes_test.cc
+++ b/src/dotterelshift/app/entry_pushes_test.cc
@@ -6,19 +6,19 @@
 
 #include "dotterelshift/app/leader_testing.h"     // for MockReplica
 #include "dotterelshift/state/packed_document.h"  // for PackDocument
-#include "dotterelshift/state/state_testing.h"    // for TestRun
+#include "dotterelshift/state/state_testing.h"    // for TestSender
 
 namespace dotterelshift::app {
 namespace {
 
-// Connections that take nothing until they are told to.
+// Connections that send nothing until their backlog is cleared.
 class MockHub : public peers::Hub {
  public:
   bool Send(const HostId& host, const wire::FrameT& frame) override {
     const wire::RoutesPushT* routes = frame.body.AsRoutesPush();
     if (routes == nullptr) return true;
     for (const auto& step : routes->steps) backlog[host] += step->packed.size();
-    most = std::max(most, backlog[host]);
+    max_backlog = std::max(max_backlog, backlog[host]);
     ++documents;
     versions[host] = routes->version;
     bases[host] = routes->steps.front()->base;
@@ -35,8 +35,8 @@
 
   std::map<HostId, size_t> backlog;
   std::map<HostId, uint64_t> versions;  // of the newest document sent
-  std::map<HostId, uint64_t> bases;     // of the first step sent
-  size_t most = 0;
+  std::map<HostId, uint64_t> bases;     // of the first delta sent
+  size_t max_backlog = 0;
   int documents = 0;
 
  private:
@@ -45,19 +45,19 @@
 
 class EntryPushesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EntryPushesTest);
-  CPPUNIT_TEST(AFleetThatStartsIsSentOneDocumentEach);
-  CPPUNIT_TEST(InAStormTheNewestReplacesWhatWaits);
-  CPPUNIT_TEST(ATurnPushesToAFewEntries);
-  CPPUNIT_TEST(WhatWasLostIsSentAgain);
-  CPPUNIT_TEST(AStepThatIsOfNoUseIsFollowedByTheWhole);
+  CPPUNIT_TEST(StartingFleetIsSentOneDocumentPerEntry);
+  CPPUNIT_TEST(NewestVersionReplacesPendingOnes);
+  CPPUNIT_TEST(PushesPerLoopIterationAreBounded);
+  CPPUNIT_TEST(LostDocumentIsSentAgain);
+  CPPUNIT_TEST(UnusableDeltaIsFollowedByTheFullDocument);
   CPPUNIT_TEST_SUITE_END();
 
  private:
   static constexpr size_t kDocumentBytes = 200'000;
   static constexpr int kEntries = 86;
 
-  // A document that no packing makes smaller, and that has nothing of the one
-  // before it.
+  // Commits an incompressible document that shares nothing with the previous
+  // one.
   void Commit(uint64_t version) {
     std::minstd_rand random(static_cast<uint32_t>(version));
     wire::PublishRoutesT routes;
@@ -72,7 +72,7 @@
     Commit(version);
     PushAll();
   }
-  // The next version, told as a step.
+  // Publishes the next version as a delta.
   void PublishStep(uint64_t version) {
     const state::PublishedRoutes in_force = m_replica.state->GetPublished();
     wire::PublishRoutesT routes;
@@ -84,19 +84,20 @@
     PushAll();
   }
 
-  // What the loop does in as many turns as it takes.
+  // Pushes until no entry remains, as the loop does over several iterations.
   void PushAll() {
-    while (m_pushes.PushSome(m_now)) {
+    while (m_pushes.PushPending(m_now)) {
     }
   }
 
-  void Beat(const HostId& host, uint64_t version, bool wants_routes = false) {
+  void SendHeartbeat(const HostId& host, uint64_t version,
+                     bool wants_routes = false) {
     wire::EntryBeatT beat;
     beat.wants_routes = wants_routes;
-    beat.sequence = ++m_beats;
+    beat.sequence = ++m_heartbeats;
     beat.routes_version = version;
-    m_pushes.OnBeat(host, beat, m_now);
-    m_pushes.AnswerBeat(host, beat.sequence, 1);
+    m_pushes.OnHeartbeat(host, beat, m_now);
+    m_pushes.AnswerHeartbeat(host, beat.sequence, 1);
     PushAll();
   }
 
@@ -108,23 +109,24 @@
     }
   }
 
-  // Entries that know no leader beat ten times a second, and none of them takes
-  // anything for two seconds.
-  void AFleetThatStartsIsSentOneDocumentEach() {
+  // Entries that know no leader send ten heartbeats a second. Each must be sent
+  // one document, although their connections send nothing for two seconds.
+  void StartingFleetIsSentOneDocumentPerEntry() {
     Publish(1);
     StartEntries();
     for (int round = 0; round < 20; ++round, m_now += 100ms)
-      for (int i = 0; i < kEntries; ++i) Beat("e" + std::to_string(i), 0);
+      for (int i = 0; i < kEntries; ++i)
+        SendHeartbeat("e" + std::to_string(i), 0);
     CPPUNIT_ASSERT_EQUAL(kEntries, m_hub.documents);
-    CPPUNIT_ASSERT_EQUAL(m_document_bytes, m_hub.most);
+    CPPUNIT_ASSERT_EQUAL(m_document_bytes, m_hub.max_backlog);
   }
 
-  void InAStormTheNewestReplacesWhatWaits() {
+  void NewestVersionReplacesPendingOnes() {
     StartEntries();
     uint64_t version = 0;
     for (int change = 0; change < 25; ++change, m_now += 80ms)
       Publish(++version);
-    CPPUNIT_ASSERT_EQUAL(m_document_bytes, m_hub.most);
+    CPPUNIT_ASSERT_EQUAL(m_document_bytes, m_hub.max_backlog);
     CPPUNIT_ASSERT_EQUAL(kEntries, m_hub.documents);
     m_hub.backlog.clear();
     PushAll();
@@ -133,62 +135,65 @@
       CPPUNIT_ASSERT_EQUAL(version, sent);
   }
 
-  // A leader that sent each of a large fleet its document in one turn of the
-  // loop lost its lease over it.
-  void ATurnPushesToAFewEntries() {
-    constexpr size_t kMostBytes = 256 << 10;
+  // A leader that sent a document to each entry of a large fleet in one loop
+  // iteration lost its lease.
+  void PushesPerLoopIterationAreBounded() {
+    constexpr size_t kMaxPushBytes = 256 << 10;
     StartEntries();
     Commit(1);
     int before = 0;
     for (bool more = true; more; before = m_hub.documents) {
-      more = m_pushes.PushSome(m_now);
+      more = m_pushes.PushPending(m_now);
       const size_t documents = m_hub.documents - before;
-      CPPUNIT_ASSERT(documents * kDocumentBytes <= kMostBytes + kDocumentBytes);
+      CPPUNIT_ASSERT(documents * kDocumentBytes <=
+                     kMaxPushBytes + kDocumentBytes);
     }
     CPPUNIT_ASSERT_EQUAL(kEntries, m_hub.documents);
     CPPUNIT_ASSERT_EQUAL(size_t{kEntries}, m_hub.versions.size());
   }
 
-  // A document that the entry could not use, or a connection that is new.
-  void WhatWasLostIsSentAgain() {
+  // An entry that still reports the old version after the push timeout, and an
+  // entry with a new connection, are sent the document again.
+  void LostDocumentIsSentAgain() {
     StartEntries();
     Publish(1);
     m_hub.backlog.clear();
-    Beat("e1", 0);
+    SendHeartbeat("e1", 0);
     CPPUNIT_ASSERT_EQUAL(kEntries, m_hub.documents);
     m_now += 5s;
-    Beat("e1", 0);
+    SendHeartbeat("e1", 0);
     CPPUNIT_ASSERT_EQUAL(kEntries + 1, m_hub.documents);
     m_hub.backlog.clear();
     peers::PeerInfo again;
     again.run = {"e2", 2};
     m_pushes.OnDown("e2");
     m_pushes.OnUp(again);
-    Beat("e2", 0);
+    SendHeartbeat("e2", 0);
     CPPUNIT_ASSERT_EQUAL(kEntries + 2, m_hub.documents);
   }
 
-  // Once: until the whole has come, beats go on asking for it.
-  void AStepThatIsOfNoUseIsFollowedByTheWhole() {
+  // The full document is sent once, although heartbeats request it until it has
+  // arrived.
+  void UnusableDeltaIsFollowedByTheFullDocument() {
     StartEntries();
     Publish(1);
     m_hub.backlog.clear();
     PublishStep(2);
     CPPUNIT_ASSERT_EQUAL(2 * kEntries, m_hub.documents);
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, m_hub.bases["e1"]);
-    for (int beat = 0; beat < 3; ++beat) Beat("e1", 1, true);
+    for (int beat = 0; beat < 3; ++beat) SendHeartbeat("e1", 1, true);
     CPPUNIT_ASSERT_EQUAL(2 * kEntries + 1, m_hub.documents);
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, m_hub.bases["e1"]);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, m_hub.versions["e1"]);
   }
 
   Instant m_now{1000s};
-  size_t m_document_bytes = 0;  // of the newest, as it is sent whole
-  uint64_t m_beats = 0;
+  size_t m_document_bytes = 0;  // of the newest, packed without a base
+  uint64_t m_heartbeats = 0;
   MockHub m_hub;
   MockReplica m_replica;
   EntryPushes m_pushes{m_hub, m_replica};
-  state::TestRun m_control{m_replica.state.get(), "control", 1};
+  state::TestSender m_control{m_replica.state.get(), "control", 1};
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(EntryPushesTest);
 
--- a/src/dotterelshift/app/gateway_entry.cc
+++ b/src/dotterelshift/app/gateway_entry.cc
@@ -14,8 +14,8 @@
 #include "dotterelshift/app/listen_options.h"      // for ListenOptions
 #include "dotterelshift/app/other_entries.h"       // for OtherEntries
 #include "dotterelshift/app/registration.h"        // for Registration
-#include "dotterelshift/callers/front.h"           // for AnswerError
-#include "dotterelshift/gateway/drain.h"           // for PlanDrain
+#include "dotterelshift/callers/front.h"           // for SendErrorResponse
+#include "dotterelshift/gateway/drain.h"           // for MakeDrainSchedule
 #include "dotterelshift/telemetry/log.h"           // for Log
 
 namespace dotterelshift::app {
@@ -23,10 +23,10 @@
 
 using serving::ControlReach;
 
-// How often the link to control and the reports of spend are looked at.
+// Interval at which the link to control and the spend reports are checked.
 constexpr Duration kTick = 50ms;
-// The entry role under published routes: callers on one side, endpoints and
-// control on the other, the gateway's core between them.
+// The entry role under published routes: connects callers with endpoints and
+// control through the gateway's core.
 class GatewayEntry : public Daemon {
  public:
   GatewayEntry(loop::Loop& loop, const settings::Settings& settings,
@@ -41,7 +41,7 @@
  private:
   void StartServers();
   peers::HubCallbacks HubCallbacks();
-  gateway::CoreParts Parts();
+  gateway::CoreDependencies Parts();
   void OnExchange(std::shared_ptr<http::Exchange> exchange);
   void OnHealth(http::Exchange& exchange);
   void OnPeerFrame(const peers::PeerInfo& peer, const wire::FrameT& frame);
@@ -58,9 +58,9 @@
   bool MayKeep(size_t silent) const;
   LinkGuard::Traffic LinkTraffic() const;
   void SendToPeers();
-  void ProposeSuspicion(const gateway::Suspicion& suspicion);
+  void ProposeSuspicion(const gateway::SuspectReport& suspicion);
   void CheckDrained();
-  void EndAnswers(bool drained);
+  void EndOpenRequests(bool drained);
   void ReturnHoldings();
   bool HasOpen() const;
   void UpdateGauges();
@@ -81,7 +81,7 @@
   gateway::RetryShare m_retries;
   LinkGuard m_link_guard;
   gateway::SendPacer m_pacer;
-  uint64_t m_paced_bytes = 0;  // of those that are not held back
+  uint64_t m_paced_bytes = 0;  // other bytes sent, as last reported to m_pacer
   quarantine::Blocklist m_blocklist;
   std::unique_ptr<gateway::Core> m_core;
   std::unique_ptr<telemetry::Metrics> m_metrics;
@@ -92,11 +92,11 @@
   std::unique_ptr<peers::Hub> m_hub;
   std::unique_ptr<OtherEntries> m_others;
   ControlReach m_reach = ControlReach::kNever;
-  uint64_t m_version = 0;       // of the routes in force here
-  uint64_t m_seen_version = 0;  // of the newest that came, readable or not
+  uint64_t m_version = 0;           // of the routes in force here
+  uint64_t m_received_version = 0;  // of the newest received, valid or not
   std::shared_ptr<const gateway::RouteTable> m_routes;
   size_t m_entries = 1;
-  std::optional<gateway::DrainTimes> m_drain;
+  std::optional<gateway::DrainSchedule> m_drain;
   std::optional<Instant> m_returning_since;
   loop::Timer m_tick;
   loop::PrepareWatcher m_prepare;
@@ -136,13 +136,13 @@
       loop, MakeHubOptions(settings, secret, incarnation, m_server->Port()),
       HubCallbacks());
   m_others = std::make_unique<OtherEntries>(loop, *m_hub,
-                                            NotePacerOptionsOf(settings));
+                                            LoadUpdatePacerOptionsOf(settings));
   m_directory.SetHub(m_hub.get());
   Register();
   m_tick.ArmIn(0ms);
 }
 
-gateway::CoreParts GatewayEntry::Parts() {
+gateway::CoreDependencies GatewayEntry::Parts() {
   return {&m_load, &m_budgets, &m_retries, &m_blocklist, &m_pacer};
 }
 
@@ -211,11 +211,11 @@
                                 const wire::FrameT& frame) {
   const Instant now = m_loop.Now();
   if (const auto* notes = frame.body.AsLoadNotes()) {
-    m_load.OnNotes(peer.run.host, *notes, now);
+    m_load.OnLoadUpdates(peer.run.host, *notes, now);
   } else if (const auto* borrow = frame.body.AsTokenBorrow()) {
     wire::TokenLoanT loan;
     loan.budget = borrow->budget;
-    // What this entry holds from here on goes back to control.
+    // Once holdings are being returned to control, nothing is lent any more.
     if (!m_returning_since)
       loan.tokens = m_budgets.OnBorrow(*borrow, peer.run, now);
     telemetry::LogDecision("tokens_lent", "",
@@ -235,7 +235,7 @@
 
 void GatewayEntry::TakeFromLink() {
   const Instant now = m_loop.Now();
-  if (m_link.RoutesVersion() != m_seen_version) TakeRoutes();
+  if (m_link.RoutesVersion() != m_received_version) TakeRoutes();
   if (m_link.EntryCount() != m_entries) TakeEntryCount();
   if (m_link.Reach() != m_reach) OnReach();
   for (const wire::CommandAnswerT& answer : m_link.TakeAnswers())
@@ -249,18 +249,19 @@
 }
 
 void GatewayEntry::TakeRoutes() {
-  m_seen_version = m_link.RoutesVersion();
+  m_received_version = m_link.RoutesVersion();
   const Instant start = m_loop.Now();
   std::string why;
   auto routes = m_dialect->ReadRoutes(m_link.RoutesDocument(), &why);
   if (!routes) {
-    // Control checks before it commits; only another version of the program
-    // can have let this pass.
-    telemetry::Log(telemetry::LogLevel::kError, "routes_unreadable",
-                   {{"version", std::to_string(m_seen_version)}, {"why", why}});
+    // Control validates routes before it commits them, so that this happens
+    // only if control runs another version of the program.
+    telemetry::Log(
+        telemetry::LogLevel::kError, "routes_unreadable",
+        {{"version", std::to_string(m_received_version)}, {"why", why}});
     return;
   }
-  m_version = m_seen_version;
+  m_version = m_received_version;
   m_routes = std::make_shared<const gateway::RouteTable>(std::move(*routes));
   m_core->OnRoutes(m_routes, m_entries, m_loop.Now());
   telemetry::Log(telemetry::LogLevel::kInfo, "routes_in_force",
@@ -270,7 +271,7 @@
                   {"read_ms", std::to_string(ToMs(m_loop.Now() - start))}});
 }
 
-// The routes stay as they were read.
+// Reuses the parsed routes; only the number of entries has changed.
 void GatewayEntry::TakeEntryCount() {
   m_entries = m_link.EntryCount();
   m_load.SetEntries(m_entries);
@@ -286,9 +287,9 @@
 }
 
 void GatewayEntry::OnAnswer(const wire::CommandAnswerT& answer) {
-  const RunStanding standing = m_registration.OnAnswer(answer);
-  if (standing == RunStanding::kSuperseded) return Shutdown();
-  if (standing == RunStanding::kRaised) return Register();
+  const IncarnationStatus status = m_registration.OnAnswer(answer);
+  if (status == IncarnationStatus::kSuperseded) return Shutdown();
+  if (status == IncarnationStatus::kRaised) return Register();
   if (const auto* suspect = answer.body.AsSuspectAnswer())
     m_blocklist.OnEntry(*suspect, m_loop.Now());
   if (m_budgets.OnAnswer(answer, m_loop.Now()))
@@ -316,7 +317,7 @@
 
 void GatewayEntry::OnTick() {
   const Instant now = m_loop.Now();
-  m_link_guard.OnControlTrip(m_link.TakeLongestBeat());
+  m_link_guard.OnControlRoundTrip(m_link.TakeMaxHeartbeatTime());
   m_link_guard.Watch(*m_server, m_hub->Counters(), now);
   m_link.SetHoldings(m_budgets.Holdings(now));
   m_link.OnTimer(now);
@@ -325,7 +326,8 @@
   m_tick.ArmIn(kTick);
 }
 
-// Of an entry that stops, callers on open connections go elsewhere, too.
+// An entry that shuts down keeps no connections, so that callers on open ones
+// move to other entries too.
 bool GatewayEntry::MayKeep(size_t silent) const {
   return !m_drain && m_link_guard.MayKeep(*m_server, silent, m_loop.Now());
 }
@@ -337,8 +339,8 @@
           m_core->WaitingForLink().bytes};
 }
 
-// At the end of each turn of the loop: commands to control, load notes to the
-// other entries.
+// Called at the end of each event loop iteration: sends commands to control and
+// load updates to the other entries.
 void GatewayEntry::SendToPeers() {
   const Instant now = m_loop.Now();
   m_link_guard.Adjust(*m_server, LinkTraffic(), now);
@@ -351,16 +353,16 @@
     for (wire::CommandT& command : m_budgets.TakeCommands(now))
       m_link.Propose(std::move(command));
   }
-  for (const gateway::Suspicion& suspicion : m_core->TakeSuspicions())
+  for (const gateway::SuspectReport& suspicion : m_core->TakeSuspectReports())
     ProposeSuspicion(suspicion);
   for (const auto& [host, frame] : m_link.TakeFrames(now))
     m_hub->Send(host, frame);
-  for (wire::TokenBorrowT& borrow : m_budgets.TakeBorrows())
-    m_others->SendToSome(peers::MakeFrame(std::move(borrow)));
-  m_others->SendNotes(m_load, now);
+  for (wire::TokenBorrowT& borrow : m_budgets.TakeBorrowRequests())
+    m_others->SendToNextFew(peers::MakeFrame(std::move(borrow)));
+  m_others->SendLoadUpdates(m_load, now);
 }
 
-void GatewayEntry::ProposeSuspicion(const gateway::Suspicion& suspicion) {
+void GatewayEntry::ProposeSuspicion(const gateway::SuspectReport& suspicion) {
   wire::CommandT command;
   command.id = NextId();
   if (suspicion.endpoint.empty()) {
@@ -390,7 +392,7 @@
   } else if (path == "/healthz") {
     exchange.Answer(200, {{"content-type", "text/plain"}}, "ok\n");
   } else {
-    callers::AnswerError(exchange, ErrorKind::kUnknownPath, path);
+    callers::SendErrorResponse(exchange, ErrorKind::kUnknownPath, path);
   }
 }
 
@@ -417,7 +419,8 @@
   SetLinkQueueMetrics(*m_metrics, m_core->WaitingForLink());
 }
 
-// Only what may change while running: through whom the group is found.
+// Applies only what may change while running: the addresses through which the
+// group can be reached.
 void GatewayEntry::Reload(const settings::Settings& settings) {
   for (const std::string& seed : settings.seeds)
     m_hub->Dial(PeerAddressOf(seed, settings.peer_port));
@@ -428,8 +431,8 @@
   if (m_drain) return;
   telemetry::Log(telemetry::LogLevel::kInfo, "shutdown_begun",
                  {{"open", std::to_string(m_core->OpenRequests())}});
-  m_drain = gateway::PlanDrain(m_loop.Now(), m_settings.shutdown_notice,
-                               m_settings.shutdown_limit);
+  m_drain = gateway::MakeDrainSchedule(m_loop.Now(), m_settings.shutdown_notice,
+                                       m_settings.shutdown_limit);
   m_core->StartDraining(*m_drain);
 }
 
@@ -438,13 +441,14 @@
   const Instant now = m_loop.Now();
   if (!m_returning_since) {
     const bool drained = now > m_drain->notice_end && !HasOpen();
-    if (drained || now >= m_drain->last_answer) EndAnswers(drained);
+    if (drained || now >= m_drain->response_deadline) EndOpenRequests(drained);
     return;
   }
-  // What control does not take back now is lost with this run, and a caller
-  // that has not taken its refusal does not know that it may ask again.
+  // Holdings whose return control has not accepted by the exit are lost with
+  // this incarnation, and a caller that has not received its refusal does not
+  // know that it may retry.
   const bool returned = m_link.Idle();
-  const Duration reporting = m_drain->exit - m_drain->last_answer;
+  const Duration reporting = m_drain->exit - m_drain->response_deadline;
   const Instant last = std::min(m_drain->exit, *m_returning_since + reporting);
   if ((!returned || HasOpen()) && now < last) return;
   telemetry::Log(telemetry::LogLevel::kInfo, "shutdown_done",
@@ -454,31 +458,31 @@
 }
 
 bool GatewayEntry::HasOpen() const {
-  return m_traffic->OpenAnswers() > 0 || m_server->OpenExchanges() > 0;
+  return m_traffic->OpenResponses() > 0 || m_server->OpenExchanges() > 0;
 }
 
-// What is open is ended before the holdings go back, so that its spend is among
-// the last reports.
-// `drained`: nothing is; else the line says what the stop waited for, a line of
-// each request follows.
-void GatewayEntry::EndAnswers(bool drained) {
+// Ends open requests before the holdings are returned, so that their spend is
+// part of the final reports. If `drained`, no request is open; otherwise the
+// log line contains the numbers of open requests, responses and exchanges, and
+// a line for each open request follows.
+void GatewayEntry::EndOpenRequests(bool drained) {
   m_returning_since = m_loop.Now();
   const Duration stopping = *m_returning_since - m_drain->begun;
   const size_t exchanges = m_server->OpenExchanges();
-  const size_t answers = m_traffic->OpenAnswers();
+  const size_t answers = m_traffic->OpenResponses();
   telemetry::Log(telemetry::LogLevel::kInfo, "shutdown_answers_ended",
                  {{"why", drained ? "none_open" : "limit"},
                   {"stopping_ms", std::to_string(ToMs(stopping))},
                   {"open", std::to_string(m_core->OpenRequests())},
                   {"answers", std::to_string(answers)},
                   {"exchanges", std::to_string(exchanges)}});
-  m_core->CutOpen(m_loop.Now());
+  m_core->AbortOpenRequests(m_loop.Now());
   m_traffic->Pump();
   ReturnHoldings();
 }
 
-// Also what still comes, a grant or a loan that was under way: it would be lost
-// to its team for good.
+// Also returns grants and loans that arrive during the shutdown; they would
+// otherwise be permanently lost to their team.
 void GatewayEntry::ReturnHoldings() {
   for (wire::CommandT& command : m_budgets.TakeLastCommands(m_loop.Now()))
     m_link.Propose(std::move(command));
--- a/src/dotterelshift/app/gateway_options.h
+++ b/src/dotterelshift/app/gateway_options.h
@@ -8,13 +8,13 @@
 #include "dotterelshift/gateway/core.h"            // for CoreOptions
 #include "dotterelshift/gateway/link_admission.h"  // for LinkAdmissionOptions
 #include "dotterelshift/gateway/link_load_shedder.h"  // for LinkLoadShedderOptions
-#include "dotterelshift/gateway/load_note_pacer.h"  // for LoadNotePacerOptions
+#include "dotterelshift/gateway/load_note_pacer.h"  // for LoadUpdatePacerOptions
 #include "dotterelshift/gateway/send_pacer.h"       // for SendPacerOptions
 #include "dotterelshift/settings/settings.h"        // for Settings
 
 namespace dotterelshift::app {
 
-// What the parts of an entry under published routes are made with.
+// Options for the components of an entry under published routes.
 RegistrationOptions RegistrationOptionsOf(const settings::Settings& settings,
                                           Incarnation incarnation);
 ControlLinkOptions ControlLinkOptionsOf(const HostRun& self);
@@ -26,7 +26,7 @@
     const settings::Settings& settings);
 gateway::LinkLoadShedderOptions LinkOptionsOf(
     const settings::Settings& settings);
-gateway::LoadNotePacerOptions NotePacerOptionsOf(
+gateway::LoadUpdatePacerOptions LoadUpdatePacerOptionsOf(
     const settings::Settings& settings);
 gateway::SendPacerOptions SendPacerOptionsOf(
     const settings::Settings& settings);
--- a/src/dotterelshift/app/gateway_traffic.cc
+++ b/src/dotterelshift/app/gateway_traffic.cc
@@ -5,33 +5,33 @@
 #include <utility>    // for move
 #include <variant>    // for visit
 
-#include "dotterelshift/callers/front.h"     // for ErrorBody
-#include "dotterelshift/http/hop_headers.h"  // for WithoutHopHeaders
+#include "dotterelshift/callers/front.h"     // for MakeErrorBody
+#include "dotterelshift/http/hop_headers.h"  // for RemoveHopByHopHeaders
 #include "dotterelshift/telemetry/log.h"     // for Log
 
 namespace dotterelshift::app {
 namespace {
 
-// HTTP 503: not run, and may be asked again.
+// HTTP 503: the request was not run and may be retried.
 constexpr int kUnavailable = 503;
 
-// Bytes that a caller has not taken above which its stream is paused.
+// A stream is paused while its caller has more unread bytes than this.
 constexpr size_t kPauseAbove = 256 << 10;
 
-// A connection to an endpoint that is not there after this is given up: a few
-// ways there and back, below the first resend of a lost opening packet.
+// Timeout for connecting to an endpoint: a few round trips, and less than the
+// first retransmission of a lost SYN packet.
 constexpr Duration kConnectTimeout = 300ms;
 
-// The endpoint is given this long beyond the caller's deadline to end its
-// answer by itself, so that the core's deadline comes first.
+// The endpoint may end its response by itself until this long after the
+// caller's deadline, so that the core's deadline takes effect first.
 constexpr Duration kTimeoutSlack = 200ms;
 
-// Endpoints announce how long they keep an idle connection; the shortest that
-// is in common use is 5 s.
+// Idle connections are closed before the endpoint closes them. Endpoints
+// announce how long they keep one; the shortest time in common use is 5 s.
 constexpr Duration kMaxIdle = 4s;
 
-// A wait before the link that a line of a request tells.
-constexpr Duration kWorthTelling = 20ms;
+// Shorter waits for the outbound link are left out of a request's log lines.
+constexpr Duration kMinLoggedWait = 20ms;
 
 std::string Ms(Duration duration) { return std::to_string(ToMs(duration)); }
 
@@ -73,7 +73,7 @@
   const RequestId id = ++m_last_request;
   gateway::RequestInfo info = m_dialect.ReadRequestInfo(exchange->GetRequest());
   info.begun = exchange->GetRequest().begun;
-  info.kept_connection = exchange->GetRequest().kept;
+  info.reused_connection = exchange->GetRequest().kept;
   info.onward_bytes = OnwardBytes(exchange->GetRequest());
   exchange->OnGone([this, id] { OnGone(id); });
   exchange->OnDrained([this, id] { OnDrained(id); });
@@ -97,17 +97,17 @@
 }
 
 void GatewayTraffic::Pump() {
-  // An action may bring the next event about; its actions are then carried out
-  // by the loop that is under way.
+  // An action may cause another event. The actions of that event are executed
+  // by the outer call of Pump().
   if (std::exchange(m_pumping, true)) return;
   for (auto actions = m_core.TakeActions(); !actions.empty();
        actions = m_core.TakeActions()) {
     for (const gateway::Action& action : actions)
-      std::visit([this](const auto& what) { this->CarryOut(what); }, action);
+      std::visit([this](const auto& what) { this->Execute(what); }, action);
   }
   for (const serving::RequestSummary& summary : m_core.TakeFinished())
     m_metrics.OnFinished(summary);
-  m_ended_ways.clear();
+  m_ended_sends.clear();
   m_pumping = false;
   ArmTimer();
 }
@@ -120,7 +120,7 @@
     m_timer.ArmAt(next);
 }
 
-void GatewayTraffic::CarryOut(const gateway::StartAttempt& start) {
+void GatewayTraffic::Execute(const gateway::StartAttempt& start) {
   const auto open = m_open.find(start.request);
   if (open == m_open.end()) return;
   const http::Request& request = open->second.exchange->GetRequest();
@@ -141,8 +141,8 @@
                                       const http::Headers& headers) {
     OnHead(attempt, status, headers);
   };
-  callbacks.on_piece = [this, attempt](std::string_view piece) {
-    return OnPiece(attempt, piece);
+  callbacks.on_chunk = [this, attempt](std::string_view piece) {
+    return OnChunk(attempt, piece);
   };
   callbacks.on_end = [this, attempt](http::TransferEnd end) {
     OnEnd(attempt, end);
@@ -157,19 +157,20 @@
                                   const http::HandOver& what) {
   const auto transfer = m_transfers.find(attempt);
   if (transfer == m_transfers.end()) return;
-  WayOut& way = transfer->second.way_out;
-  way.handed_over = what;
-  way.handed_over_at = m_loop.Now();
-  way.wait = m_link.WaitOut(way.handed_over_at);
-  m_link.OnHandedOver(what, NextSendOf(transfer->second), way.handed_over_at);
+  SendRecord& record = transfer->second.send_record;
+  record.handed_over = what;
+  record.handed_over_at = m_loop.Now();
+  record.wait = m_link.OutboundWait(record.handed_over_at);
+  m_link.OnHandedOver(what, NextSendOf(transfer->second),
+                      record.handed_over_at);
 }
 
 SendKind GatewayTraffic::NextSendOf(const Transfer& transfer) {
   const auto open = m_open.find(transfer.request);
   const bool again =
       open != m_open.end() && std::exchange(open->second.handed_over, true);
-  if (again) return SendKind::kRepeat;
-  return transfer.first ? SendKind::kFirst : SendKind::kHeldBack;
+  if (again) return SendKind::kRetry;
+  return transfer.first ? SendKind::kFirst : SendKind::kDelayed;
 }
 
 void GatewayTraffic::OnHead(AttemptId attempt, int status,
@@ -177,20 +178,20 @@
   Transfer& transfer = m_transfers[attempt];
   transfer.status = status;
   transfer.headers = headers;
-  m_answer_bytes += http::BytesOf(headers) + gateway::kPacketHeadBytes;
-  m_core.OnHead(attempt, status, m_dialect.ReadMarks(status, headers),
+  m_response_bytes += http::BytesOf(headers) + gateway::kPacketHeaderBytes;
+  m_core.OnHead(attempt, status, m_dialect.ReadResponseInfo(status, headers),
                 m_loop.Now());
   Pump();
 }
 
-bool GatewayTraffic::OnPiece(AttemptId attempt, std::string_view piece) {
-  // An event of a stream is a packet of its own.
-  m_answer_bytes += piece.size() + gateway::kPacketHeadBytes;
+bool GatewayTraffic::OnChunk(AttemptId attempt, std::string_view piece) {
+  // Each event of a stream is sent as a packet of its own.
+  m_response_bytes += piece.size() + gateway::kPacketHeaderBytes;
   const auto transfer = m_transfers.find(attempt);
   if (transfer == m_transfers.end()) return true;
   if (!transfer->second.streamed) transfer->second.body.append(piece);
   const RequestId request = transfer->second.request;
-  m_core.OnPiece(attempt, piece, m_loop.Now());
+  m_core.OnChunk(attempt, piece, m_loop.Now());
   Pump();
   const auto open = m_open.find(request);
   if (open == m_open.end() || open->second.streaming != attempt) return true;
@@ -199,7 +200,7 @@
 }
 
 gateway::LinkBytes GatewayTraffic::Bytes() const {
-  return {m_answer_bytes, m_answer_bytes + m_client->BytesSent()};
+  return {m_response_bytes, m_response_bytes + m_client->BytesSent()};
 }
 
 void GatewayTraffic::OnEnd(AttemptId attempt, http::TransferEnd end) {
@@ -208,10 +209,10 @@
   m_transfers.erase(attempt);
 }
 
-void GatewayTraffic::CarryOut(const gateway::CancelAttempt& cancel) {
+void GatewayTraffic::Execute(const gateway::CancelAttempt& cancel) {
   const auto transfer = m_transfers.find(cancel.attempt);
   if (transfer == m_transfers.end()) return;
-  KeepWayOut(cancel.attempt, transfer->second);
+  KeepSendRecord(cancel.attempt, transfer->second);
   const http::TransferId id = transfer->second.id;
   m_transfers.erase(transfer);
   if (m_client->Withdraw(id))
@@ -219,7 +220,7 @@
   m_client->Cancel(id);
 }
 
-void GatewayTraffic::CarryOut(const gateway::WithdrawAttempt& withdraw) {
+void GatewayTraffic::Execute(const gateway::WithdrawAttempt& withdraw) {
   const auto transfer = m_transfers.find(withdraw.attempt);
   if (transfer == m_transfers.end()) return;
   if (!m_client->Withdraw(transfer->second.id)) return;
@@ -227,10 +228,11 @@
   m_core.OnWithdrawn(withdraw.attempt, m_loop.Now());
 }
 
-void GatewayTraffic::KeepWayOut(AttemptId attempt, const Transfer& transfer) {
-  WayOut& way = m_ended_ways[attempt];
-  way = transfer.way_out;
-  way.unsent = m_client->Unsent(transfer.id);
+void GatewayTraffic::KeepSendRecord(AttemptId attempt,
+                                    const Transfer& transfer) {
+  SendRecord& record = m_ended_sends[attempt];
+  record = transfer.send_record;
+  record.unsent = m_client->Unsent(transfer.id);
 }
 
 void GatewayTraffic::Forget(RequestId request) {
@@ -250,9 +252,9 @@
   return exchange;
 }
 
-http::Headers GatewayTraffic::AnswerHeaders(const http::Headers& headers,
-                                            bool keeps) {
-  http::Headers onward = http::WithoutHopHeaders(headers);
+http::Headers GatewayTraffic::ResponseHeaders(const http::Headers& headers,
+                                              bool keeps) {
+  http::Headers onward = http::RemoveHopByHopHeaders(headers);
   if (!keeps) onward.emplace_back("Connection", "close");
   return onward;
 }
@@ -261,12 +263,12 @@
   return !m_may_keep || m_may_keep(m_open.size() - m_kept_streams);
 }
 
-void GatewayTraffic::CarryOut(const gateway::Refuse& refuse) {
+void GatewayTraffic::Execute(const gateway::Refuse& refuse) {
   const auto exchange = Take(refuse.request);
   if (exchange == nullptr) return;
   const ErrorRow& row = RowOf(refuse.kind);
-  // A content that is held back may be proper all the same; that it has not run
-  // is what its caller needs to know.
+  // A quarantined content may be harmless, so the status only says that the
+  // request has not run.
   const bool held_back = refuse.kind == ErrorKind::kQuarantined;
   const int status = held_back ? kUnavailable : row.status;
   http::Headers headers = {{"Content-Type", "application/json"},
@@ -276,22 +278,22 @@
                             : std::chrono::seconds(row.retry_after_seconds);
   if (row.retry != RetryAdvice::kNever)
     headers.emplace_back("Retry-After", SecondsText(wait));
-  std::string body = callers::ErrorBody(refuse.kind, "");
-  headers = AnswerHeaders(headers, MayKeep());
-  m_own_bytes += http::BytesOf(headers) + body.size();
+  std::string body = callers::MakeErrorBody(refuse.kind, "");
+  headers = ResponseHeaders(headers, MayKeep());
+  m_own_response_bytes += http::BytesOf(headers) + body.size();
   exchange->Answer(status, headers, std::move(body));
 }
 
-void GatewayTraffic::CarryOut(const gateway::RelayWhole& relay) {
+void GatewayTraffic::Execute(const gateway::RelayResponse& relay) {
   const auto exchange = Take(relay.request);
   const auto transfer = m_transfers.find(relay.attempt);
   if (exchange == nullptr || transfer == m_transfers.end()) return;
   Transfer& answer = transfer->second;
-  exchange->Answer(answer.status, AnswerHeaders(answer.headers, MayKeep()),
+  exchange->Answer(answer.status, ResponseHeaders(answer.headers, MayKeep()),
                    std::move(answer.body));
 }
 
-void GatewayTraffic::CarryOut(const gateway::RelayHead& relay) {
+void GatewayTraffic::Execute(const gateway::RelayHead& relay) {
   const auto open = m_open.find(relay.request);
   const auto transfer = m_transfers.find(relay.attempt);
   if (open == m_open.end() || transfer == m_transfers.end()) return;
@@ -301,49 +303,51 @@
   open->second.keeps = MayKeep();
   if (open->second.keeps) ++m_kept_streams;
   open->second.exchange->SendHead(
-      answer.status, AnswerHeaders(answer.headers, open->second.keeps));
+      answer.status, ResponseHeaders(answer.headers, open->second.keeps));
 }
 
-void GatewayTraffic::CarryOut(const gateway::RelayPiece& relay) {
+void GatewayTraffic::Execute(const gateway::RelayChunk& relay) {
   const auto open = m_open.find(relay.request);
-  if (open != m_open.end()) open->second.exchange->SendPiece(relay.bytes);
+  if (open != m_open.end()) open->second.exchange->WriteChunk(relay.bytes);
 }
 
-void GatewayTraffic::CarryOut(const gateway::FinishStream& finish) {
+void GatewayTraffic::Execute(const gateway::FinishStream& finish) {
   const auto exchange = Take(finish.request);
   if (exchange != nullptr) exchange->Finish();
 }
 
-void GatewayTraffic::CarryOut(const gateway::AbortStream& abort) {
+void GatewayTraffic::Execute(const gateway::AbortStream& abort) {
   const auto exchange = Take(abort.request);
   if (exchange != nullptr) exchange->Abort();
 }
 
-void GatewayTraffic::AddWayOut(AttemptId attempt, LogInputs& inputs) const {
-  const auto ended = m_ended_ways.find(attempt);
+void GatewayTraffic::AddSendRecord(AttemptId attempt, LogInputs& inputs) const {
+  const auto ended = m_ended_sends.find(attempt);
   const auto open = m_transfers.find(attempt);
-  const bool known = ended != m_ended_ways.end() || open != m_transfers.end();
+  const bool known = ended != m_ended_sends.end() || open != m_transfers.end();
   if (!known) return;
-  const WayOut& way =
-      ended != m_ended_ways.end() ? ended->second : open->second.way_out;
-  if (way.unsent) inputs.emplace_back("unsent", std::to_string(*way.unsent));
-  if (!way.handed_over) {
+  const SendRecord& record =
+      ended != m_ended_sends.end() ? ended->second : open->second.send_record;
+  if (record.unsent)
+    inputs.emplace_back("unsent", std::to_string(*record.unsent));
+  if (!record.handed_over) {
     inputs.emplace_back("handed_over", "no");
     return;
   }
   inputs.emplace_back("handed_over_ms_ago",
-                      Ms(m_loop.Now() - way.handed_over_at));
-  inputs.emplace_back("wait_out_then_ms", Ms(way.wait));
-  inputs.emplace_back("bytes", std::to_string(way.handed_over->bytes));
-  if (way.handed_over->new_connection)
-    inputs.emplace_back("connected_in_ms", Ms(way.handed_over->connected_in));
+                      Ms(m_loop.Now() - record.handed_over_at));
+  inputs.emplace_back("wait_out_then_ms", Ms(record.wait));
+  inputs.emplace_back("bytes", std::to_string(record.handed_over->bytes));
+  if (record.handed_over->new_connection)
+    inputs.emplace_back("connected_in_ms",
+                        Ms(record.handed_over->connected_in));
 }
 
-void GatewayTraffic::CarryOut(const gateway::Decision& decision) const {
+void GatewayTraffic::Execute(const gateway::Decision& decision) const {
   LogInputs inputs = decision.inputs;
-  if (decision.attempt != 0) AddWayOut(decision.attempt, inputs);
-  const Duration wait = m_link.WaitOut(m_loop.Now());
-  if (wait >= kWorthTelling) inputs.emplace_back("wait_out_ms", Ms(wait));
+  if (decision.attempt != 0) AddSendRecord(decision.attempt, inputs);
+  const Duration wait = m_link.OutboundWait(m_loop.Now());
+  if (wait >= kMinLoggedWait) inputs.emplace_back("wait_out_ms", Ms(wait));
   telemetry::LogDecision(decision.event, decision.caller_id, inputs);
 }
 
--- a/src/dotterelshift/app/gateway_traffic_test.cc
+++ b/src/dotterelshift/app/gateway_traffic_test.cc
@@ -1,6 +1,6 @@
-// A caller leaves while its request is at one step of its way to an endpoint:
-// nothing that was not handed over by then reaches the endpoint, which sees its
-// connection reset at once, also while this host still holds bytes.
+// A caller disconnects at each stage of its request. Bytes that were not handed
+// over by then must not reach the endpoint, whose connection is reset at once,
+// even while this host still holds bytes for it.
 #include "dotterelshift/app/gateway_traffic.h"
 
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
@@ -23,8 +23,8 @@
 
 constexpr Duration kGuard = 10s;
 constexpr size_t kShortBody = 6'000;
-// More than an endpoint that reads nothing takes, less than this host's kernel
-// holds for it; and more than both.
+// kHeldBody exceeds what an endpoint that reads nothing receives, but fits into
+// this host's kernel buffers for it; kLongBody exceeds both together.
 constexpr int kSmallBuffer = 4 << 10;
 constexpr size_t kHeldBody = 512 << 10;
 constexpr size_t kLongBody = 32 << 20;
@@ -35,7 +35,8 @@
 constexpr char kAnswerToAnother[] =
     "HTTP/1.1 200 OK\r\nx-id: caller-2\r\ncontent-length: 1000000\r\n\r\n";
 
-// A caller that can leave at any moment, and takes as much as the test says.
+// A caller that can disconnect at any time and reads as much as the test
+// specifies.
 class FakeExchange : public http::Exchange {
  public:
   FakeExchange(const std::string& path, size_t body) {
@@ -51,7 +52,9 @@
   void SendHead(int status, const http::Headers&) override {
     m_status = status;
   }
-  void SendPiece(std::string_view piece) override { m_taken += piece; }
+  void WriteChunk(std::string_view piece) override {
+    m_consumed_bytes += piece;
+  }
   void Finish() override {}
   void Abort() override {}
   size_t Backlog() const override { return m_backlog; }
@@ -66,18 +69,18 @@
     callback();
   }
   void SetBacklog(size_t bytes) { m_backlog = bytes; }
-  const std::string& Taken() const { return m_taken; }
+  const std::string& Taken() const { return m_consumed_bytes; }
   int Status() const { return m_status; }
 
  private:
   http::Request m_request;
   std::function<void()> m_on_gone;
-  std::string m_taken;
+  std::string m_consumed_bytes;
   size_t m_backlog = 0;
   int m_status = 0;
 };
 
-// Counts the attempts.
+// A dialect that counts the attempts.
 class TestDialect : public gateway::Dialect {
  public:
   gateway::RequestInfo ReadRequestInfo(
@@ -93,15 +96,15 @@
     ++m_attempts;
     return {{"host", "h"}};
   }
-  gateway::AnswerMarks ReadMarks(int,
-                                 const http::Headers& headers) const override {
-    gateway::AnswerMarks marks;
-    marks.genuine = true;
+  gateway::ResponseInfo ReadResponseInfo(
+      int, const http::Headers& headers) const override {
+    gateway::ResponseInfo response_info;
+    response_info.has_proof = true;
     for (const auto& [name, value] : headers) {
-      if (name == "x-id") marks.echoed_id = value;
-      if (name == "content-type") marks.event_stream = true;
+      if (name == "x-id") response_info.echoed_id = value;
+      if (name == "content-type") response_info.event_stream = true;
     }
-    return marks;
+    return response_info;
   }
   std::optional<gateway::Routes> ReadRoutes(std::string_view,
                                             std::string*) const override {
@@ -118,15 +121,15 @@
 class GatewayTrafficTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayTrafficTest);
   CPPUNIT_TEST(LeavesBeforeItsAttemptConnects);
-  CPPUNIT_TEST(LeavesBeforeItsEndpointTakesTheConnection);
+  CPPUNIT_TEST(LeavesBeforeItsEndpointAcceptsTheConnection);
   CPPUNIT_TEST(LeavesWhileItsRequestIsPartlySent);
-  CPPUNIT_TEST(LeavesWhileItsRequestLiesInTheKernel);
+  CPPUNIT_TEST(LeavesWhileItsRequestIsInTheKernelBuffer);
   CPPUNIT_TEST(LeavesWhileItsRequestRuns);
-  CPPUNIT_TEST(LeavesOnAConnectionThatWasUsedBefore);
+  CPPUNIT_TEST(LeavesOnAReusedConnection);
   CPPUNIT_TEST(LeavesBetweenTwoAttempts);
   CPPUNIT_TEST(LeavesWhileItsStreamRuns);
-  CPPUNIT_TEST(LeavesWhileItsStreamIsPausedAndBytesAreHeld);
-  CPPUNIT_TEST(AnAnswerToAnotherRequestDropsWhatIsHeld);
+  CPPUNIT_TEST(LeavesWhileItsStreamIsPausedWithHeldBytes);
+  CPPUNIT_TEST(ResponseToAnotherRequestDropsHeldBytes);
   CPPUNIT_TEST(LeavesAtARealServer);
   CPPUNIT_TEST_SUITE_END();
 
@@ -177,7 +180,7 @@
     ExpectNothingOpen();
   }
 
-  void LeavesBeforeItsEndpointTakesTheConnection() {
+  void LeavesBeforeItsEndpointAcceptsTheConnection() {
     http::TestListener endpoint(0);
     endpoint.Fill();
     Announce(endpoint);
@@ -185,7 +188,7 @@
     const auto caller = Ask("/once/x", kShortBody);
     RunUntil([&] { return OpenDescriptors() == before + 1; });
     caller->Leave();
-    // Nothing asks for the connection any more.
+    // No attempt uses the connection any more.
     CPPUNIT_ASSERT_EQUAL(before, OpenDescriptors());
     const http::TestPeer other = endpoint.Accept();
     Turn();
@@ -202,7 +205,7 @@
     ExpectResetBefore(peer, kLongBody);
   }
 
-  void LeavesWhileItsRequestLiesInTheKernel() {
+  void LeavesWhileItsRequestIsInTheKernelBuffer() {
     const http::TestListener endpoint(1, kSmallBuffer);
     Announce(endpoint);
     const auto caller = Ask("/once/x", kHeldBody);
@@ -222,7 +225,7 @@
     ExpectNothingOpen();
   }
 
-  void LeavesOnAConnectionThatWasUsedBefore() {
+  void LeavesOnAReusedConnection() {
     const http::TestListener endpoint(1, kSmallBuffer);
     Announce(endpoint);
     const auto first = Ask("/once/x", 1);
@@ -240,7 +243,7 @@
     ExpectResetBefore(peer, kHeldBody);
   }
 
-  // The first endpoint broke off; the second attempt is decided on and has no
+  // The first attempt has failed; the second has been started and has no
   // connection yet.
   void LeavesBetweenTwoAttempts() {
     const std::array<http::TestListener, 2> endpoints{http::TestListener(1),
@@ -272,7 +275,7 @@
   }
 
   // An endpoint may answer before it has read the whole request.
-  void LeavesWhileItsStreamIsPausedAndBytesAreHeld() {
+  void LeavesWhileItsStreamIsPausedWithHeldBytes() {
     const http::TestListener endpoint(1, kSmallBuffer);
     Announce(endpoint);
     const auto caller = Ask("/stream/x", kHeldBody);
@@ -286,8 +289,8 @@
     ExpectResetBefore(peer, kHeldBody);
   }
 
-  // The attempt is cancelled while its own answer is being read.
-  void AnAnswerToAnotherRequestDropsWhatIsHeld() {
+  // The attempt is cancelled while its response is being read.
+  void ResponseToAnotherRequestDropsHeldBytes() {
     const http::TestListener endpoint(1, kSmallBuffer);
     Announce(endpoint);
     const auto caller = Ask("/once/x", kHeldBody);
@@ -335,7 +338,7 @@
     return exchange;
   }
 
-  // The connection at the endpoint, once so many bytes are there.
+  // The endpoint's side of the connection, once this many bytes have arrived.
   http::TestPeer AcceptWith(const http::TestListener& endpoint, size_t bytes) {
     RunUntil([&] { return endpoint.HasConnection(); });
     http::TestPeer peer = endpoint.Accept();
@@ -352,7 +355,7 @@
 
   void ExpectNothingOpen() {
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
-    CPPUNIT_ASSERT_EQUAL(size_t{0}, m_traffic->OpenAnswers());
+    CPPUNIT_ASSERT_EQUAL(size_t{0}, m_traffic->OpenResponses());
   }
 
   static size_t OpenDescriptors() {
@@ -360,7 +363,7 @@
         std::filesystem::directory_iterator("/proc/self/fd"), {}));
   }
 
-  // The loop turns without waiting: the endpoints are not on it.
+  // Polls the loop without blocking, because the endpoints do not run on it.
   void RunUntil(const std::function<bool()>& condition) {
     const Instant begin = m_loop.Now();
     while (!condition()) {
@@ -369,7 +372,7 @@
     }
   }
 
-  // Lets what is due be done, without waiting for more.
+  // Runs what is due, without waiting for further events.
   void Turn() {
     constexpr int kTurns = 20;
     for (int i = 0; i < kTurns; ++i) ev_run(m_loop.Raw(), EVRUN_NOWAIT);
--- a/src/dotterelshift/app/hub_options.h
+++ b/src/dotterelshift/app/hub_options.h
@@ -10,12 +10,12 @@
 
 namespace dotterelshift::app {
 
-// Where the daemon at a seed's host takes the other daemons.
+// Address at which the daemon on a seed's host accepts other daemons.
 inline std::string PeerAddressOf(const std::string& seed, uint16_t peer_port) {
   return seed.substr(0, seed.find(':')) + ":" + std::to_string(peer_port);
 }
 
-// Where this daemon's HTTP interface is, as it tells the others.
+// Address of this daemon's HTTP interface, as advertised to the other daemons.
 inline std::string HttpAddressOf(const settings::Settings& settings,
                                  uint16_t http_port) {
   const std::string address =
@@ -25,8 +25,8 @@
   return address + ":" + std::to_string(http_port);
 }
 
-// The hub's options that both roles take from their settings. `http_port` is
-// the one that the daemon listens on.
+// Hub options that both roles derive from their settings. `http_port` is the
+// port on which the daemon listens for HTTP.
 inline peers::HubOptions MakeHubOptions(const settings::Settings& settings,
                                         const std::string& secret,
                                         Incarnation incarnation,
@@ -46,8 +46,8 @@
   options.silence_timeout = settings.peer_silence;
   options.hello_timeout =
       std::min(options.hello_timeout, settings.peer_silence);
-  options.reconnect_most =
-      std::min(options.reconnect_most, settings.peer_silence / 4);
+  options.max_reconnect_delay =
+      std::min(options.max_reconnect_delay, settings.peer_silence / 4);
   options.seed = incarnation;
   return options;
 }
--- a/src/dotterelshift/app/leader_testing.h
+++ b/src/dotterelshift/app/leader_testing.h
@@ -1,7 +1,7 @@
 #ifndef DOTTERELSHIFT_SRC_APP_LEADER_TESTING_H_
 #define DOTTERELSHIFT_SRC_APP_LEADER_TESTING_H_
 
-// A control replica that leads, without a group; for tests only.
+// A control replica that always leads and has no group; for tests only.
 
 #include <functional>  // for function
 #include <memory>      // for unique_ptr
@@ -9,12 +9,12 @@
 #include <vector>      // for vector
 
 #include "dotterelshift/app/control_replica.h"    // for ControlReplica
-#include "dotterelshift/replication/bootstrap.h"  // for FirstLog
+#include "dotterelshift/replication/bootstrap.h"  // for MakeInitialLog
 #include "dotterelshift/state/state.h"            // for MakeState
 
 namespace dotterelshift::app {
 
-// A leader over a real state.
+// A replica that always leads, with a real state.
 class MockReplica : public ControlReplica {
  public:
   MockReplica() {
@@ -23,7 +23,8 @@
     self->id = 1;
     self->voter = true;
     members.replicas.push_back(std::move(self));
-    m_node = replication::MakeNode({}, replication::FirstLog(1, members), {});
+    m_node =
+        replication::MakeNode({}, replication::MakeInitialLog(1, members), {});
   }
   void Propose(std::vector<wire::CommandT>, ProposalCallback) override {}
   void ConfirmedRead(std::function<void(ErrorKind)>) override {}
--- a/src/dotterelshift/app/link_guard.h
+++ b/src/dotterelshift/app/link_guard.h
@@ -14,59 +14,60 @@
 
 namespace dotterelshift::app {
 
-// What a request that is handed to a connection has been through.
+// How an attempt that is handed to a connection relates to earlier attempts.
 enum class SendKind {
-  kFirst,     // its first attempt
-  kHeldBack,  // of its attempts before, none had a connection
-  kRepeat,    // it was handed over before
+  kFirst,    // this is its first attempt
+  kDelayed,  // earlier attempts never got a connection
+  kRetry,    // an earlier attempt was handed to a connection
 };
 
-// Keeps what callers bring to an entry within what its host's link carries:
-// takes connections while there is room, bounds how many callers may keep
-// theirs, and ends those that are idle while a queue may stand. Logs a line a
-// second while the link is half full.
+// Keeps the load from callers within the capacity of the host's link: accepts
+// connections while there is capacity, limits how many callers may keep theirs,
+// and closes idle ones while a queue drains. Logs a line per second while the
+// link is at least half full or requests wait long for the outbound link.
 class LinkGuard {
  public:
   explicit LinkGuard(const settings::Settings& settings);
 
-  // Has `options` report connections here, and bounds what the system holds of
-  // them. The guard outlives the server.
+  // Makes a server report its connections to this guard and limits its listen
+  // backlog. The guard must outlive the server.
   void SetOptions(http::ServerOptions& options);
 
-  // A request of a caller is whole.
+  // A caller's request has been received completely.
   void OnRequest(const http::Request& request);
 
-  // A request goes to an endpoint.
+  // A request was handed to a connection to an endpoint.
   void OnHandedOver(const http::HandOver& what, SendKind kind, Instant now);
-  // How long what is handed to the link now waits before it, about.
-  Duration WaitOut(Instant now) const { return m_wait_out.Wait(now); }
-  // A beat was answered by control, so long after it had been sent.
-  void OnControlTrip(Duration trip);
+  // Estimated wait for the outbound link, for bytes that are handed over now.
+  Duration OutboundWait(Instant now) const { return m_outbound_wait.Wait(now); }
+  // Control answered a heartbeat; `trip` is the time since it was sent.
+  void OnControlRoundTrip(Duration trip);
 
-  // What has gone over the link since the start, but for callers' requests.
+  // Traffic over the link since the start, except callers' requests.
   struct Traffic {
-    gateway::LinkBytes endpoints;  // attempts, and answers that went on
+    gateway::LinkBytes endpoints;  // attempts and relayed responses
     gateway::LinkBytes peers;
-    uint64_t held_out = 0;  // of requests that wait here for the way out
+    uint64_t queued_bytes =
+        0;  // bytes of requests queued for the outbound link
   };
-  // Takes connections, or ceases to, as the link asks for.
+  // Starts or stops accepting connections, depending on the link's load.
   void Adjust(http::Server& server, const Traffic& traffic, Instant now);
-  // Looks at what has lasted: ends idle connections, and logs.
+  // Periodic work: closes idle connections while a queue drains, and logs.
   void Watch(http::Server& server, const peers::HubCounters& peers,
              Instant now);
 
-  // Callers should not send their next request on the same connection.
+  // Whether callers should send their next request on a new connection.
   bool IsFull(Instant now) const;
-  // Whether the caller of an answer that goes out now may keep its connection,
-  // while so many callers send nothing on theirs.
+  // Whether the caller of a response that is sent now may keep its connection;
+  // `silent` is the number of callers that send nothing now.
   bool MayKeep(const http::Server& server, size_t silent, Instant now) const;
-  // The balancer should send new connections to other entries.
+  // Whether the load balancer should send new connections to other entries.
   bool IsShedding() const { return m_shedding; }
 
   void SetMetrics(telemetry::Metrics& metrics) const;
 
  private:
-  // What happened since the last line.
+  // Events since the last log line.
   struct Summary {
     Instant since{};
     size_t accepted = 0;
@@ -78,20 +79,22 @@
     size_t turned_away = 0;
     size_t shuts = 0;
     Duration shut{};
-    Instant shut_counted_to{};  // while it goes on
-    Duration longest_busy{};    // without a gap on the way in
-    // Requests handed over to endpoints, and before what waits.
+    Instant shut_counted_to{};  // while not listening
+    Duration max_busy_time{};   // without a gap on the inbound link
+    // Requests handed over to endpoints, and how many of them met a wait for
+    // the outbound link above 100, 300 and 500 ms.
     size_t handed_over = 0;
     size_t over_100ms = 0;
     size_t over_300ms = 0;
     size_t over_500ms = 0;
     std::map<SendKind, uint64_t> handed_bytes;
-    size_t connects = 0;  // that were made for them
-    Duration longest_connect{};
-    Duration longest_control_trip{};
+    size_t connects = 0;  // new connections made for them
+    Duration max_connect_time{};
+    Duration max_control_round_trip{};
   };
 
-  void Enter(gateway::Entrance entrance, http::Server& server, Instant now);
+  void ApplyDecision(gateway::AdmissionDecision decision, http::Server& server,
+                     Instant now);
   void StopListening(http::Server& server, Instant now);
   bool Listen(http::Server& server, Instant now);
   void WatchShedding(Instant now);
@@ -101,19 +104,20 @@
   const double m_bytes_per_second;
   gateway::LinkAdmission m_admission;
   gateway::LinkLoadShedder m_shedder;
-  gateway::LinkWait m_wait_out;
-  uint64_t m_handed_over = 0;     // since the last Adjust(), in m_wait_out
+  gateway::LinkWait m_outbound_wait;
+  uint64_t m_handed_over = 0;     // bytes handed over since the last Adjust()
   Traffic m_counted;              // at the last Adjust()
-  uint64_t m_received_bytes = 0;  // of callers' requests, until then
+  uint64_t m_received_bytes = 0;  // from callers, up to the last Adjust()
   Summary m_summary;
   std::map<wire::FrameBody, uint64_t> m_frame_bytes;  // at the last summary
-  gateway::Entrance m_entrance = gateway::Entrance::kTakes;
-  Instant m_last_paused{};  // a moment at which connections were not taken
-  Instant m_idle_closed{};
+  gateway::AdmissionDecision m_admission_state =
+      gateway::AdmissionDecision::kAccept;
+  Instant m_last_paused{};  // last time at which connections were not accepted
+  Instant m_idle_closed_at{};
   bool m_listen_failed = false;
   bool m_shedding = false;
   uint64_t m_turned_away = 0;  // since the start
-  uint64_t m_shuts = 0;
+  uint64_t m_times_stopped = 0;
 };
 
 }  // namespace dotterelshift::app
--- a/src/dotterelshift/app/member_changes.cc
+++ b/src/dotterelshift/app/member_changes.cc
@@ -11,7 +11,7 @@
 
 using replication::FindMember;
 
-// The change of members in a plan's change, if it is one.
+// The membership change in a plan's change; empty if it is of another kind.
 std::optional<MemberChange> AsMemberChange(const wire::ChangeT& change) {
   MemberChange wanted;
   if (const wire::AddReplicaT* add = change.body.AsAddReplica()) {
@@ -43,28 +43,29 @@
         answer->version <= version_before)
       continue;
     for (const auto& change : plan->changes)
-      if (auto wanted = AsMemberChange(*change)) m_wanted.push_back(*wanted);
+      if (auto wanted = AsMemberChange(*change))
+        m_pending_changes.push_back(*wanted);
   }
-  OnMembers(m_members);
+  OnMembershipCommitted(m_members);
 }
 
-void MemberChanges::OnMembers(const wire::MembershipT& members) {
+void MemberChanges::OnMembershipCommitted(const wire::MembershipT& members) {
   m_members = members;
-  std::erase_if(m_wanted, [&](const MemberChange& change) {
+  std::erase_if(m_pending_changes, [&](const MemberChange& change) {
     const bool present = FindMember(members, change.replica.id) != nullptr;
     return change.remove ? !present : present;
   });
 }
 
 std::optional<MemberChange> MemberChanges::Next() const {
-  if (m_wanted.empty()) return std::nullopt;
-  return m_wanted.front();
+  if (m_pending_changes.empty()) return std::nullopt;
+  return m_pending_changes.front();
 }
 
-// The layout: the state, the wanted changes as a plan, the length of these.
+// Layout: the state, the pending changes as a plan, the plan's length.
 void MemberChanges::AppendTo(std::string& snapshot) const {
   wire::PlanT plan;
-  for (const MemberChange& change : m_wanted) {
+  for (const MemberChange& change : m_pending_changes) {
     auto stored = std::make_unique<wire::ChangeT>();
     if (change.remove) {
       wire::RemoveReplicaT removal;
@@ -87,7 +88,7 @@
   snapshot.append(reinterpret_cast<const char*>(&length), sizeof(length));
 }
 
-std::string_view MemberChanges::TakeFrom(std::string_view snapshot) {
+std::string_view MemberChanges::RestoreFrom(std::string_view snapshot) {
   uint64_t length = 0;
   const bool has_length = snapshot.size() >= sizeof(length);
   if (has_length) {
@@ -96,18 +97,21 @@
     snapshot.remove_suffix(sizeof(length));
   }
   if (!has_length || length > snapshot.size())
-    throw Error(ErrorKind::kStorageDamaged, "a snapshot is too short");
-  // Copied so that it is aligned.
+    throw Error(ErrorKind::kStorageDamaged,
+                "snapshot is too short for its list of membership changes");
+  // Copied for alignment.
   const std::string tail(snapshot.substr(snapshot.size() - length));
   flatbuffers::Verifier verifier(reinterpret_cast<const uint8_t*>(tail.data()),
                                  tail.size());
   if (!verifier.VerifyBuffer<wire::Plan>(nullptr))
-    throw Error(ErrorKind::kStorageDamaged, "a snapshot's end cannot be read");
+    throw Error(ErrorKind::kStorageDamaged,
+                "snapshot has an invalid list of membership changes");
   wire::PlanT plan;
   flatbuffers::GetRoot<wire::Plan>(tail.data())->UnPackTo(&plan);
-  m_wanted.clear();
+  m_pending_changes.clear();
   for (const auto& change : plan.changes)
-    if (auto wanted = AsMemberChange(*change)) m_wanted.push_back(*wanted);
+    if (auto wanted = AsMemberChange(*change))
+      m_pending_changes.push_back(*wanted);
   return snapshot.substr(0, snapshot.size() - length);
 }
 
--- a/src/dotterelshift/app/other_entries.h
+++ b/src/dotterelshift/app/other_entries.h
@@ -5,35 +5,36 @@
 #include <vector>   // for vector
 
 #include "dotterelshift/gateway/fleet_load.h"       // for FleetLoad
-#include "dotterelshift/gateway/load_note_pacer.h"  // for LoadNotePacer
+#include "dotterelshift/gateway/load_note_pacer.h"  // for LoadUpdatePacer
 #include "dotterelshift/loop/loop.h"                // for Loop, Timer
 #include "dotterelshift/peers/hub.h"                // for Hub
 #include "dotterelshift/wire/frames_generated.h"    // for FrameT
 
 namespace dotterelshift::app {
 
-// Frames to the other entries that are connected.
+// Sends frames to the other connected entries.
 class OtherEntries {
  public:
-  // `hub` outlives this.
+  // `hub` must outlive this object.
   OtherEntries(loop::Loop& loop, peers::Hub& hub,
-               const gateway::LoadNotePacerOptions& notes);
+               const gateway::LoadUpdatePacerOptions& notes);
 
-  // Tells all of them what has changed at endpoints, once there is room for it.
-  // Called in each turn of the loop; has the loop turn again where it must
-  // wait.
-  void SendNotes(gateway::FleetLoad& load, Instant now);
-  // To a few at a time, each time to others: whoever is asked to lend lends, so
-  // that more would lend many times what is needed.
-  void SendToSome(const wire::FrameT& frame);
+  // Sends changes of the endpoints' load to all of them, once the pacer permits
+  // it. Called in each event loop iteration; if it must wait, a timer causes
+  // another iteration.
+  void SendLoadUpdates(gateway::FleetLoad& load, Instant now);
+  // Sends a request to lend to a few entries, to different ones each time. Each
+  // receiver lends what it can, so that asking more entries would yield many
+  // times the tokens needed.
+  void SendToNextFew(const wire::FrameT& frame);
 
  private:
   std::vector<HostId> Hosts() const;
 
   peers::Hub& m_hub;
-  gateway::LoadNotePacer m_note_pacer;
-  loop::Timer m_note_timer;
-  size_t m_next_asked = 0;
+  gateway::LoadUpdatePacer m_load_update_pacer;
+  loop::Timer m_load_update_timer;
+  size_t m_next_receiver = 0;
 };
 
 }  // namespace dotterelshift::app
--- a/src/dotterelshift/app/replica.h
+++ b/src/dotterelshift/app/replica.h
@@ -16,9 +16,9 @@
 #include "dotterelshift/app/member_changes.h"            // for MemberChanges
 #include "dotterelshift/app/proposals.h"                 // for Proposals
 #include "dotterelshift/app/spool_sender.h"              // for SpoolSender
-#include "dotterelshift/replication/bootstrap.h"         // for FirstLog
+#include "dotterelshift/replication/bootstrap.h"         // for MakeInitialLog
 #include "dotterelshift/replication/member_discovery.h"  // for MemberDiscovery
-#include "dotterelshift/replication/member_keeper.h"     // for MemberKeeper
+#include "dotterelshift/replication/member_keeper.h"     // for MembershipRepair
 #include "dotterelshift/replication/membership.h"        // for FindMember
 #include "dotterelshift/replication/messages.h"          // for SenderOf
 #include "dotterelshift/replication/snapshot_policy.h"   // for SnapshotPolicy
@@ -26,10 +26,10 @@
 
 namespace dotterelshift::app {
 
-// What a replica runs on: a loop with a clock, the timers of that loop, its
-// data folder, and the state that the log's commands make. The daemon runs on
-// LiveRuntime; tests may take a simulated clock, and a folder and a state whose
-// use costs time on it.
+// The environment of a replica: an event loop with a clock, timers, a log store
+// and the replicated state. The daemon uses LiveRuntime. Tests may use a
+// simulated clock, with a store and a state whose operations take simulated
+// time.
 template <typename R>
 concept ReplicaRuntime = std::constructible_from<
     typename R::Timer, typename R::Loop&, std::function<void()>> &&
@@ -45,7 +45,7 @@
   R::MakeState(loop, state)->LastStamp();
 };
 
-// The replica behind MakeControlReplica(). Its definitions are spread over
+// The replica behind MakeControlReplica(). Its member functions are defined in
 // replica_start.h, replica_pump.h, replica_snapshot.h and replica_spool.h.
 template <ReplicaRuntime Runtime>
 class Replica final : public ControlReplica {
@@ -64,7 +64,7 @@
   const state::State& GetState() const override { return *m_state; }
   const replication::Node& GetNode() const override { return *m_node; }
   ReplicaLoad Load() const override {
-    return {m_proposals.CountWaiting(),
+    return {m_proposals.CountUnbatched(),
             m_proposals.CountPending(),
             m_reads.size() + m_new_reads.size(),
             m_log_bytes,
@@ -73,31 +73,32 @@
             m_hellos};
   }
   bool Leads() const override {
-    return m_trouble == ErrorKind::kNone && HasCaughtUp() &&
+    return m_storage_error == ErrorKind::kNone && HasCaughtUp() &&
            m_loop.Now() < m_node->LeaseUntil();
   }
   HostId LeaderHost() const override { return HostOf(m_node->Leader()); }
   std::vector<wire::ReplicaT> WaitingReplicas() const override {
     return m_discovery->Waiting(m_node->Members());
   }
-  ErrorKind Trouble() const override { return m_trouble; }
+  ErrorKind StorageError() const override { return m_storage_error; }
   void OnFrame(const peers::PeerInfo& from, const wire::FrameT& frame) override;
 
  private:
   using NodeRole = replication::NodeRole;
   using Ready = replication::Ready;
 
-  // Starting.
+  // Start, discovery and membership repair.
   void Restore(storage::OpenedStore opened);
   void LogOpened(Instant start) const;
-  replication::GroupView View() const { return ViewOf(*m_node); }
+  replication::GroupView View() const { return GroupViewOf(*m_node); }
   void OnHousekeeping();
-  void KeepMembers();
-  void SayHello(const HostId& host, bool answer_wanted);
+  void RepairMembership();
+  void SendHello(const HostId& host, bool answer_wanted);
   void OnHello(const HostId& from, const wire::ReplicaHelloT& hello);
-  void TryToFound();
+  void TryBootstrap();
 
-  // One turn: proposals in, messages out, files written, entries applied.
+  // One iteration: takes proposals, sends messages, writes the log and applies
+  // entries.
   void SchedulePump();
   void Pump();
   void PumpOnce();
@@ -106,31 +107,31 @@
   void SendMessages(Ready& ready);
   void FinishWrite();
   void QueueCommitted(Ready& ready);
-  void ApplySome(Instant until);
+  void ApplyQueued(Instant until);
   void ApplyEntry(const wire::LogEntryT& entry);
   void AnswerReads(const std::vector<uint64_t>& tokens);
   void OnLeadershipChanged();
-  void TellLeadership();
+  void NotifyLeadership();
   void FailAll(ErrorKind error);
   void InstallSnapshot(const replication::SnapshotMeta& meta,
                        const std::string& bytes);
   void MaybeSnapshot();
   void LogSnapshot(std::string_view event, Instant start) const;
   void ArmNodeTimer();
-  void OnTrouble(const Error& error);
+  void OnStorageError(const Error& error);
 
   void SendSpool();
   void OnSpoolAnswers(const std::vector<wire::CommandAnswerT>& answers);
 
   HostId HostOf(ReplicaId id) const;
-  // A leader that has not applied what its predecessors accepted would act on
-  // what is out of date.
+  // A leader that has not applied the entries accepted by its predecessors
+  // would act on outdated state.
   bool HasCaughtUp() const {
     return m_applied.last_index >= m_node->TermStart();
   }
   // Milliseconds between an instant and now.
   int64_t MsSince(Instant start) const { return ToMs(m_loop.Now() - start); }
-  ErrorKind WhyNotLeader() const {
+  ErrorKind NotLeaderReason() const {
     return m_node->Leader() == 0 ? ErrorKind::kNoQuorum : ErrorKind::kNotLeader;
   }
 
@@ -145,12 +146,12 @@
   replication::SnapshotMeta m_applied;
   uint64_t m_log_bytes = 0;  // since the last snapshot
   WallMs m_last_stamp = 0;
-  ErrorKind m_trouble = ErrorKind::kNone;
+  ErrorKind m_storage_error = ErrorKind::kNone;
 
   std::optional<replication::SnapshotPolicy> m_snapshots;  // once restored
   std::optional<Ready> m_unwritten;
   std::deque<wire::LogEntryT> m_unapplied;  // committed
-  std::vector<uint64_t> m_confirmed_reads;  // wait for what is unapplied
+  std::vector<uint64_t> m_confirmed_reads;  // until m_unapplied is empty
   bool m_leads = false;
   Proposals m_proposals;
   std::vector<std::function<void(ErrorKind)>> m_new_reads;
@@ -158,11 +159,12 @@
   MemberChanges m_member_changes;
   SpoolSender m_spool;
   int m_ticks = 0;
-  uint64_t m_hellos = 0;  // heard
+  uint64_t m_hellos = 0;  // received
 
-  std::optional<replication::MemberKeeper> m_keeper;        // with self_healing
+  std::optional<replication::MembershipRepair>
+      m_membership_repair;                                  // with self_healing
   std::optional<replication::MemberDiscovery> m_discovery;  // once restored
-  std::map<ReplicaId, HostId> m_hosts;                      // heard from
+  std::map<ReplicaId, HostId> m_hosts;                      // senders seen
 
   bool m_pump_scheduled = false;
   Timer m_pump;
--- a/src/dotterelshift/app/replica_simulation.h
+++ b/src/dotterelshift/app/replica_simulation.h
@@ -1,8 +1,8 @@
 #ifndef DOTTERELSHIFT_APP_REPLICA_SIMULATION_H_
 #define DOTTERELSHIFT_APP_REPLICA_SIMULATION_H_
 
-// Control replicas on one simulated clock, where reading, writing and carrying
-// out commands take time; for tests only.
+// Control replicas on one simulated clock, where reading, writing and applying
+// commands take simulated time; for tests only.
 
 #include <algorithm>  // for any_of, min
 #include <cstdint>    // for uint64_t
@@ -22,24 +22,24 @@
 
 namespace dotterelshift::app {
 
-// How long work takes on a host.
+// Simulated durations of a host's operations.
 struct WorkCosts {
   Duration sync = 5ms;     // one write of the log
   Duration frame = 200us;  // one frame from another replica
-  Duration command{};      // carrying out one command
-  Duration open_entry{};   // reading one entry of the log at a start
-  Duration snapshot{};     // making or reading one
+  Duration command{};      // applying one command
+  Duration open_entry{};   // reading one log entry at the start
+  Duration snapshot{};     // creating or reading one
   Duration sent_kib{};     // sending a KiB of the log to another replica
 };
 
-// What a host's data folder holds.
+// The contents of a host's data folder.
 struct SimulatedDisk {
   replication::RestoredLog log;
   std::string snapshot;
   std::vector<std::string> spool;
 };
 
-// A host's loop, with what its work costs and where it writes.
+// The event loop of a host, with its operation costs and its disk.
 class HostLoop : public SimulatedLoop {
  public:
   HostLoop(SimulatedTime& time, const WorkCosts& costs, SimulatedDisk& disk)
@@ -52,7 +52,7 @@
   SimulatedDisk& m_disk;
 };
 
-// The folder of a simulated host: what is written is there at once.
+// The log store of a simulated host. Writes are durable immediately.
 class SimulatedStore : public storage::LogStore {
  public:
   explicit SimulatedStore(HostLoop& loop) : m_loop(loop) {}
@@ -92,16 +92,16 @@
   HostLoop& m_loop;
 };
 
-// The replica that CountingState's one plan adds.
-inline constexpr ReplicaId kNewcomer = 1000;
+// The replica that the single plan of CountingState adds.
+inline constexpr ReplicaId kAddedReplica = 1000;
 
-// A state that only counts the commands that it was given. Each costs time, and
-// so do snapshots. It knows one plan, which adds a replica.
+// A state that only counts the applied commands. Commands and snapshots take
+// simulated time. It has a single plan, which adds a replica.
 class CountingState : public state::State {
  public:
   explicit CountingState(HostLoop& loop) : m_loop(loop) {
     wire::AddReplicaT addition;
-    addition.replica = kNewcomer;
+    addition.replica = kAddedReplica;
     addition.host = "newcomer";
     m_plan.changes.push_back(std::make_unique<wire::ChangeT>());
     m_plan.changes.back()->body.Set(std::move(addition));
@@ -135,7 +135,7 @@
     return {};
   }
   state::PublishedRoutes GetPublished() const override { return {}; }
-  std::vector<wire::RoutesStepT> RoutesSince(uint64_t) const override {
+  std::vector<wire::RoutesStepT> RouteDeltasSince(uint64_t) const override {
     return {};
   }
   state::BudgetAccount PublishedSums() const override { return {}; }
@@ -175,7 +175,7 @@
   wire::PlanT m_plan;
 };
 
-// What simulated replicas run on.
+// The runtime of simulated replicas.
 struct SimulatedRuntime {
   using Loop = HostLoop;
   using Timer = SimulatedTimer;
@@ -197,13 +197,13 @@
   }
 };
 
-// Hosts "control-1" and so on, each with a replica of one group that heals
-// itself. Frames between them take a millisecond and keep their order.
+// Hosts "control-1" and so on, each with a replica of one self-healing group.
+// Frames between them take 1 ms and arrive in order.
 class ReplicaSimulation {
  public:
   ReplicaSimulation(size_t hosts, const WorkCosts& costs) : m_costs(costs) {
     m_options.node.heartbeat = 100ms;
-    m_options.node.election_least = 500ms;
+    m_options.node.min_election_timeout = 500ms;
     m_options.node.lease = 417ms;
     m_options.self_healing = true;
     for (size_t i = 1; i <= hosts; ++i) {
@@ -216,11 +216,12 @@
       m_members = replication::WithMember(m_members, member);
     }
     for (auto& [name, host] : m_hosts)
-      host.disk.log = replication::FirstLog(host.disk.log.self, m_members);
+      host.disk.log =
+          replication::MakeInitialLog(host.disk.log.self, m_members);
   }
 
-  // Writes this many committed commands into every folder, in entries of at
-  // least this many bytes.
+  // Appends `commands` commands to every log, each in an entry of at least
+  // `entry_bytes` bytes.
   void FillLogs(uint64_t commands, size_t entry_bytes = 0) {
     for (uint64_t i = 0; i < commands; ++i) {
       wire::PublishRoutesT routes;
@@ -230,16 +231,16 @@
       AppendToLogs(BatchOf(std::move(command)), wire::LogEntryKind::Batch);
     }
   }
-  // Writes the confirmation of the plan into every folder.
+  // Appends the confirmation of the plan to every log.
   void LogConfirmedPlan() {
     wire::CommandT command;
     command.body.Set(state::ConfirmOf("plan"));
     AppendToLogs(BatchOf(std::move(command)), wire::LogEntryKind::Batch);
   }
-  // Writes into every folder that the newcomer was taken in and out again.
-  void LogNewcomerCameAndWent() {
+  // Appends to every log that the plan's replica was added and removed again.
+  void LogReplicaAddedAndRemoved() {
     wire::ReplicaT newcomer;
-    newcomer.id = kNewcomer;
+    newcomer.id = kAddedReplica;
     newcomer.host = "newcomer";
     AppendToLogs(replication::EncodeMembership(
                      replication::WithMember(m_members, newcomer)),
@@ -260,7 +261,7 @@
   void StartAll() {
     for (const auto& [name, host] : m_hosts) Start(name);
   }
-  // Ends a replica without any farewell; its folder stays.
+  // Stops a replica without a shutdown; its folder stays.
   void Kill(const HostId& name) {
     Host& host = m_hosts.at(name);
     host.replica.reset();
@@ -269,14 +270,14 @@
   void KillAll() {
     for (const auto& [name, host] : m_hosts) Kill(name);
   }
-  // Loses the folder of a host that is not running.
+  // Clears the folder of a host that is not running.
   void Wipe(const HostId& name) {
     SimulatedDisk& disk = m_hosts.at(name).disk;
     disk = {};
     disk.log.self = ++m_last_replica;
   }
 
-  // Goes on until the condition holds; false when it does not within `limit`.
+  // Runs until the condition holds; false if it does not within `limit`.
   template <typename Condition>
   bool RunUntil(Condition condition, Duration limit) {
     const Instant end = m_time.Now() + limit;
@@ -289,17 +290,18 @@
     RunUntil([] { return false; }, time);
   }
 
-  // How long it takes until a read is confirmed by any replica; callers ask
-  // all of them again and again. Empty: not within `limit`.
-  std::optional<Duration> TimeToRead(Duration limit) {
+  // Time until any replica confirms a read; all replicas are asked repeatedly.
+  // Empty: not within `limit`.
+  std::optional<Duration> TimeToConfirmedRead(Duration limit) {
     const Instant start = m_time.Now();
     const auto done = std::make_shared<bool>(false);
-    AskAll(done);
+    ConfirmReadOnAll(done);
     if (!RunUntil([&] { return *done; }, limit)) return std::nullopt;
     return m_time.Now() - start;
   }
 
-  // Has the leader accept this many commands, some at a time.
+  // Proposes commands to the leader in small groups until all are accepted;
+  // false if they are not within `limit`.
   bool Accept(uint64_t commands, Duration limit) {
     const Instant end = m_time.Now() + limit;
     while (commands > 0) {
@@ -310,16 +312,16 @@
     return true;
   }
 
-  // The same with all of them proposed at one moment.
+  // Like Accept(), with all commands proposed at once.
   bool AcceptAtOnce(uint64_t commands, Duration limit) {
     const auto accepted = std::make_shared<uint64_t>(0);
     for (uint64_t i = 0; i < commands; ++i) ProposeUntilAccepted(accepted);
     return RunUntil([&] { return *accepted == commands; }, limit);
   }
 
-  // The same with one proposed after the other, whether or not those before it
-  // are accepted.
-  bool AcceptEach(Duration gap, uint64_t commands, Duration limit) {
+  // Like Accept(), with one command proposed every `gap`, whether or not the
+  // previous ones are accepted.
+  bool AcceptPaced(Duration gap, uint64_t commands, Duration limit) {
     const auto accepted = std::make_shared<uint64_t>(0);
     for (uint64_t i = 0; i < commands; ++i)
       m_time.Add(m_time.Now() + gap * static_cast<int64_t>(i), nullptr,
@@ -327,12 +329,12 @@
     return RunUntil([&] { return *accepted == commands; }, limit);
   }
 
-  // Whether any replica has the newcomer among its members.
-  bool NewcomerIsMember() const {
+  // Whether any replica has the plan's replica among its members.
+  bool AddedReplicaIsMember() const {
     return std::ranges::any_of(m_hosts, [](const auto& entry) {
       const auto& replica = entry.second.replica;
       return replica && replication::FindMember(replica->GetNode().Members(),
-                                                kNewcomer) != nullptr;
+                                                kAddedReplica) != nullptr;
     });
   }
 
@@ -342,22 +344,24 @@
     return "";
   }
   ControlReplica& Find(const HostId& name) { return *m_hosts.at(name).replica; }
-  // How many commands this replica's state has been given.
+  // Number of commands applied to this replica's state.
   uint64_t CommandsAt(const HostId& name) {
     return dynamic_cast<const CountingState&>(Find(name).GetState()).Commands();
   }
-  // How often a replica became leader up to now.
+  // Number of terms in which a replica has led.
   uint64_t Elections() const { return m_terms_led.size(); }
-  // How often a replica was told of its leadership while it could act on it.
-  uint64_t TimesToldToLead() const { return m_told_to_lead; }
-  // Hellos sent between replicas up to now.
+  // Number of leadership callbacks of replicas that could act as leader.
+  uint64_t LeadershipNotifications() const {
+    return m_leadership_notifications;
+  }
+  // Number of hellos sent between running replicas.
   uint64_t Hellos() const { return m_hellos; }
   ControlReplicaOptions& Options() { return m_options; }
   SimulatedTime& Time() { return m_time; }
 
  private:
   static constexpr Duration kLatency = 1ms;
-  static constexpr Duration kAskAgain = 100ms;
+  static constexpr Duration kRetryInterval = 100ms;
   static constexpr uint64_t kCommandsAtOnce = 4;
 
   struct Host {
@@ -400,14 +404,14 @@
     callbacks.on_leadership_changed = [this, name] {
       const auto& replica = m_hosts.at(name).replica;
       if (!replica) return;
-      if (replica->Leads()) ++m_told_to_lead;
+      if (replica->Leads()) ++m_leadership_notifications;
       if (replica->GetNode().Role() == replication::NodeRole::kLeader)
         m_terms_led.insert(replica->GetNode().Term());
     };
     return callbacks;
   }
 
-  static int64_t KibOfLog(const wire::FrameT& frame) {
+  static int64_t LogKib(const wire::FrameT& frame) {
     size_t bytes = 0;
     if (const wire::AppendRequestT* append = frame.body.AsAppendRequest())
       for (const auto& entry : append->entries) bytes += entry->payload.size();
@@ -420,7 +424,7 @@
     HostLoop* loop = target->second.loop.get();
     if (frame.body.AsReplicaHello() != nullptr) ++m_hellos;
     HostLoop& sender_loop = *m_hosts.at(from).loop;
-    sender_loop.Spend(m_costs.sent_kib * KibOfLog(frame));
+    sender_loop.Spend(m_costs.sent_kib * LogKib(frame));
     const Instant arrival = sender_loop.Now() + kLatency;
     m_time.Add(arrival, loop, [this, from, to, loop, frame] {
       loop->Spend(m_costs.frame);
@@ -430,7 +434,7 @@
     });
   }
 
-  void AskAll(const std::shared_ptr<bool>& done) {
+  void ConfirmReadOnAll(const std::shared_ptr<bool>& done) {
     if (*done) return;
     for (auto& [name, host] : m_hosts) {
       if (!host.replica) continue;
@@ -438,14 +442,14 @@
         *done = *done || error == ErrorKind::kNone;
       });
     }
-    m_time.Add(m_time.Now() + kAskAgain, nullptr,
-               [this, done] { AskAll(done); });
+    m_time.Add(m_time.Now() + kRetryInterval, nullptr,
+               [this, done] { ConfirmReadOnAll(done); });
   }
 
   void ProposeUntilAccepted(const std::shared_ptr<uint64_t>& accepted) {
     const HostId leader = Leader();
     const auto again = [this, accepted] {
-      m_time.Add(m_time.Now() + kAskAgain, nullptr,
+      m_time.Add(m_time.Now() + kRetryInterval, nullptr,
                  [this, accepted] { ProposeUntilAccepted(accepted); });
     };
     if (leader.empty()) return again();
@@ -463,9 +467,9 @@
   wire::MembershipT m_members;
   std::map<HostId, Host> m_hosts;
   ReplicaId m_last_replica = 0;
-  std::mt19937_64 m_seeds;  // of the replicas' starts
+  std::mt19937_64 m_seeds;  // one for each start of a replica
   std::set<uint64_t> m_terms_led;
-  uint64_t m_told_to_lead = 0;
+  uint64_t m_leadership_notifications = 0;
   uint64_t m_hellos = 0;
 };
 
