--- a/src/dotterelshift/app/replica_start_test.cc
+++ b/src/dotterelshift/app/replica_start_test.cc
@@ -9,8 +9,8 @@
 
 constexpr size_t kHosts = 9;
 
-// What work costs with 0.075 of a core, where one simulated command stands for
-// a thousand real ones of 2 microseconds each.
+// Costs of a host with 0.075 of a core. One simulated command stands for a
+// thousand real ones of 2 microseconds each.
 WorkCosts SlowHost() {
   WorkCosts costs;
   costs.command = 27ms;
@@ -19,7 +19,8 @@
   return costs;
 }
 
-// All hosts lose power at the same moment, and two of them their folders.
+// Restarts all hosts after a power loss in which two of them lose their
+// folders.
 void RestartAll(ReplicaSimulation& group) {
   group.KillAll();
   group.Wipe("control-2");
@@ -29,37 +30,37 @@
 
 class ReplicaStartTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicaStartTest);
-  CPPUNIT_TEST(LeaderStaysWhileItsLogIsCarriedOut);
-  CPPUNIT_TEST(ALeaderActsOnceItsLogIsCarriedOut);
-  CPPUNIT_TEST(ALeaderChangesMembersOnceItsLogIsCarriedOut);
-  CPPUNIT_TEST(ALeaderStaysWhenManyEntriesReturnAtOnce);
-  CPPUNIT_TEST(ALeaderStaysWhileItSendsItsLogToLostHosts);
-  CPPUNIT_TEST(ALeaderStaysUnderSteadyWork);
-  CPPUNIT_TEST(ReadsComeSoonAfterAStartHoweverLongTheGroupRan);
-  CPPUNIT_TEST(WithoutALeaderHellosDoNotMultiply);
+  CPPUNIT_TEST(LeaderStaysWhileItAppliesItsLog);
+  CPPUNIT_TEST(LeaderActsOnceItsLogIsApplied);
+  CPPUNIT_TEST(LeaderChangesMembersOnceItsLogIsApplied);
+  CPPUNIT_TEST(LeaderStaysWhenManyEntriesReturnAtOnce);
+  CPPUNIT_TEST(LeaderStaysWhileItSendsItsLogToWipedHosts);
+  CPPUNIT_TEST(LeaderStaysUnderSteadyLoad);
+  CPPUNIT_TEST(ReadsAreConfirmedSoonAfterARestartForAnyLogLength);
+  CPPUNIT_TEST(HellosDoNotMultiplyWithoutALeader);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Members that hear no leader tell each other so. Each hello that is answered
-  // by another one goes on until there is a leader, and takes the time in which
-  // one could be elected.
-  void WithoutALeaderHellosDoNotMultiply() {
+  // Members without a leader send hellos to each other. If each hello were
+  // answered by another one, the exchange would go on until there is a leader
+  // and take the processing time that an election needs.
+  void HellosDoNotMultiplyWithoutALeader() {
     constexpr uint64_t kRunning = 4;  // too few for a leader
     constexpr uint64_t kSeconds = 20;
     ReplicaSimulation group(kHosts, WorkCosts{});
     for (uint64_t i = 1; i <= kRunning; ++i)
       group.Start("control-" + std::to_string(i));
     group.RunFor(kSeconds * 1s);
-    // Each says hello to each other one once a second; an answer is due only
-    // from one that knows more.
-    constexpr uint64_t kMost = kRunning * (kRunning - 1) * (kSeconds + 1);
+    // Each sends a hello to every other one once a second; only a replica that
+    // knows more answers.
+    constexpr uint64_t kMaxHellos = kRunning * (kRunning - 1) * (kSeconds + 1);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(group.Hellos()) + " hellos",
-                           group.Hellos() <= kMost);
+                           group.Hellos() <= kMaxHellos);
   }
 
-  // A leader that is silent while it carries out what it found in its folder is
-  // replaced by one that does the same.
-  void LeaderStaysWhileItsLogIsCarriedOut() {
+  // A leader that sends no heartbeats while it applies the log from its folder
+  // is replaced by another one that does the same.
+  void LeaderStaysWhileItAppliesItsLog() {
     constexpr uint64_t kCommands = 300;  // 8 s of work
     ReplicaSimulation group(kHosts, SlowHost());
     group.FillLogs(kCommands);
@@ -70,8 +71,8 @@
     CPPUNIT_ASSERT_EQUAL(kCommands, group.CommandsAt(group.Leader()));
   }
 
-  // Until then it would tell entries of routes and totals that are out of date.
-  void ALeaderActsOnceItsLogIsCarriedOut() {
+  // Before that it would send outdated routes and totals to the entries.
+  void LeaderActsOnceItsLogIsApplied() {
     constexpr uint64_t kCommands = 100;
     ReplicaSimulation group(kHosts, SlowHost());
     group.FillLogs(kCommands);
@@ -80,24 +81,25 @@
         group.RunUntil([&] { return !group.Leader().empty(); }, 20s));
     CPPUNIT_ASSERT_EQUAL(kCommands, group.CommandsAt(group.Leader()));
     group.RunFor(1s);
-    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, group.TimesToldToLead());
+    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, group.LeadershipNotifications());
   }
 
-  // Its log asks for a member that later came and went.
-  void ALeaderChangesMembersOnceItsLogIsCarriedOut() {
+  // The log requests a member that a later entry adds and another one removes.
+  void LeaderChangesMembersOnceItsLogIsApplied() {
     ReplicaSimulation group(kHosts, SlowHost());
     group.LogConfirmedPlan();
     group.FillLogs(100);
-    group.LogNewcomerCameAndWent();
+    group.LogReplicaAddedAndRemoved();
     RestartAll(group);
     CPPUNIT_ASSERT(
-        !group.RunUntil([&] { return group.NewcomerIsMember(); }, 20s));
+        !group.RunUntil([&] { return group.AddedReplicaIsMember(); }, 20s));
     CPPUNIT_ASSERT(!group.Leader().empty());
   }
 
-  // Entries that were away send at once what they have kept: one batch of it
-  // all is one turn of the loop, however the log is sliced.
-  void ALeaderStaysWhenManyEntriesReturnAtOnce() {
+  // Entries that reconnect send all their pending commands at once. A single
+  // batch of them would be applied in one loop iteration, even though the apply
+  // time of log entries is limited.
+  void LeaderStaysWhenManyEntriesReturnAtOnce() {
     constexpr uint64_t kCommands = 1000;
     WorkCosts costs;
     costs.command = 1ms;
@@ -109,9 +111,9 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, group.Elections());
   }
 
-  // A host that has lost its folder is sent the whole log: handed to its
-  // connection in one turn of the loop, that is as long as the log.
-  void ALeaderStaysWhileItSendsItsLogToLostHosts() {
+  // A host that has lost its folder is sent the whole log. Sent in one loop
+  // iteration, that would block the leader in proportion to the log's length.
+  void LeaderStaysWhileItSendsItsLogToWipedHosts() {
     constexpr uint64_t kCommands = 100;
     constexpr size_t kEntryBytes = 64 << 10;
     WorkCosts costs;
@@ -125,9 +127,9 @@
     CPPUNIT_ASSERT_EQUAL(kCommands, group.CommandsAt("control-7"));
   }
 
-  // A fleet's reports come without a pause: each turn of the leader ends with
-  // something to write, and begins with it.
-  void ALeaderStaysUnderSteadyWork() {
+  // A fleet sends reports without a pause, so each loop iteration of the leader
+  // begins and ends with a pending write.
+  void LeaderStaysUnderSteadyLoad() {
     constexpr uint64_t kCommands = 2'000;
     for (const Duration gap : {1ms, 2ms, 4ms}) {
       WorkCosts costs;
@@ -135,21 +137,21 @@
       ReplicaSimulation group(kHosts, costs);
       group.StartAll();
       CPPUNIT_ASSERT(group.Accept(1, 10s));
-      CPPUNIT_ASSERT(group.AcceptEach(gap, kCommands, 60s));
+      CPPUNIT_ASSERT(group.AcceptPaced(gap, kCommands, 60s));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(ToMs(gap)), uint64_t{1},
                                    group.Elections());
     }
   }
 
-  // Five seconds from the start of all to the first confirmed read.
-  void ReadsComeSoonAfterAStartHoweverLongTheGroupRan() {
+  // At most 5 s from the start of all hosts to the first confirmed read.
+  void ReadsAreConfirmedSoonAfterARestartForAnyLogLength() {
     for (const uint64_t commands : {10, 100, 1000}) {
       ReplicaSimulation group(kHosts, SlowHost());
       group.StartAll();
       CPPUNIT_ASSERT(group.Accept(commands, 600s));
       RestartAll(group);
       CPPUNIT_ASSERT_MESSAGE(std::to_string(commands),
-                             group.TimeToRead(5s).has_value());
+                             group.TimeToConfirmedRead(5s).has_value());
     }
   }
 };
--- a/src/dotterelshift/app/request_traffic.h
+++ b/src/dotterelshift/app/request_traffic.h
@@ -15,8 +15,8 @@
 
 namespace dotterelshift::app {
 
-// Carries bytes between the callers' front and the endpoints' attempts as the
-// request core decides.
+// Transfers bytes between the callers' front and the attempts at endpoints, as
+// decided by the request core.
 class RequestTraffic {
  public:
   struct Callbacks {
@@ -32,14 +32,14 @@
     m_front->Accept(std::move(exchange));
   }
 
-  // Carries out what the core wants; to be called after every event that
-  // reached the core from elsewhere.
+  // Executes the core's pending actions. To be called after every event that
+  // the core received from elsewhere.
   void Pump();
 
-  size_t OpenAnswers() const { return m_front->Open(); }
+  size_t OpenResponses() const { return m_front->Open(); }
 
  private:
-  // The answer of one attempt on its way to the caller.
+  // The response of one attempt while it is relayed to the caller.
   struct ActiveRequest {
     RequestId request = 0;
     int status = 0;
@@ -47,26 +47,26 @@
     bool streamed = false;
     bool head_sent = false;
     bool paused = false;
-    std::string held;  // an answer that is not streamed waits here for its bill
-    Instant last_piece{};
+    std::string held;  // a response that is not streamed, until it is billed
+    Instant last_chunk{};
   };
 
   callers::FrontEvents MakeFrontEvents();
   endpoints::AttemptEvents MakeAttemptEvents();
-  bool OnPiece(AttemptId attempt, const serving::Piece& piece,
+  bool OnChunk(AttemptId attempt, const serving::Chunk& piece,
                std::string_view bytes);
   void OnDrained(RequestId request);
   void SendHead(ActiveRequest& flight);
   void Forget(RequestId request);
-  void CarryOut(serving::Action& action);
-  void CarryOut(serving::StartAttempt& start);
-  void CarryOut(const serving::CancelAttempt& cancel);
-  void CarryOut(const serving::FinishAnswer& finish);
-  void CarryOut(const serving::FailAnswer& fail);
-  void CarryOut(serving::ProposeCommand& propose) {
+  void Execute(serving::Action& action);
+  void Execute(serving::StartAttempt& start);
+  void Execute(const serving::CancelAttempt& cancel);
+  void Execute(const serving::FinishResponse& finish);
+  void Execute(const serving::FailResponse& fail);
+  void Execute(serving::ProposeCommand& propose) {
     m_callbacks.propose(std::move(propose.command));
   }
-  void CarryOut(serving::SpoolCommand& spool) {
+  void Execute(serving::SpoolCommand& spool) {
     m_callbacks.spool(std::move(spool.command));
   }
 
@@ -78,7 +78,7 @@
   std::unique_ptr<callers::Front> m_front;
   std::unique_ptr<endpoints::AttemptRunner> m_runner;
   std::unordered_map<AttemptId, ActiveRequest> m_active;
-  std::unordered_map<RequestId, AttemptId> m_attempt_of;
+  std::unordered_map<RequestId, AttemptId> m_attempt_by_request;
   loop::Timer m_timer;
   Instant m_timer_at{};
   bool m_pumping = false;
--- a/src/dotterelshift/app/routes_spread_test.cc
+++ b/src/dotterelshift/app/routes_spread_test.cc
@@ -8,12 +8,12 @@
 #include "dotterelshift/app/leader_testing.h"             // for MockReplica
 #include "dotterelshift/app/routes_port.h"                // for RoutesCommand
 #include "dotterelshift/state/routes_document_testing.h"  // for RoutesDocument
-#include "dotterelshift/state/state_testing.h"            // for TestRun
+#include "dotterelshift/state/state_testing.h"            // for TestSender
 
 namespace dotterelshift::app {
 namespace {
 
-// A clock moved by events, in order of their time.
+// A simulated clock that advances from event to event.
 class Events {
  public:
   Instant Now() const { return m_now; }
@@ -34,11 +34,11 @@
   std::multimap<Instant, std::function<void()>> m_events;
 };
 
-// Something that carries bytes one after the other.
+// A resource that processes bytes sequentially at a fixed rate.
 class Link {
  public:
   explicit Link(double bytes_per_second) : m_rate(bytes_per_second) {}
-  // When bytes that are handed over at `from` have passed.
+  // Returns when bytes that are queued at `from` have been processed.
   Instant Pass(size_t bytes, Instant from) {
     const std::chrono::duration<double> time(static_cast<double>(bytes) /
                                              m_rate);
@@ -52,7 +52,7 @@
   Instant m_free{};
 };
 
-// Frames take the leader's processor, the leader's link and the receiver's.
+// Frames use the leader's processor, the leader's link and the receiver's link.
 class SlowHub : public peers::Hub {
  public:
   using Deliver = std::function<void(const HostId&, const wire::FrameT&)>;
@@ -66,7 +66,7 @@
     m_bytes += bytes;
     m_backlog[host] += bytes;
     const Instant handled =
-        m_processor.Pass(bytes + kBytesOfFrame, m_events.Now());
+        m_processor.Pass(bytes + kFrameOverheadBytes, m_events.Now());
     const Instant left = m_link.Pass(bytes, handled);
     Link& link = m_links.try_emplace(host, kEntryBytesPerSecond).first->second;
     m_events.At(link.Pass(bytes, left) + kLatency, [this, host, frame, bytes] {
@@ -84,7 +84,7 @@
   uint16_t Port() const override { return 0; }
   const peers::HubCounters& Counters() const override { return m_counters; }
 
-  // Until then the leader is at work.
+  // The time until which the leader's processor is busy.
   Instant BusyUntil() { return m_processor.Pass(0, m_events.Now()); }
   size_t Bytes() const { return m_bytes; }
 
@@ -92,9 +92,10 @@
   static constexpr Duration kLatency = 2ms;
   static constexpr double kLeaderBytesPerSecond = 21e6;
   static constexpr double kEntryBytesPerSecond = 1.25e6;
-  // What a small part of a processor packs and sends.
+  // Rate of packing and sending with a small fraction of a processor.
   static constexpr double kHandledBytesPerSecond = 16e6;
-  static constexpr size_t kBytesOfFrame = 8 << 10;  // as long as any takes
+  // Fixed processing cost of a frame, as an upper bound for any frame.
+  static constexpr size_t kFrameOverheadBytes = 8 << 10;
 
   Events& m_events;
   Deliver m_deliver;
@@ -106,7 +107,7 @@
   peers::HubCounters m_counters;
 };
 
-// A leader, its entries, and an operator that changes a large document.
+// A leader, its entries, and an operator that changes a large routes document.
 class Fleet {
  public:
   Fleet(size_t entries, size_t routes) : m_routes(routes) {
@@ -122,7 +123,7 @@
     m_pushes.OnUp(info);
   }
 
-  // One route differs from the version before.
+  // Publishes a version in which one route differs from the previous one.
   void Publish(uint64_t version, std::optional<size_t> changed) {
     m_document = state::RoutesDocument(
         {.version = version, .routes = m_routes, .changed = changed});
@@ -134,9 +135,9 @@
 
   void RunFor(Duration time) { m_events.RunUntil(m_events.Now() + time); }
 
-  // The longest time from a version's commit until all entries held it or a
-  // newer one; none while one does not.
-  std::optional<Duration> LongestWait() const {
+  // The longest time from a version's commit until all entries had it or a
+  // newer one; empty while an entry has not.
+  std::optional<Duration> MaxWait() const {
     Duration longest{};
     for (const auto& [version, committed] : m_committed) {
       for (const auto& [host, link] : m_entries) {
@@ -154,13 +155,13 @@
       return entry.second.RoutesDocument() == m_document;
     });
   }
-  // From here on only what follows counts.
+  // Excludes the versions published so far from MaxWait().
   void Forget() { m_committed.clear(); }
   size_t Bytes() const { return m_hub.Bytes(); }
 
  private:
   void PushTurn() {
-    m_pushes.PushSome(m_events.Now());
+    m_pushes.PushPending(m_events.Now());
     constexpr Duration kTick = 10ms;
     m_events.At(std::max(m_events.Now() + kTick, m_hub.BusyUntil()),
                 [this] { PushTurn(); });
@@ -181,23 +182,24 @@
                   Deliver(host, frame);
                 }};
   EntryPushes m_pushes{m_hub, m_replica};
-  state::TestRun m_control{m_replica.state.get(), "control", 1};
+  state::TestSender m_control{m_replica.state.get(), "control", 1};
   std::string m_document;
-  std::map<uint64_t, Instant> m_committed;               // by version
-  std::map<HostId, std::map<uint64_t, Instant>> m_held;  // since when
+  std::map<uint64_t, Instant> m_committed;  // by version
+  // When each entry received each version.
+  std::map<HostId, std::map<uint64_t, Instant>> m_held;
 };
 
-// The aim for a change among hosts that reach each other.
+// Target time for a change to reach all connected hosts.
 constexpr Duration kInForce = 500ms;
 
-// A storm of changes of a large document to a fleet on slow links, from a
-// leader on a small part of a processor.
+// A burst of changes to a large document, sent to a fleet on slow links by a
+// leader that has a small fraction of a processor.
 class RoutesSpreadTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RoutesSpreadTest);
-  CPPUNIT_TEST(AStormOfChangesIsInForceInTime);
-  CPPUNIT_TEST(AtTheSizeOfTwoYearsToo);
-  CPPUNIT_TEST(AnEntryThatStartsHasALargeDocumentInTime);
-  CPPUNIT_TEST(AChangeCostsWhatItChanges);
+  CPPUNIT_TEST(StormOfChangesMeetsItsAim);
+  CPPUNIT_TEST(StormOfChangesMeetsItsAimAtTwoYearsOfGrowth);
+  CPPUNIT_TEST(StartingEntryReceivesALargeDocumentInTime);
+  CPPUNIT_TEST(ChangeCostIsProportionalToItsSize);
   CPPUNIT_TEST_SUITE_END();
 
   static void Storm(Fleet& fleet, int changes, Duration gap) {
@@ -211,24 +213,24 @@
   }
 
   static void AssertInForce(const Fleet& fleet) {
-    CPPUNIT_ASSERT(fleet.LongestWait().has_value());
-    CPPUNIT_ASSERT(*fleet.LongestWait() <= kInForce);
+    CPPUNIT_ASSERT(fleet.MaxWait().has_value());
+    CPPUNIT_ASSERT(*fleet.MaxWait() <= kInForce);
     CPPUNIT_ASSERT(fleet.AllHoldTheDocument());
   }
 
-  void AStormOfChangesIsInForceInTime() {
+  void StormOfChangesMeetsItsAim() {
     Fleet fleet(63, 1'400);
     Storm(fleet, 20, 200ms);
     AssertInForce(fleet);
   }
 
-  void AtTheSizeOfTwoYearsToo() {
+  void StormOfChangesMeetsItsAimAtTwoYearsOfGrowth() {
     Fleet fleet(373, 19'000);
     Storm(fleet, 5, 100ms);
     AssertInForce(fleet);
   }
 
-  void AnEntryThatStartsHasALargeDocumentInTime() {
+  void StartingEntryReceivesALargeDocumentInTime() {
     Fleet fleet(1, 19'000);
     fleet.RunFor(60s);
     fleet.Forget();
@@ -238,16 +240,16 @@
     AssertInForce(fleet);
   }
 
-  void AChangeCostsWhatItChanges() {
+  void ChangeCostIsProportionalToItsSize() {
     constexpr size_t kEntries = 63;
     constexpr size_t kChanges = 20;
-    constexpr size_t kMostBytesOfChange = 2 << 10;
+    constexpr size_t kMaxBytesOfChange = 2 << 10;
     Fleet fleet(kEntries, 1'400);
     fleet.RunFor(60s);
     const size_t before = fleet.Bytes();
     Storm(fleet, kChanges, 200ms);
     CPPUNIT_ASSERT(fleet.Bytes() - before <=
-                   kEntries * kChanges * kMostBytesOfChange);
+                   kEntries * kChanges * kMaxBytesOfChange);
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(RoutesSpreadTest);
--- a/src/dotterelshift/budget/grant_property_test.cc
+++ b/src/dotterelshift/budget/grant_property_test.cc
@@ -1,6 +1,7 @@
-// Random schedules over the real State and Ledger cores: entries that die, are
-// cut off and come back; commands and answers that are lost, doubled and
-// reordered; spools, top-ups, retirements and changes of the grant way.
+// Random schedules over the real State and Ledger cores: entries die, are cut
+// off and reconnect; commands and answers are lost, duplicated and reordered;
+// settlements are spooled, budgets topped up, holders retired and grant modes
+// changed.
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include <algorithm>  // for min
@@ -12,7 +13,7 @@
 #include <vector>     // for vector
 
 #include "dotterelshift/budget/ledger.h"        // for Ledger
-#include "dotterelshift/state/grants.h"         // for RecoverDead
+#include "dotterelshift/state/grants.h"         // for RecoverDeadGrant
 #include "dotterelshift/state/state_core.h"     // for MakeStateWith
 #include "dotterelshift/state/state_testing.h"  // for ChangeOf
 
@@ -24,18 +25,18 @@
 constexpr uint64_t kSchedules = 400;
 constexpr WallMs kStamp = 1'000'000;
 
-// The rule that a test compiles out: what a dead run may have spent unseen is
-// given out again.
+// Faulty rules: tokens that a dead incarnation may have spent without control
+// knowing are granted again.
 struct ReissuingRules {
-  static constexpr bool kKeepStandingOfTheDead = false;
+  static constexpr bool kRetainDeadPreauthorized = false;
 };
 
-// One attempt of an entry, from its reservation to its end.
+// An attempt of an entry, from its reservation to its end.
 struct Attempt {
   std::string key;
   Tokens reserved = 0;
   bool standing = false;
-  bool running = false;  // dispatched; else it waits for its opening
+  bool running = false;  // dispatched; otherwise waiting for its opening
 };
 
 struct Entry {
@@ -44,7 +45,7 @@
   BudgetHandle budget = 0;
   bool connected = true;
   uint64_t sequence = 0;
-  uint64_t ask = 0;  // sequence of the ask under way
+  uint64_t grant_request = 0;  // sequence of the last grant request
   std::map<AttemptId, Attempt> attempts;
   std::map<uint64_t, wire::CommandT> outbox;  // not answered yet
 };
@@ -55,7 +56,7 @@
       : m_random(seed),
         m_state(state::MakeStateWith({}, recover)),
         m_twin(state::MakeStateWith({}, recover)) {
-    ChangeWay();
+    ChangeGrantMode();
     Accept(state::BudgetChange("b", "team"));
     TopUp();
     for (int i = 0; i < kEntries; ++i) {
@@ -65,11 +66,11 @@
     }
   }
 
-  // Empty when every invariant held at every step and at the end, else the
-  // first one that did not.
+  // Runs the schedule. Returns the first violated invariant, or an empty string
+  // when all invariants held at every step and at the end.
   std::string Play() {
     for (int step = 0; step < kSteps && m_failure.empty(); ++step) Step();
-    if (m_failure.empty()) Heal();
+    if (m_failure.empty()) RecoverAll();
     return m_failure;
   }
 
@@ -84,11 +85,11 @@
     entry.run.incarnation += 1;
     entry.ledger = MakeLedger();
     HoldingPolicy policy;
-    policy.way = m_way;
+    policy.way = m_grant_mode;
     entry.budget = entry.ledger->Open("b", policy);
     entry.connected = true;
     entry.sequence = 0;
-    entry.ask = 0;
+    entry.grant_request = 0;
     entry.attempts.clear();
     entry.outbox.clear();
     Propose(entry, wire::RegisterHostT());
@@ -112,22 +113,22 @@
     Entry& entry = AnyEntry();
     switch (Draw(24)) {
       case 0:
-        return EndRun(entry);
+        return KillProcess(entry);
       case 1:
       case 2:
-        return CutOrHeal(entry);
+        return ToggleConnection(entry);
       case 3:
         return Draw(10) == 0 ? TopUp() : MergeSpool();
       case 4:
         return Retire();
       case 5:
-        return Draw(8) == 0 ? ChangeWay() : GiveUpOpening(entry);
+        return Draw(8) == 0 ? ChangeGrantMode() : AbandonOpening(entry);
       case 6:
         return entry.ledger->OnRecall("b", static_cast<Tokens>(Draw(400)),
                                       m_now);
       case 7:
       case 8:
-        return SendAgain(entry);
+        return Resend(entry);
       case 9:
       case 10:
       case 11:
@@ -139,17 +140,17 @@
         return Finish(entry);
       case 16:
       case 17:
-        return TendLedger(entry);
+        return PollLedger(entry);
       default:
-        return MoveMessage();
+        return DeliverMessage();
     }
   }
 
-  // ---- what an entry does
+  // ---- actions of an entry
 
   void Reserve(Entry& entry) {
     HoldingPolicy policy;
-    policy.way = m_way;
+    policy.way = m_grant_mode;
     entry.ledger->Open("b", policy);
     Attempt attempt;
     attempt.key = "k" + std::to_string(Draw(200));
@@ -157,9 +158,9 @@
     const ReserveResult result =
         entry.ledger->Reserve(entry.budget, attempt.reserved, m_now);
     const AttemptId id = ++m_last_attempt;
-    attempt.standing = result == ReserveResult::kReservedStanding;
+    attempt.standing = result == ReserveResult::kReservedPreauthorized;
     attempt.running = attempt.standing;
-    if (attempt.standing) m_unheard[entry.run].insert(id);
+    if (attempt.standing) m_unsettled_without_opening[entry.run].insert(id);
     if (result == ReserveResult::kReserved)
       Propose(entry, state::OpeningOf("b", attempt.key, id, attempt.reserved));
     if (result == ReserveResult::kReserved || attempt.standing)
@@ -180,8 +181,8 @@
   void Settle(Entry& entry, AttemptId id, const Attempt& attempt, Tokens spent,
               wire::Outcome outcome) {
     if (attempt.standing) {
-      entry.ledger->SettleStanding(entry.budget, attempt.reserved, spent,
-                                   m_now);
+      entry.ledger->SettlePreauthorized(entry.budget, attempt.reserved, spent,
+                                        m_now);
     } else {
       entry.ledger->Settle(entry.budget, attempt.reserved, spent, m_now);
     }
@@ -195,16 +196,17 @@
       m_spool.push_back(entry.outbox[sequence]);
   }
 
-  // An opening that is not answered in time: dispatched from the standing part,
-  // or given up. The settlement ends it in either case.
-  void GiveUpOpening(Entry& entry) {
+  // Handles an opening that is not answered in time: the attempt is dispatched
+  // with pre-authorized tokens or abandoned. Its settlement ends the opening in
+  // both cases.
+  void AbandonOpening(Entry& entry) {
     for (auto& [id, attempt] : entry.attempts) {
       if (attempt.running) continue;
-      if (!entry.connected &&
-          entry.ledger->MoveToStanding(entry.budget, attempt.reserved, m_now)) {
+      if (!entry.connected && entry.ledger->MoveToPreauthorized(
+                                  entry.budget, attempt.reserved, m_now)) {
         attempt.standing = true;
         attempt.running = true;
-        m_unheard[entry.run].insert(id);
+        m_unsettled_without_opening[entry.run].insert(id);
         return;
       }
       Settle(entry, id, attempt, 0, wire::Outcome::Refused);
@@ -213,9 +215,9 @@
     }
   }
 
-  // The process dies: what its running attempts consumed until then stays
-  // consumed, and nobody can tell how much it was.
-  void EndRun(Entry& entry) {
+  // The process dies. The tokens that its running attempts consumed until then
+  // remain consumed, but their number is unknown to control.
+  void KillProcess(Entry& entry) {
     if (Draw(3) != 0) return;
     for (const auto& [id, attempt] : entry.attempts)
       if (attempt.running)
@@ -224,30 +226,33 @@
     Start(entry);
   }
 
-  void CutOrHeal(Entry& entry) {
+  void ToggleConnection(Entry& entry) {
     entry.connected = !entry.connected;
     entry.ledger->SetConnected(entry.connected, m_now);
   }
 
-  void TendLedger(Entry& entry) {
-    for (const GrantWish& wish : entry.ledger->TakeWishes(m_now)) {
-      if (wish.kind == GrantWish::Kind::kReturn) {
+  void PollLedger(Entry& entry) {
+    for (const GrantAdjustment& adjustment :
+         entry.ledger->TakeAdjustments(m_now)) {
+      if (adjustment.kind == GrantAdjustment::Kind::kReturn) {
         wire::ReturnGrantT body;
         body.budget = "b";
-        body.tokens = wish.wanted;
-        body.standing = wish.standing;
+        body.tokens = adjustment.wanted;
+        body.standing = adjustment.standing;
         Propose(entry, body);
-      } else if (entry.ask != 0 && entry.outbox.contains(entry.ask)) {
-        m_network.push_back(entry.outbox[entry.ask]);
+      } else if (entry.grant_request != 0 &&
+                 entry.outbox.contains(entry.grant_request)) {
+        m_network.push_back(entry.outbox[entry.grant_request]);
       } else {
-        entry.ask = Propose(
-            entry, state::GrantAsk("b", wish.wanted % 500 + wish.minimum,
-                                   static_cast<Tokens>(Draw(5)), wish.minimum));
+        entry.grant_request = Propose(
+            entry, state::GrantRequestOf(
+                       "b", adjustment.wanted % 500 + adjustment.minimum,
+                       static_cast<Tokens>(Draw(5)), adjustment.minimum));
       }
     }
   }
 
-  void SendAgain(Entry& entry) {
+  void Resend(Entry& entry) {
     if (!entry.connected || entry.outbox.empty()) return;
     auto command = entry.outbox.begin();
     std::advance(command, Draw(entry.outbox.size()));
@@ -256,9 +261,9 @@
 
   // ---- the network and control
 
-  // Carries one message, in any order; some are lost, some come twice. A
-  // command of a dead or cut-off run may still be under way.
-  void MoveMessage() {
+  // Delivers one message. Messages are reordered, some are lost or duplicated,
+  // and commands of dead or cut-off incarnations may still be in flight.
+  void DeliverMessage() {
     if (m_network.empty()) return;
     const size_t index = Draw(m_network.size());
     const wire::CommandT command = m_network[index];
@@ -269,17 +274,17 @@
     if (Draw(8) == 0) return;
     const wire::CommandAnswerT answer = Apply(command);
     for (Entry& entry : m_entries) {
-      const bool heard = entry.run.host == command.id->host &&
-                         entry.run.incarnation == command.id->incarnation &&
-                         entry.connected && Draw(8) != 0;
-      if (heard) OnAnswer(entry, command, answer);
+      const bool received = entry.run.host == command.id->host &&
+                            entry.run.incarnation == command.id->incarnation &&
+                            entry.connected && Draw(8) != 0;
+      if (received) OnAnswer(entry, command, answer);
     }
   }
 
   void OnAnswer(Entry& entry, const wire::CommandT& command,
                 const wire::CommandAnswerT& answer) {
     const bool first = entry.outbox.erase(command.id->sequence) > 0;
-    // Shut out by an operator: the daemon restarts.
+    // The incarnation was retired by an operator: the daemon restarts.
     if (static_cast<ErrorKind>(answer.error) == ErrorKind::kStaleIncarnation) {
       m_dead.push_back(entry.run);
       for (const auto& [id, attempt] : entry.attempts)
@@ -313,17 +318,17 @@
     batch.commands.push_back(std::make_unique<wire::CommandT>(command));
     wire::CommandAnswerT answer = std::move(m_state->Apply(batch).front());
     m_twin->Apply(batch);
-    NoteSettlement(command, answer);
+    RecordSettlement(command, answer);
     Check();
     return answer;
   }
 
-  void NoteSettlement(const wire::CommandT& command,
-                      const wire::CommandAnswerT& answer) {
+  void RecordSettlement(const wire::CommandT& command,
+                        const wire::CommandAnswerT& answer) {
     const wire::SettleT* settle = command.body.AsSettle();
     if (settle == nullptr || answer.error != 0) return;
-    m_unheard[{settle->holder, settle->holder_incarnation}].erase(
-        settle->attempt);
+    m_unsettled_without_opening[{settle->holder, settle->holder_incarnation}]
+        .erase(settle->attempt);
     if (!answer.body.AsSettleAnswer()->first_bill) return;
     std::set<AttemptId>& billed = m_billed[settle->request_key];
     billed.insert(settle->attempt);
@@ -339,14 +344,14 @@
     std::vector<wire::ChangeT> changes;
     changes.push_back(std::move(change));
     const uint64_t base = m_state->GetConfiguration().Version();
-    Operate(state::PlanOf(id, base, "operator", std::move(changes)));
-    // Its answer may be lost: an operator confirms again.
+    SubmitAsOperator(state::PlanOf(id, base, "operator", std::move(changes)));
+    // The answer may be lost, so that an operator confirms again.
     for (uint64_t times = 0; times <= Draw(2); ++times)
-      Operate(state::ConfirmOf(id));
+      SubmitAsOperator(state::ConfirmOf(id));
   }
 
   template <typename Body>
-  void Operate(Body body) {
+  void SubmitAsOperator(Body body) {
     wire::CommandT command;
     command.id = std::make_unique<wire::CommandIdT>();
     command.id->host = "control";
@@ -363,17 +368,17 @@
       Fail("a top-up is not counted");
   }
 
-  void ChangeWay() {
-    m_way = static_cast<wire::GrantWay>(Draw(3));
-    Accept(state::TeamChange("team", m_way, 20 + Draw(40)));
+  void ChangeGrantMode() {
+    m_grant_mode = static_cast<wire::GrantWay>(Draw(3));
+    Accept(state::TeamChange("team", m_grant_mode, 20 + Draw(40)));
   }
 
-  // An operator retires a run only when all that it spent without an opening
-  // has been settled: this is what the plan's warning asks for.
+  // An operator retires an incarnation only when everything that it spent
+  // without a committed opening is settled, as the plan's warning requires.
   void Retire() {
     if (m_dead.empty()) return;
     const HostRun run = m_dead[Draw(m_dead.size())];
-    if (!m_unheard[run].empty()) return;
+    if (!m_unsettled_without_opening[run].empty()) return;
     wire::RetireHolderT body;
     body.host = run.host;
     body.incarnation = run.incarnation;
@@ -390,9 +395,9 @@
     const state::BudgetAccount* account = m_state->FindAccount("b");
     if (account == nullptr) return;
     for (const std::string& line : m_state->Disagreements()) Fail(line);
-    if (account->purchased > m_purchased) Fail("a top-up counted twice");
+    if (account->purchased > m_purchased) Fail("a top-up was counted twice");
     if (account->settled + account->granted + account->lost > m_purchased)
-      Fail("settled, granted and lost are more than was purchased");
+      Fail("settled, granted and lost tokens exceed the purchased tokens");
     if (m_consumed > m_purchased) Fail("consumed more than was purchased");
     if (m_consumed > account->settled + account->granted + account->lost)
       Fail("consumed tokens are free to be granted again");
@@ -405,10 +410,11 @@
     entry.attempts.erase(first);
   }
 
-  // Everything heals: what was spent and can be known is settled in the end.
-  void Heal() {
+  // Ends all faults and attempts, and checks that the consumed tokens are
+  // settled or counted as lost.
+  void RecoverAll() {
     for (Entry& entry : m_entries) {
-      if (!entry.connected) CutOrHeal(entry);
+      if (!entry.connected) ToggleConnection(entry);
       while (!entry.attempts.empty()) EndAttempt(entry);
     }
     for (const wire::CommandT& command : m_spool) Apply(command);
@@ -418,18 +424,19 @@
     if (account.settled + account.lost < m_consumed)
       Fail("consumed tokens are neither settled nor lost");
     if (m_state->Snapshot() != m_twin->Snapshot())
-      Fail("two states that were fed the same differ");
+      Fail("two states that applied the same batches differ");
   }
 
   std::mt19937_64 m_random;
   std::unique_ptr<state::State> m_state;
-  std::unique_ptr<state::State> m_twin;  // fed the same batches
-  wire::GrantWay m_way = wire::GrantWay::Witnessed;
+  std::unique_ptr<state::State> m_twin;  // applies the same batches
+  wire::GrantWay m_grant_mode = wire::GrantWay::Witnessed;
   std::vector<Entry> m_entries;
   std::vector<wire::CommandT> m_network;
   std::vector<wire::CommandT> m_spool;  // on the replicas' disks
-  // Attempts without an opening that control has not heard of, by run.
-  std::map<HostRun, std::set<AttemptId>> m_unheard;
+  // Attempts without a committed opening whose settlement has not reached
+  // control, by incarnation.
+  std::map<HostRun, std::set<AttemptId>> m_unsettled_without_opening;
   std::vector<HostRun> m_dead;
   std::map<std::string, std::set<AttemptId>> m_billed;  // attempts by key
   Instant m_now{Duration{1000s}};
@@ -437,14 +444,14 @@
   uint64_t m_operator_sequence = 0;
   uint64_t m_plans = 0;
   Tokens m_purchased = 0;
-  Tokens m_consumed = 0;  // truly, by all runs
+  Tokens m_consumed = 0;  // actual consumption of all incarnations
   std::string m_failure;
 };
 
 class GrantPropertyTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GrantPropertyTest);
   CPPUNIT_TEST(SpendNeverExceedsTheBudget);
-  CPPUNIT_TEST(ReissueOfADeadHoldersGrantIsCaught);
+  CPPUNIT_TEST(ReissuedGrantOfADeadHolderIsDetected);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -452,7 +459,7 @@
     Tokens consumed = 0;
     Tokens purchased = 0;
     for (uint64_t seed = 1; seed <= kSchedules; ++seed) {
-      World world(seed, &state::RecoverDead<state::SoundRules>);
+      World world(seed, &state::RecoverDeadGrant<state::SafetyRules>);
       const std::string failure = world.Play();
       CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed) + ": " + failure,
                              failure.empty());
@@ -465,13 +472,13 @@
     CPPUNIT_ASSERT(consumed > 0);
   }
 
-  void ReissueOfADeadHoldersGrantIsCaught() {
+  void ReissuedGrantOfADeadHolderIsDetected() {
     uint64_t caught = 0;
     for (uint64_t seed = 1; seed <= kSchedules; ++seed) {
-      World world(seed, &state::RecoverDead<ReissuingRules>);
+      World world(seed, &state::RecoverDeadGrant<ReissuingRules>);
       if (world.Play().starts_with("consumed")) ++caught;
     }
-    std::cout << "grants: reissue to be caught, seen in " << caught << " of "
+    std::cout << "grants: reissued grants detected in " << caught << " of "
               << kSchedules << " schedules\n";
     CPPUNIT_ASSERT(caught > 0);
   }
--- a/src/dotterelshift/callers/front.cc
+++ b/src/dotterelshift/callers/front.cc
@@ -36,7 +36,7 @@
   if (row.retry == RetryAdvice::kLater)
     headers.emplace_back("Retry-After", std::to_string(wait));
   if (row.status == 401) headers.emplace_back("WWW-Authenticate", "Bearer");
-  exchange.Answer(row.status, headers, ErrorBody(kind, detail, request_id));
+  exchange.Answer(row.status, headers, MakeErrorBody(kind, detail, request_id));
 }
 
 ErrorKind KindOf(http::ServerRefusal refusal) {
@@ -53,8 +53,8 @@
   return ErrorKind::kSlowCaller;
 }
 
-// An answer is a stream when its head says so; any other is kept until its end
-// is certain, so that its length and its status are true.
+// A response is streamed if its content type is text/event-stream. Any other is
+// buffered until it is complete, so that its status and length are correct.
 struct OpenRequest {
   std::shared_ptr<http::Exchange> exchange;
   bool streaming = false;
@@ -102,14 +102,14 @@
       open->exchange->SendHead(status, HeadersOf(request, *open));
   }
 
-  bool SendPiece(RequestId request, std::string_view bytes) override {
+  bool WriteChunk(RequestId request, std::string_view bytes) override {
     OpenRequest* open = Find(request);
     if (open == nullptr) return true;
     if (!open->streaming) {
       open->whole.append(bytes);
       return true;
     }
-    open->exchange->SendPiece(bytes);
+    open->exchange->WriteChunk(bytes);
     open->paused = open->exchange->Backlog() > m_options.pause_above_bytes;
     return !open->paused;
   }
@@ -118,7 +118,7 @@
     OpenRequest open = Take(request);
     if (open.exchange == nullptr) return;
     if (open.streaming) {
-      open.exchange->SendPiece(kEndMark);
+      open.exchange->WriteChunk(kEndMark);
       open.exchange->Finish();
     } else {
       open.exchange->Answer(open.status, HeadersOf(request, open),
@@ -135,8 +135,9 @@
              std::to_string(request));
       return;
     }
-    open.exchange->SendPiece(
-        "data: " + ErrorBody(kind, detail, std::to_string(request)) + "\n\n");
+    open.exchange->WriteChunk(
+        "data: " + MakeErrorBody(kind, detail, std::to_string(request)) +
+        "\n\n");
     open.exchange->Finish();
   }
 
@@ -180,8 +181,8 @@
 
 }  // namespace
 
-std::string ErrorBody(ErrorKind kind, std::string_view detail,
-                      std::string_view request_id) {
+std::string MakeErrorBody(ErrorKind kind, std::string_view detail,
+                          std::string_view request_id) {
   const ErrorRow& row = RowOf(kind);
   nlohmann::ordered_json error = {{"kind", row.name},
                                   {"message", row.sentence}};
@@ -190,18 +191,19 @@
   error["retry"] = NameOf(row.retry);
   if (!request_id.empty()) error["request_id"] = request_id;
   const nlohmann::ordered_json body = {{"error", std::move(error)}};
-  // A detail may quote what a caller or an endpoint sent.
+  // A detail may quote bytes from a caller or an endpoint that are not valid
+  // UTF-8; these are replaced.
   return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-void AnswerError(http::Exchange& exchange, ErrorKind kind,
-                 std::string_view detail, int retry_after_seconds) {
+void SendErrorResponse(http::Exchange& exchange, ErrorKind kind,
+                       std::string_view detail, int retry_after_seconds) {
   Answer(exchange, kind, detail, retry_after_seconds, {});
 }
 
-std::pair<int, std::string> RefusalAnswer(http::ServerRefusal refusal) {
+std::pair<int, std::string> ServerRefusalResponse(http::ServerRefusal refusal) {
   const ErrorKind kind = KindOf(refusal);
-  return {RowOf(kind).status, ErrorBody(kind, {})};
+  return {RowOf(kind).status, MakeErrorBody(kind, {})};
 }
 
 std::unique_ptr<Front> MakeFront(const FrontOptions& options,
--- a/src/dotterelshift/callers/front_test.cc
+++ b/src/dotterelshift/callers/front_test.cc
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-// Records an answer, and plays the caller.
+// Records the response and simulates the caller.
 class RecordingExchange : public http::Exchange {
  public:
   explicit RecordingExchange(const std::string& body) {
@@ -32,9 +32,9 @@
     status = code;
     headers = sent;
   }
-  void SendPiece(std::string_view piece) override {
-    bytes += piece;
-    backlog += piece.size();
+  void WriteChunk(std::string_view chunk) override {
+    bytes += chunk;
+    backlog += chunk.size();
   }
   void Finish() override { finished = true; }
   void Abort() override { aborted = true; }
@@ -71,32 +71,32 @@
 
 class FrontTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FrontTest);
-  CPPUNIT_TEST(EveryKindIsAnsweredAsItsRowSays);
-  CPPUNIT_TEST(EveryKindEndsAStreamVisibly);
-  CPPUNIT_TEST(EveryKindFailsAHeldAnswerAsItsRowSays);
-  CPPUNIT_TEST(LongerWaitReplacesTheRows);
-  CPPUNIT_TEST(RefusedRequestIsAnsweredAndReported);
-  CPPUNIT_TEST(StreamEndsInItsMark);
-  CPPUNIT_TEST(AnswerThatIsNoStreamGoesOutWhole);
-  CPPUNIT_TEST(SlowReaderPausesAndDrains);
-  CPPUNIT_TEST(GoneCallerIsReportedOnceAndForgotten);
+  CPPUNIT_TEST(EveryErrorKindIsAnsweredByItsTableRow);
+  CPPUNIT_TEST(EveryErrorKindEndsAStreamWithAnErrorEvent);
+  CPPUNIT_TEST(EveryErrorKindReplacesABufferedResponse);
+  CPPUNIT_TEST(LongerRetryAfterOverridesTheTableRow);
+  CPPUNIT_TEST(RefusedRequestGetsAnErrorAndIsReported);
+  CPPUNIT_TEST(StreamEndsWithTheEndMarker);
+  CPPUNIT_TEST(NonStreamedResponseIsSentComplete);
+  CPPUNIT_TEST(SlowReaderPausesTheEndpointUntilDrained);
+  CPPUNIT_TEST(DisconnectedCallerIsReportedOnce);
   CPPUNIT_TEST(DetailIsAlwaysValidJson);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void EveryKindIsAnsweredAsItsRowSays() {
+  void EveryErrorKindIsAnsweredByItsTableRow() {
     for (const ErrorRow& row : ErrorTable()) {
       RecordingExchange exchange("");
-      AnswerError(exchange, row.kind, "why");
+      SendErrorResponse(exchange, row.kind, "why");
       CheckAnswer(row, exchange);
     }
   }
 
-  void EveryKindFailsAHeldAnswerAsItsRowSays() {
+  void EveryErrorKindReplacesABufferedResponse() {
     for (const ErrorRow& row : ErrorTable()) {
       const RequestId request = Accept(kStreamBody);
       m_front->SendHead(request, 200, "application/json");
-      m_front->SendPiece(request, "{\"half\":");
+      m_front->WriteChunk(request, "{\"half\":");
       m_front->Fail(request, row.kind, "why", 0);
       CheckAnswer(row, *m_exchange);
       CPPUNIT_ASSERT_EQUAL(std::to_string(request),
@@ -104,12 +104,12 @@
     }
   }
 
-  void EveryKindEndsAStreamVisibly() {
+  void EveryErrorKindEndsAStreamWithAnErrorEvent() {
     for (const ErrorRow& row : ErrorTable()) {
       const std::string name(row.name);
       const RequestId request = Accept(kStreamBody);
       m_front->SendHead(request, 200, "text/event-stream");
-      m_front->SendPiece(request, "data: {}\n\n");
+      m_front->WriteChunk(request, "data: {}\n\n");
       m_front->Fail(request, row.kind, "why", 0);
       CPPUNIT_ASSERT_MESSAGE(
           name, m_exchange->bytes.starts_with("data: {}\n\ndata: {\"error\":"));
@@ -123,13 +123,13 @@
     }
   }
 
-  void LongerWaitReplacesTheRows() {
+  void LongerRetryAfterOverridesTheTableRow() {
     RecordingExchange exchange("");
-    AnswerError(exchange, ErrorKind::kOverloaded, "", 17);
+    SendErrorResponse(exchange, ErrorKind::kOverloaded, "", 17);
     CPPUNIT_ASSERT_EQUAL(std::string("17"), exchange.HeaderOf("Retry-After"));
   }
 
-  void RefusedRequestIsAnsweredAndReported() {
+  void RefusedRequestGetsAnErrorAndIsReported() {
     auto exchange = std::make_shared<RecordingExchange>("{\"model\":");
     m_front->Accept(exchange);
     CheckAnswer(RowOf(ErrorKind::kBadJson), *exchange);
@@ -138,45 +138,45 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_front->Open());
   }
 
-  void StreamEndsInItsMark() {
+  void StreamEndsWithTheEndMarker() {
     const RequestId request = Accept(kStreamBody);
     m_front->SendHead(request, 200, "text/event-stream; charset=utf-8");
     CPPUNIT_ASSERT_EQUAL(1, m_exchange->heads);
-    CPPUNIT_ASSERT(m_front->SendPiece(request, "data: {}\n\n"));
+    CPPUNIT_ASSERT(m_front->WriteChunk(request, "data: {}\n\n"));
     m_front->Finish(request);
     CPPUNIT_ASSERT_EQUAL(std::string("data: {}\n\ndata: [DONE]\n\n"),
                          m_exchange->bytes);
     CPPUNIT_ASSERT(m_exchange->finished);
-    // What still comes for it goes nowhere.
-    m_front->SendPiece(request, "late");
+    // Later calls for a finished request have no effect.
+    m_front->WriteChunk(request, "late");
     m_front->Fail(request, ErrorKind::kStreamCut, "", 0);
     CPPUNIT_ASSERT(m_exchange->bytes.ends_with("[DONE]\n\n"));
   }
 
-  void AnswerThatIsNoStreamGoesOutWhole() {
+  void NonStreamedResponseIsSentComplete() {
     const RequestId request = Accept(kStreamBody);
     m_front->SendHead(request, 404, "application/json");
-    m_front->SendPiece(request, "{\"a\":");
-    m_front->SendPiece(request, "1}");
+    m_front->WriteChunk(request, "{\"a\":");
+    m_front->WriteChunk(request, "1}");
     CPPUNIT_ASSERT_EQUAL(0, m_exchange->heads);
     m_front->Finish(request);
     CPPUNIT_ASSERT_EQUAL(404, m_exchange->status);
     CPPUNIT_ASSERT_EQUAL(std::string("{\"a\":1}"), m_exchange->bytes);
   }
 
-  void SlowReaderPausesAndDrains() {
+  void SlowReaderPausesTheEndpointUntilDrained() {
     const RequestId request = Accept(kStreamBody);
     m_front->SendHead(request, 200, "text/event-stream");
-    CPPUNIT_ASSERT(m_front->SendPiece(request, std::string(100, 'x')));
+    CPPUNIT_ASSERT(m_front->WriteChunk(request, std::string(100, 'x')));
     m_exchange->drained();
     CPPUNIT_ASSERT_EQUAL(0, m_drained);
-    CPPUNIT_ASSERT(!m_front->SendPiece(request, std::string(1, 'x')));
+    CPPUNIT_ASSERT(!m_front->WriteChunk(request, std::string(1, 'x')));
     m_exchange->drained();
     m_exchange->drained();
     CPPUNIT_ASSERT_EQUAL(1, m_drained);
   }
 
-  void GoneCallerIsReportedOnceAndForgotten() {
+  void DisconnectedCallerIsReportedOnce() {
     const RequestId request = Accept(kStreamBody);
     const auto gone = m_exchange->gone;
     gone();
@@ -189,7 +189,8 @@
   }
 
   void DetailIsAlwaysValidJson() {
-    const std::string body = ErrorBody(ErrorKind::kInternal, "\xff\"\n", "7");
+    const std::string body =
+        MakeErrorBody(ErrorKind::kInternal, "\xff\"\n", "7");
     CPPUNIT_ASSERT(json::accept(body));
   }
 
@@ -223,7 +224,7 @@
                                  exchange.HeaderOf("Content-Type"));
     CPPUNIT_ASSERT_MESSAGE(name, exchange.finished && exchange.heads == 1);
     json body = json::parse(exchange.bytes);
-    // A refusal by the parser words its own detail.
+    // The request parser sets its own detail, so it is not compared.
     if (row.kind == ErrorKind::kBadJson) body["error"]["detail"] = "why";
     CheckBody(row, body);
   }
--- a/src/dotterelshift/callers/relay_test.cc
+++ b/src/dotterelshift/callers/relay_test.cc
@@ -16,33 +16,33 @@
 using serving::AttemptEnd;
 
 constexpr size_t kPauseAbove = 64 << 10;
-constexpr size_t kPieceBytes = 16 << 10;
+constexpr size_t kChunkBytes = 16 << 10;
 
-// Far more than the kernel holds between an endpoint and a caller.
+// Far more than the kernel buffers between an endpoint and a caller.
 constexpr size_t kStreamBytes = 24 << 20;
 
-// The protocol's own end of an answer sent in chunks.
+// End of a response in HTTP chunked transfer encoding.
 constexpr std::string_view kChunksEnd = "\r\n0\r\n\r\n";
 
 const std::string kRequest =
     R"({"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]})";
 
-// The callers' side and the endpoints' side joined as an entry joins them, with
-// nothing decided between: what the one reports goes straight to the other.
+// Connects a Front and an AttemptRunner as an entry does, but without the
+// request core: each one's events are passed directly to the other.
 class RelayTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RelayTest);
-  CPPUNIT_TEST(StreamPassesWhole);
-  CPPUNIT_TEST(StreamCutByTheEndpointEndsInAnError);
+  CPPUNIT_TEST(StreamIsRelayedCompletely);
+  CPPUNIT_TEST(StreamBrokenByTheEndpointEndsWithAnError);
   CPPUNIT_TEST(CallerThatStopsReadingPausesTheEndpoint);
-  CPPUNIT_TEST(CallerThatGoesClosesTheEndpointsConnection);
-  CPPUNIT_TEST(CallerThatGoesBeforeTheHeadClosesTheEndpointsConnection);
+  CPPUNIT_TEST(CallerDisconnectClosesTheEndpointConnection);
+  CPPUNIT_TEST(CallerDisconnectBeforeTheHeadClosesTheEndpointConnection);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void StreamPassesWhole() {
+  void StreamIsRelayedCompletely() {
     m_endpoint = [](Exchange& exchange) {
       exchange.SendHead(200, {{"Content-Type", "text/event-stream"}});
-      exchange.SendPiece("data: {\"text\":\"a\"}\n\ndata: [DONE]\n\n");
+      exchange.WriteChunk("data: {\"text\":\"a\"}\n\ndata: [DONE]\n\n");
       exchange.Finish();
     };
     TestConnection caller = Call();
@@ -54,10 +54,10 @@
     CPPUNIT_ASSERT(caller.Has("data: [DONE]\n\n"));
   }
 
-  void StreamCutByTheEndpointEndsInAnError() {
+  void StreamBrokenByTheEndpointEndsWithAnError() {
     m_endpoint = [](Exchange& exchange) {
       exchange.SendHead(200, {{"Content-Type", "text/event-stream"}});
-      exchange.SendPiece("data: {\"text\":\"a\"}\n\n");
+      exchange.WriteChunk("data: {\"text\":\"a\"}\n\n");
       exchange.OnDrained([&exchange] { exchange.Abort(); });
     };
     TestConnection caller = Call();
@@ -72,28 +72,29 @@
 
   void CallerThatStopsReadingPausesTheEndpoint() {
     size_t produced = 0;
-    const std::string piece =
-        "data: {\"text\":\"" + std::string(kPieceBytes, 'x') + "\"}\n\n";
-    // Writes when its last piece has been taken, so that it holds one at most.
+    const std::string chunk =
+        "data: {\"text\":\"" + std::string(kChunkBytes, 'x') + "\"}\n\n";
+    // Writes the next chunk once the previous one has been sent, so that the
+    // endpoint buffers at most one.
     m_endpoint = [&](Exchange& exchange) {
       exchange.SendHead(200, {{"Content-Type", "text/event-stream"}});
       exchange.OnDrained([&] {
         if (produced >= kStreamBytes) return;
-        produced += piece.size();
-        exchange.SendPiece(piece);
+        produced += chunk.size();
+        exchange.WriteChunk(chunk);
         if (produced < kStreamBytes) return;
-        exchange.SendPiece("data: [DONE]\n\n");
+        exchange.WriteChunk("data: [DONE]\n\n");
         exchange.Finish();
       });
-      exchange.SendPiece(piece);
-      produced += piece.size();
+      exchange.WriteChunk(chunk);
+      produced += chunk.size();
     };
     TestConnection caller = Call(64 << 10);
     RunUntil([this] { return m_paused; });
     for (int i = 0; i < 2000; ++i) {
       ev_run(m_loop.Raw(), EVRUN_NOWAIT);
-      // One read of the endpoint's socket may pass the bound.
-      CPPUNIT_ASSERT(m_exchange->Backlog() <= kPauseAbove + 2 * piece.size());
+      // One read from the endpoint's socket may exceed the limit.
+      CPPUNIT_ASSERT(m_exchange->Backlog() <= kPauseAbove + 2 * chunk.size());
     }
     CPPUNIT_ASSERT(produced < kStreamBytes);
     const size_t stopped_at = produced;
@@ -106,11 +107,11 @@
     CPPUNIT_ASSERT(caller.Has("data: [DONE]\n\n"));
   }
 
-  void CallerThatGoesClosesTheEndpointsConnection() {
+  void CallerDisconnectClosesTheEndpointConnection() {
     m_endpoint = [this](Exchange& exchange) {
       exchange.OnGone([this] { m_endpoint_saw_end = true; });
       exchange.SendHead(200, {{"Content-Type", "text/event-stream"}});
-      exchange.SendPiece("data: {\"text\":\"a\"}\n\n");
+      exchange.WriteChunk("data: {\"text\":\"a\"}\n\n");
     };
     TestConnection caller = Call();
     RunUntil([&] {
@@ -123,7 +124,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_runner->Open());
   }
 
-  void CallerThatGoesBeforeTheHeadClosesTheEndpointsConnection() {
+  void CallerDisconnectBeforeTheHeadClosesTheEndpointConnection() {
     bool reached = false;
     m_endpoint = [&](Exchange& exchange) {
       reached = true;
@@ -165,10 +166,10 @@
                 [this](AttemptId attempt, int status, std::string_view type) {
                   m_front->SendHead(attempt, status, type);
                 },
-            .on_piece =
-                [this](AttemptId attempt, const serving::Piece&,
+            .on_chunk =
+                [this](AttemptId attempt, const serving::Chunk&,
                        std::string_view bytes) {
-                  const bool more = m_front->SendPiece(attempt, bytes);
+                  const bool more = m_front->WriteChunk(attempt, bytes);
                   m_paused = m_paused || !more;
                   return more;
                 },
--- a/src/dotterelshift/ctl/ctl.cc
+++ b/src/dotterelshift/ctl/ctl.cc
@@ -9,7 +9,7 @@
 
 #include "dotterelshift/base/error.h"         // for Error
 #include "dotterelshift/ctl/arguments.h"      // for ParseArguments
-#include "dotterelshift/ctl/explain.h"        // for RequestStory
+#include "dotterelshift/ctl/explain.h"        // for RequestTrace
 #include "dotterelshift/ctl/output.h"         // for WriteTable
 #include "dotterelshift/settings/settings.h"  // for ReadSettings
 
@@ -20,7 +20,7 @@
 constexpr std::string_view kBase = "/operator/v1/";
 constexpr int kHttpOk = 200;
 
-// A fault on the way to an answer, with the exit code it gives.
+// Thrown when a verb fails: the error message and the exit code.
 struct Failure {
   ExitCode code;
   std::string text;
@@ -36,8 +36,9 @@
           std::istreambuf_iterator<char>()};
 }
 
-// The operator key: the last word of the file's first line that is no comment,
-// so that a line NAME KEY of the daemons' file serves as well as a bare key.
+// Returns the operator key: the last word of the first line that is neither
+// empty nor a comment. This accepts a file with a bare key as well as the
+// daemons' key file, whose lines are NAME KEY.
 std::string ReadKey(const std::string& path) {
   std::istringstream content(ReadAll(path));
   for (std::string line; std::getline(content, line);) {
@@ -49,7 +50,8 @@
   throw Failure{ExitCode::kUsage, path + " holds no operator key"};
 }
 
-// A file's name as a query may carry it.
+// Returns the base name of `path` with all characters replaced that are not
+// safe in a URL query.
 std::string QueryName(const std::string& path) {
   std::string name = path.substr(path.rfind('/') + 1);
   for (char& c : name) {
@@ -60,7 +62,7 @@
   return name;
 }
 
-// Adds NAME=VALUE to a path unless the value is empty.
+// Appends the query parameter NAME=VALUE to `path` unless the value is empty.
 void AddQuery(std::string* path, const std::string& name,
               const std::string& value) {
   if (value.empty()) return;
@@ -68,9 +70,9 @@
   *path += name + "=" + value;
 }
 
-// Words of the command line that go into a path may hold no bytes that a URL
-// reads otherwise.
-void CheckWord(const std::string& word) {
+// Throws a usage error if `word`, which becomes part of a URL, contains
+// characters with a special meaning in URLs.
+void CheckUrlSafe(const std::string& word) {
   for (char c : word) {
     if (c <= ' ' || c > '~' ||
         std::string_view("?#&%\"<>\\").find(c) != std::string_view::npos)
@@ -88,7 +90,7 @@
   for (const std::string* word :
        {&arguments.plan, &arguments.budget, &arguments.team, &arguments.from,
         &arguments.to})
-    CheckWord(*word);
+    CheckUrlSafe(*word);
   TransportRequest request;
   request.operator_key = ReadKey(arguments.key_file);
   request.path = std::string(kBase) + std::string(NameOf(arguments.verb));
@@ -108,13 +110,13 @@
   return request;
 }
 
-// What an error's body says: its kind's name, and a line for people.
+// An error response: the name of its error kind, and a readable message.
 struct Refusal {
   std::string kind;
   std::string text;
 };
 
-Refusal RefusalOf(const TransportAnswer& answer) {
+Refusal ParseRefusal(const TransportResponse& answer) {
   const Json json = Json::parse(answer.body, nullptr, false);
   if (!json.is_object() || !json.contains("error") ||
       !json["error"].is_object())
@@ -132,21 +134,22 @@
          refusal.kind == RowOf(ErrorKind::kNotLeader).name;
 }
 
-ExitCode CodeOf(const Refusal& refusal) {
+ExitCode ExitCodeOf(const Refusal& refusal) {
   if (HasNoLeader(refusal)) return ExitCode::kNotReachable;
   const bool conflict = refusal.kind == RowOf(ErrorKind::kPlanConflict).name ||
                         refusal.kind == RowOf(ErrorKind::kPlanStale).name;
   return conflict ? ExitCode::kConflict : ExitCode::kRefused;
 }
 
-// Asks the hosts in order until one has an answer that another would not
-// better. A change may so be sent twice: a confirm gets its first answer, and
-// a second plan changes nothing.
-Json Ask(const Arguments& arguments, Transport& transport) {
+// Sends the request to the hosts in order. Tries the next host when one cannot
+// be reached, does not return JSON, or knows no leader; any other error is
+// final. The request may thus arrive twice, which is safe: a repeated confirm
+// gets its first answer, and a second plan changes nothing.
+Json SendToHosts(const Arguments& arguments, Transport& transport) {
   const TransportRequest request = RequestOf(arguments);
   Failure failure{ExitCode::kNotReachable, "no host answered"};
   for (const std::string& host : arguments.hosts) {
-    const TransportAnswer answer = transport.Send(host, request);
+    const TransportResponse answer = transport.Send(host, request);
     if (!answer.reached) {
       failure.text = host + " cannot be reached: " + answer.failure;
       continue;
@@ -157,15 +160,15 @@
       failure.text = host + " answered what is not JSON";
       continue;
     }
-    const Refusal refusal = RefusalOf(answer);
-    failure = {CodeOf(refusal), refusal.text};
+    const Refusal refusal = ParseRefusal(answer);
+    failure = {ExitCodeOf(refusal), refusal.text};
     if (!HasNoLeader(refusal)) break;
   }
   throw failure;
 }
 
 ExitCode CheckSettings(const Arguments& arguments, std::ostream& out) {
-  const bool as_json = arguments.output == OutputForm::kJson;
+  const bool as_json = arguments.output == OutputFormat::kJson;
   if (arguments.list) {
     if (as_json) {
       out << SettingTableJson().dump(2) << "\n";
@@ -187,17 +190,17 @@
 }
 
 ExitCode Explain(const Arguments& arguments, std::ostream& out) {
-  RequestStory story(arguments.request);
+  RequestTrace trace(arguments.request);
   for (const std::string& path : arguments.logs) {
     std::istringstream log(ReadAll(path));
-    story.ReadLog(log);
+    trace.ReadLog(log);
   }
-  if (!story.Found())
+  if (!trace.HasRequest())
     throw Failure{ExitCode::kRefused,
                   "no line tells of request " + arguments.request};
-  const bool as_json = arguments.output == OutputForm::kJson;
+  const bool as_json = arguments.output == OutputFormat::kJson;
   Json list = Json::array();
-  for (const LogLine& line : story.Lines()) {
+  for (const LogLine& line : trace.Lines()) {
     if (as_json) {
       list.push_back({{"time", line.time},
                       {"host", line.host},
@@ -213,20 +216,20 @@
   return ExitCode::kOk;
 }
 
-ExitCode Serve(const Arguments& arguments, Transport& transport,
-               std::ostream& out, std::ostream& err) {
+ExitCode RunVerb(const Arguments& arguments, Transport& transport,
+                 std::ostream& out, std::ostream& err) {
   if (arguments.verb == Verb::kCheckSettings)
     return CheckSettings(arguments, out);
   if (arguments.verb == Verb::kExplain) return Explain(arguments, out);
-  const Json answer = Ask(arguments, transport);
+  const Json answer = SendToHosts(arguments, transport);
   switch (arguments.output) {
-    case OutputForm::kTable:
+    case OutputFormat::kTable:
       WriteTable(arguments.verb, answer, out);
       break;
-    case OutputForm::kJson:
+    case OutputFormat::kJson:
       out << answer.dump(2) << "\n";
       break;
-    case OutputForm::kCsv:
+    case OutputFormat::kCsv:
       WriteReportCsv(answer, out);
       break;
   }
@@ -244,7 +247,7 @@
   const auto parsed = ParseArguments(arguments, out, err);
   if (const ExitCode* code = std::get_if<ExitCode>(&parsed)) return *code;
   try {
-    return Serve(std::get<Arguments>(parsed), transport, out, err);
+    return RunVerb(std::get<Arguments>(parsed), transport, out, err);
   } catch (const Failure& failure) {
     err << kProgram << failure.text << "\n";
     return failure.code;
--- a/src/dotterelshift/directory/directory_test.cc
+++ b/src/dotterelshift/directory/directory_test.cc
@@ -10,20 +10,20 @@
 
 constexpr Instant kStart = Instant{} + 1000s;
 
-// One piece of news of endpoint "e", as it arrives.
-struct News {
+// An update of endpoint "e".
+struct RecordUpdate {
   uint64_t incarnation = 1;
   uint64_t sequence = 1;
   bool draining = false;
   bool gone = false;
   uint32_t age_ms = 0;
-  Duration wait = 0s;  // before it arrives
+  Duration wait = 0s;  // time before it arrives
 };
 
-// What the directory should hold after all the news.
+// The expected state of the directory after all updates.
 struct Case {
   std::string name;
-  std::vector<News> news;
+  std::vector<RecordUpdate> news;
   bool last_is_new;
   uint64_t incarnation;
   uint64_t sequence;
@@ -31,53 +31,68 @@
 };
 
 const std::vector<Case> kCases = {
-    {"first news", {{1, 5}}, true, 1, 5, true},
-    {"doubled news", {{1, 5}, {1, 5}}, false, 1, 5, true},
-    {"crossed news", {{1, 6}, {1, 5}}, false, 1, 6, true},
-    {"older run after newer", {{2, 1}, {1, 99}}, false, 2, 1, true},
-    {"newer run with a lower sequence", {{1, 99}, {2, 1}}, true, 2, 1, true},
+    {"first update", {{1, 5}}, true, 1, 5, true},
+    {"duplicate update", {{1, 5}, {1, 5}}, false, 1, 5, true},
+    {"reordered update", {{1, 6}, {1, 5}}, false, 1, 6, true},
+    {"older incarnation after newer", {{2, 1}, {1, 99}}, false, 2, 1, true},
+    {"newer incarnation with a lower sequence",
+     {{1, 99}, {2, 1}},
+     true,
+     2,
+     1,
+     true},
     {"draining", {{1, 1}, {1, 2, true}}, true, 1, 2, false},
-    {"late news does not end draining",
+    {"late update does not end draining",
      {{1, 2, true}, {1, 1}},
      false,
      1,
      2,
      false},
-    {"newer news does not end draining",
+    {"newer update does not end draining",
      {{1, 2, true}, {1, 3}},
      true,
      1,
      3,
      false},
-    {"late draining still counts", {{1, 3}, {1, 2, true}}, true, 1, 3, false},
-    {"a new run ends draining", {{1, 2, true}, {2, 1}}, true, 2, 1, true},
-    {"older run's draining says nothing",
+    {"late draining flag is applied",
+     {{1, 3}, {1, 2, true}},
+     true,
+     1,
+     3,
+     false},
+    {"a new incarnation ends draining",
+     {{1, 2, true}, {2, 1}},
+     true,
+     2,
+     1,
+     true},
+    {"draining of an older incarnation is ignored",
      {{2, 1}, {1, 9, true}},
      false,
      2,
      1,
      true},
     {"gone is sticky", {{1, 1, false, true}, {1, 2}}, true, 1, 2, false},
-    {"too old on the way", {{1, 1, false, false, 3000}}, true, 1, 1, false},
-    {"silent, then heard",
+    {"too old on arrival", {{1, 1, false, false, 3000}}, true, 1, 1, false},
+    {"silent, then announced again",
      {{1, 1}, {1, 2, false, false, 0, 10s}},
      true,
      1,
      2,
      true},
-    {"draining outlives being forgotten",
+    {"draining survives the drop of the record",
      {{1, 2, true}, {1, 3, false, false, 0, 61s}},
      true,
      1,
      3,
      false},
-    {"a forgotten record is not revived by its own echo",
+    {"a dropped record is not revived by a duplicate",
      {{1, 2}, {1, 2, false, false, 0, 61s}},
      false,
      0,
      0,
      false},
-    {"a forgotten endpoint comes back by itself",
+    {"a dropped endpoint returns with a newer announcement",
      {{1, 2}, {1, 3, false, false, 0, 61s}},
      true,
      1,
@@ -85,7 +100,7 @@
      true},
 };
 
-wire::EndpointRecordT Record(const News& news) {
+wire::EndpointRecordT Record(const RecordUpdate& news) {
   wire::EndpointRecordT record;
   record.id = "e";
   record.address = "127.0.0.1:1";
@@ -99,22 +114,22 @@
 
 class DirectoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DirectoryTest);
-  CPPUNIT_TEST(NewsTable);
-  CPPUNIT_TEST(SilentEndpointGetsNoWork);
-  CPPUNIT_TEST(OwnEvidenceKeepsItUsable);
-  CPPUNIT_TEST(DeathOfAnOlderRunSaysNothing);
-  CPPUNIT_TEST(DeathHoldsAgainstNewsForAWhile);
-  CPPUNIT_TEST(DeltaCarriesOnlyWhatChanged);
+  CPPUNIT_TEST(RecordUpdateTable);
+  CPPUNIT_TEST(SilentEndpointIsNotUsable);
+  CPPUNIT_TEST(LocalEvidenceKeepsEndpointUsable);
+  CPPUNIT_TEST(FailureOfAnOlderIncarnationIsIgnored);
+  CPPUNIT_TEST(RefusedConnectionOutweighsNewRecordsForAWhile);
+  CPPUNIT_TEST(DeltaContainsOnlyChanges);
   CPPUNIT_TEST(GenerationIgnoresLoad);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void NewsTable() {
+  void RecordUpdateTable() {
     for (const Case& test : kCases) {
       Directory directory;
       Instant now = kStart;
       bool is_new = false;
-      for (const News& news : test.news) {
+      for (const RecordUpdate& news : test.news) {
         now += news.wait;
         directory.OnTimer(now);
         is_new = directory.OnRecord(Record(news), now);
@@ -132,7 +147,7 @@
     }
   }
 
-  void SilentEndpointGetsNoWork() {
+  void SilentEndpointIsNotUsable() {
     Directory directory;
     directory.OnRecord(Record({}), kStart);
     CPPUNIT_ASSERT(!directory.OnTimer(kStart + 2900ms));
@@ -140,7 +155,7 @@
     CPPUNIT_ASSERT(!directory.Find("e")->usable);
   }
 
-  void OwnEvidenceKeepsItUsable() {
+  void LocalEvidenceKeepsEndpointUsable() {
     Directory directory;
     directory.OnRecord(Record({}), kStart);
     directory.OnAlive("e", kStart + 2s);
@@ -148,14 +163,14 @@
     CPPUNIT_ASSERT(directory.Find("e")->usable);
   }
 
-  void DeathOfAnOlderRunSaysNothing() {
+  void FailureOfAnOlderIncarnationIsIgnored() {
     Directory directory;
     directory.OnRecord(Record({.incarnation = 2}), kStart);
     directory.OnDead("e", 1, kStart);
     CPPUNIT_ASSERT(directory.Find("e")->usable);
   }
 
-  void DeathHoldsAgainstNewsForAWhile() {
+  void RefusedConnectionOutweighsNewRecordsForAWhile() {
     Directory directory;
     directory.OnRecord(Record({}), kStart);
     directory.OnDead("e", 1, kStart);
@@ -166,7 +181,7 @@
     CPPUNIT_ASSERT(directory.Find("e")->usable);
   }
 
-  void DeltaCarriesOnlyWhatChanged() {
+  void DeltaContainsOnlyChanges() {
     Directory directory;
     directory.OnRecord(Record({}), kStart);
     const wire::DirectoryDeltaT delta = directory.TakeDelta(kStart + 200ms);
@@ -175,7 +190,7 @@
     directory.OnRecord(Record({}), kStart + 300ms);
     CPPUNIT_ASSERT(directory.TakeDelta(kStart + 300ms).records.empty());
     CPPUNIT_ASSERT_EQUAL(size_t{1},
-                         directory.Everything(kStart).records.size());
+                         directory.AllRecords(kStart).records.size());
   }
 
   void GenerationIgnoresLoad() {
--- a/src/dotterelshift/endpoints/attempt_runner.cc
+++ b/src/dotterelshift/endpoints/attempt_runner.cc
@@ -13,11 +13,11 @@
 using callers::RequestKind;
 using http::TransferEnd;
 using serving::AttemptEnd;
-using serving::Piece;
+using serving::Chunk;
 
 constexpr std::string_view kEventStream = "text/event-stream";
 
-// One event of a stream may be this large; engines send far smaller ones.
+// Maximum size of one event in a stream. Engines send far smaller ones.
 constexpr size_t kMaxEventBytes = 1 << 20;
 
 std::string_view HeaderOf(const http::Headers& headers, std::string_view name) {
@@ -26,7 +26,7 @@
   return found == headers.end() ? std::string_view() : found->second;
 }
 
-// What the head of an answer makes of its body.
+// How a response's body is handled, as determined by its head.
 enum class BodyKind { kNone, kStream, kWhole, kCallerError, kRefused, kFailed };
 
 struct Attempt {
@@ -95,12 +95,13 @@
     sent.connect_timeout = m_options.connect_timeout;
     sent.total_timeout = std::max<Duration>(time_left, 1ms);
     http::TransferCallbacks callbacks;
-    // Each holds the attempt, which its own report may end.
+    // Each callback shares ownership of the attempt, because an event that it
+    // reports may end the attempt.
     callbacks.on_head = [this, id, attempt](int status,
                                             const http::Headers& headers) {
       OnHead(id, *attempt, status, headers);
     };
-    callbacks.on_piece = [this, id, attempt](std::string_view bytes) {
+    callbacks.on_chunk = [this, id, attempt](std::string_view bytes) {
       return OnBytes(id, *attempt, bytes);
     };
     callbacks.on_end = [this, id, attempt](TransferEnd end) {
@@ -123,7 +124,8 @@
   size_t Open() const override { return m_attempts.size(); }
 
  private:
-  // A transfer may outlast its attempt, and the number be used again.
+  // A transfer may outlive its attempt, and the attempt's ID may be reused;
+  // hence the comparison of the objects.
   bool IsOpen(AttemptId id, const Attempt& attempt) const {
     const auto found = m_attempts.find(id);
     return found != m_attempts.end() && found->second.get() == &attempt;
@@ -135,9 +137,9 @@
     attempt.body = BodyKindOf(attempt, status, headers);
     attempt.content_type = HeaderOf(headers, "content-type");
     if (attempt.body == BodyKind::kRefused) {
-      Give(id, attempt, AttemptEnd::kRefusedBeforeRun);
+      AbortAttempt(id, attempt, AttemptEnd::kRefusedBeforeRun);
     } else if (attempt.body == BodyKind::kFailed) {
-      Give(id, attempt, AttemptEnd::kDied);
+      AbortAttempt(id, attempt, AttemptEnd::kDied);
     } else if (attempt.body == BodyKind::kStream) {
       m_events.on_head(id, status, attempt.content_type);
     }
@@ -146,9 +148,8 @@
   bool OnBytes(AttemptId id, Attempt& attempt, std::string_view bytes) {
     if (!IsOpen(id, attempt)) return true;
     if (attempt.body == BodyKind::kStream) return OnEvents(id, attempt, bytes);
-    if (attempt.whole.size() + bytes.size() >
-        m_options.max_whole_answer_bytes) {
-      Give(id, attempt, AttemptEnd::kDied);
+    if (attempt.whole.size() + bytes.size() > m_options.max_response_bytes) {
+      AbortAttempt(id, attempt, AttemptEnd::kDied);
       return true;
     }
     attempt.whole.append(bytes);
@@ -158,15 +159,15 @@
   bool OnEvents(AttemptId id, Attempt& attempt, std::string_view bytes) {
     bool more = true;
     const auto state = attempt.events.Add(
-        bytes, [&](const Piece& piece, std::string_view whole_events) {
+        bytes, [&](const Chunk& chunk, std::string_view complete_events) {
           if (IsOpen(id, attempt))
-            more = m_events.on_piece(id, piece, whole_events);
+            more = m_events.on_chunk(id, chunk, complete_events);
         });
     if (!IsOpen(id, attempt)) return true;
     if (state == EventStream::State::kBroken) {
-      Give(id, attempt, AttemptEnd::kDied);
+      AbortAttempt(id, attempt, AttemptEnd::kDied);
     } else if (state == EventStream::State::kEnded) {
-      // The transfer goes on to its own end, so that its connection is kept.
+      // The transfer runs to its own end, so that the connection can be reused.
       m_attempts.erase(id);
       m_events.on_end(id, AttemptEnd::kWhole);
       return true;
@@ -176,53 +177,54 @@
 
   void OnTransferEnd(AttemptId id, Attempt& attempt, TransferEnd end) {
     if (!IsOpen(id, attempt)) return;
-    const AttemptEnd result = EndOf(attempt, end);
+    const AttemptEnd result = AttemptEndOf(attempt, end);
     const bool whole =
         result == AttemptEnd::kWhole || result == AttemptEnd::kCallerError;
-    Piece piece;
-    if (whole && !ReadWhole(attempt, &piece)) {
+    Chunk chunk;
+    if (whole && !ReadResponse(attempt, &chunk)) {
       Close(id, AttemptEnd::kDied);
       return;
     }
     if (whole) {
       m_events.on_head(id, attempt.status, attempt.content_type);
-      if (IsOpen(id, attempt)) m_events.on_piece(id, piece, attempt.whole);
+      if (IsOpen(id, attempt)) m_events.on_chunk(id, chunk, attempt.whole);
     }
     Close(id, result);
   }
 
-  static AttemptEnd EndOf(const Attempt& attempt, TransferEnd end) {
+  static AttemptEnd AttemptEndOf(const Attempt& attempt, TransferEnd end) {
     switch (end) {
       case TransferEnd::kNotSent:
         return AttemptEnd::kNotSent;
       case TransferEnd::kTimedOut:
         return AttemptEnd::kTimedOut;
-      case TransferEnd::kCutBeforeHead:
+      case TransferEnd::kFailedBeforeHead:
       case TransferEnd::kCut:
         return AttemptEnd::kDied;
       case TransferEnd::kWhole:
         break;
     }
     if (attempt.body == BodyKind::kCallerError) return AttemptEnd::kCallerError;
-    // A stream that reaches its transfer's end has not shown its end mark.
+    // A stream that is still open at the end of its transfer had no end marker.
     return attempt.body == BodyKind::kWhole ? AttemptEnd::kWhole
                                             : AttemptEnd::kDied;
   }
 
-  // Counts a whole answer; false when it is not what the protocol promises.
-  static bool ReadWhole(const Attempt& attempt, Piece* piece) {
+  // Determines the tokens and usage of a complete response. Returns false if
+  // the response of a model call is not a JSON object.
+  static bool ReadResponse(const Attempt& attempt, Chunk* chunk) {
     if (attempt.body == BodyKind::kCallerError) return true;
     if (attempt.kind == RequestKind::kService) {
-      piece->tokens = attempt.output_limit;
+      chunk->tokens = attempt.output_limit;
       return true;
     }
-    if (!ReadUsage(attempt.whole, piece)) return false;
-    if (!piece->has_usage) piece->tokens = EstimateTokens(attempt.whole);
+    if (!ReadUsage(attempt.whole, chunk)) return false;
+    if (!chunk->has_usage) chunk->tokens = EstimateTokens(attempt.whole);
     return true;
   }
 
-  // Ends an attempt before its transfer has ended.
-  void Give(AttemptId id, const Attempt& attempt, AttemptEnd end) {
+  // Ends an attempt and cancels its transfer.
+  void AbortAttempt(AttemptId id, const Attempt& attempt, AttemptEnd end) {
     m_client.Cancel(attempt.transfer);
     Close(id, end);
   }
--- a/src/dotterelshift/endpoints/fake_endpoint_test.cc
+++ b/src/dotterelshift/endpoints/fake_endpoint_test.cc
@@ -20,16 +20,16 @@
 using nlohmann::json;
 using serving::AttemptEnd;
 
-// How a fake is started, what it is asked for, and what has to come of it.
+// How the fake endpoint is started, the request, and the expected result.
 struct Row {
   std::string name;
   std::vector<std::string> options;
   bool stream;
   int limit;
   AttemptEnd end;
-  Tokens tokens;       // the entry's own count
-  Tokens usage;        // the fake's report
-  std::string served;  // the fake's own record; empty: none
+  Tokens tokens;       // counted by the entry
+  Tokens usage;        // reported by the fake
+  std::string served;  // outcome recorded by the fake; empty if none
 };
 
 std::vector<Row> Rows() {
@@ -76,20 +76,21 @@
   };
 }
 
-// The contract of an endpoint, held by the fake as a process of its own.
+// Checks that the fake endpoint, run as a separate process, follows the
+// endpoint protocol.
 class FakeEndpointTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FakeEndpointTest);
-  CPPUNIT_TEST(AttemptsEndAsTheyShould);
-  CPPUNIT_TEST(CancelIsRecordedWithWhatWasWritten);
-  CPPUNIT_TEST(MarkedRequestEndsTheProcess);
+  CPPUNIT_TEST(AttemptsEndAsExpected);
+  CPPUNIT_TEST(CancelRecordsTheTokensWritten);
+  CPPUNIT_TEST(CrashMarkEndsTheProcess);
   CPPUNIT_TEST(DrainIsAnnouncedAndRefusesNewWork);
-  CPPUNIT_TEST(TerminateLetsStreamsEnd);
-  CPPUNIT_TEST(CacheEventsComeWithGaps);
-  CPPUNIT_TEST(OldFencingNumberIsRefusedOnlyByThoseThatCheck);
+  CPPUNIT_TEST(TerminationWaitsForOpenStreams);
+  CPPUNIT_TEST(CacheEventsCanHaveGaps);
+  CPPUNIT_TEST(StaleFencingNumberIsRefusedOnlyWhenChecked);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AttemptsEndAsTheyShould() {
+  void AttemptsEndAsExpected() {
     for (const Row& row : Rows()) {
       StartFake(row.options);
       Run(row.stream, row.limit);
@@ -108,7 +109,7 @@
     }
   }
 
-  void CancelIsRecordedWithWhatWasWritten() {
+  void CancelRecordsTheTokensWritten() {
     StartFake({"--tokens", "100000"});
     Start(true, 30000, "x");
     RunUntil([this] { return m_tokens > 0; });
@@ -121,7 +122,7 @@
     CPPUNIT_ASSERT(served.value("tokens", Tokens{0}) >= m_tokens);
   }
 
-  void MarkedRequestEndsTheProcess() {
+  void CrashMarkEndsTheProcess() {
     StartFake({"--crash-mark", "poison"});
     Run(true, 9, "no harm");
     CPPUNIT_ASSERT(*m_end == AttemptEnd::kWhole);
@@ -141,7 +142,7 @@
     CPPUNIT_ASSERT(*m_end == AttemptEnd::kRefusedBeforeRun);
   }
 
-  void TerminateLetsStreamsEnd() {
+  void TerminationWaitsForOpenStreams() {
     StartFake({"--tokens", "20"});
     Start(true, 100, "x");
     RunUntil([this] { return m_tokens > 0; });
@@ -152,11 +153,11 @@
     CPPUNIT_ASSERT_EQUAL(0, m_fake->Wait());
   }
 
-  void CacheEventsComeWithGaps() {
+  void CacheEventsCanHaveGaps() {
     StartFake({"--cache-gap", "2"});
     Run(true, 9, std::string(1100, 'x'));
     RunUntil([this] { return !m_cache_events.empty(); });
-    // Of four blocks the second and the fourth are lost.
+    // The cache events of the second and fourth of four blocks are lost.
     CPPUNIT_ASSERT_EQUAL(size_t{2}, m_cache_events.size());
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, m_cache_events[0].sequence);
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, m_cache_events[1].sequence);
@@ -164,7 +165,7 @@
     CPPUNIT_ASSERT(m_cache_events[1].prefix_hash == m_request.prefix_hashes[2]);
   }
 
-  void OldFencingNumberIsRefusedOnlyByThoseThatCheck() {
+  void StaleFencingNumberIsRefusedOnlyWhenChecked() {
     for (const bool checks : {true, false}) {
       StartFake(checks ? std::vector<std::string>{"--checks-fencing"}
                        : std::vector<std::string>{});
@@ -186,7 +187,8 @@
  private:
   using ExchangePtr = std::shared_ptr<http::Exchange>;
 
-  // Waits for the first announcement, which also says where it listens.
+  // Starts the fake and waits for its first announcement, which contains its
+  // address.
   void StartFake(const std::vector<std::string>& options) {
     m_fake.reset();
     m_announced.reset();
@@ -203,7 +205,7 @@
         "1",
         "--models",
         "m"};
-    // A later value of an option takes the place of the one before.
+    // A given option replaces the default value of the same option.
     for (size_t i = 0; i < options.size(); ++i) {
       const auto given = std::ranges::find(arguments, options[i]);
       if (given == arguments.end() || !options[i].starts_with("--")) {
@@ -259,8 +261,8 @@
     std::string body;
     bool ended = false;
     http::TransferCallbacks callbacks;
-    callbacks.on_piece = [&body](std::string_view piece) {
-      body += piece;
+    callbacks.on_chunk = [&body](std::string_view chunk) {
+      body += chunk;
       return true;
     };
     callbacks.on_end = [&ended](http::TransferEnd) { ended = true; };
@@ -286,10 +288,10 @@
   AttemptEvents Events() {
     return {
         .on_head = [](AttemptId, int, std::string_view) {},
-        .on_piece =
-            [this](AttemptId, const serving::Piece& piece, std::string_view) {
-              m_tokens += piece.tokens;
-              if (piece.has_usage) m_usage = piece.usage_output;
+        .on_chunk =
+            [this](AttemptId, const serving::Chunk& chunk, std::string_view) {
+              m_tokens += chunk.tokens;
+              if (chunk.has_usage) m_usage = chunk.usage_output;
               return true;
             },
         .on_end = [this](AttemptId, AttemptEnd end) { m_end = end; }};
--- a/src/dotterelshift/endpoints/order_sender.cc
+++ b/src/dotterelshift/endpoints/order_sender.cc
@@ -11,7 +11,7 @@
 using http::TransferEnd;
 using wire::OrderState;
 
-// Of the engine's answer only this much is kept as detail.
+// Maximum number of bytes of the engine's response kept as detail.
 constexpr size_t kMaxDetailBytes = 512;
 
 std::string_view NameOf(wire::OrderKind kind) {
@@ -43,7 +43,7 @@
   std::string detail;
 };
 
-// Only a whole answer tells what became of an order that has left.
+// Once an order has been sent, only a complete response tells its outcome.
 OrderState StateOf(const Answer& answer, TransferEnd end) {
   if (end == TransferEnd::kNotSent) return OrderState::Refused;
   if (end != TransferEnd::kWhole) return OrderState::Lost;
@@ -58,7 +58,7 @@
       return "no connection";
     case TransferEnd::kTimedOut:
       return "no answer in time";
-    case TransferEnd::kCutBeforeHead:
+    case TransferEnd::kFailedBeforeHead:
     case TransferEnd::kCut:
       return "the connection broke";
     case TransferEnd::kWhole:
@@ -82,9 +82,9 @@
   callbacks.on_head = [answer](int status, const http::Headers&) {
     answer->status = status;
   };
-  callbacks.on_piece = [answer](std::string_view piece) {
+  callbacks.on_chunk = [answer](std::string_view chunk) {
     answer->detail.append(
-        piece.substr(0, kMaxDetailBytes - answer->detail.size()));
+        chunk.substr(0, kMaxDetailBytes - answer->detail.size()));
     return true;
   };
   callbacks.on_end = [answer, callback = std::move(callback)](TransferEnd end) {
--- a/src/dotterelshift/endpoints/order_sender_test.cc
+++ b/src/dotterelshift/endpoints/order_sender_test.cc
@@ -15,7 +15,7 @@
 using http::Exchange;
 using wire::OrderState;
 
-// An engine's behaviour, and the state it leaves the order in.
+// An engine's behaviour and the resulting state of the order.
 struct Row {
   std::string name;
   std::function<void(Exchange&)> engine;
@@ -44,13 +44,13 @@
 
 class OrderSenderTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OrderSenderTest);
-  CPPUNIT_TEST(EnginesBehaviours);
-  CPPUNIT_TEST(NobodyListensIsRefused);
-  CPPUNIT_TEST(OrderIsSentWhole);
+  CPPUNIT_TEST(OrderStateMatchesEngineBehaviour);
+  CPPUNIT_TEST(ConnectionRefusedIsReportedAsRefused);
+  CPPUNIT_TEST(EveryOrderFieldIsSent);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void EnginesBehaviours() {
+  void OrderStateMatchesEngineBehaviour() {
     for (const Row& row : Rows()) {
       m_engine = row.engine;
       Send(50ms);
@@ -60,14 +60,14 @@
     }
   }
 
-  // The order has not left, so it was not carried out either.
-  void NobodyListensIsRefused() {
+  // The order was never sent, so it cannot have been executed.
+  void ConnectionRefusedIsReportedAsRefused() {
     m_server.reset();
     Send(5s);
     CPPUNIT_ASSERT(m_states.at(0) == OrderState::Refused);
   }
 
-  void OrderIsSentWhole() {
+  void EveryOrderFieldIsSent() {
     std::string path;
     std::string body;
     m_engine = [&](Exchange& exchange) {
--- a/src/dotterelshift/gateway/core_leave_test.cc
+++ b/src/dotterelshift/gateway/core_caller_gone_test.cc
@@ -1,5 +1,5 @@
-// A caller leaves at each stage of its request: nothing of it is started any
-// more, what has been started is cancelled once, and nothing stays held for it.
+// A caller leaves at each stage of its request. No new attempt may be started,
+// a running one is cancelled exactly once, and nothing stays reserved.
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include "dotterelshift/directory/spread.h"      // for PulseKey
@@ -14,13 +14,13 @@
 class CoreLeaveTest : public CoreFixture {
   CPPUNIT_TEST_SUITE(CoreLeaveTest);
   CPPUNIT_TEST(WhileItWaitsForTokens);
-  CPPUNIT_TEST(WhileItWaitsForAPlace);
-  CPPUNIT_TEST(WhileItIsBooked);
+  CPPUNIT_TEST(WhileItWaitsForAnEndpoint);
+  CPPUNIT_TEST(WhileItsSlotIsReserved);
   CPPUNIT_TEST(WhileItsAttemptHasNoAnswer);
   CPPUNIT_TEST(WhileItsStreamRuns);
-  CPPUNIT_TEST(WhileASecondAttemptIsBooked);
+  CPPUNIT_TEST(WhileASecondAttemptHasASlotReserved);
   CPPUNIT_TEST(WhileASecondAttemptRuns);
-  CPPUNIT_TEST(WhileItsAttemptIsAskedBack);
+  CPPUNIT_TEST(WhileItsAttemptIsBeingWithdrawn);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -39,7 +39,7 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, m_budgets->HeldSums().reserved);
   }
 
-  void WhileItWaitsForAPlace() {
+  void WhileItWaitsForAnEndpoint() {
     Publish();
     for (const char* id : {"p1", "p2", "p3"}) Announce(id, "plain", true);
     m_core->OnEndpointsChanged(m_directory, m_now);
@@ -52,19 +52,20 @@
     ExpectNothingMore();
   }
 
-  // Both engines read a long prompt, so the next one waits for its time.
-  void WhileItIsBooked() {
+  // Both engines prefill a long prompt, so that the next request waits for its
+  // prefill start.
+  void WhileItsSlotIsReserved() {
     Publish();
     Request("/stream/", 10'000, 3);
     Request("/stream/", 10'000, 4);
     Request("/stream/", 100);
     CPPUNIT_ASSERT(m_last.empty());
-    const uint32_t booked = Running();
+    const uint32_t occupied = Running();
     Leave();
     CPPUNIT_ASSERT(m_last.empty());
-    CPPUNIT_ASSERT_EQUAL(booked - 1, Running());
+    CPPUNIT_ASSERT_EQUAL(occupied - 1, Running());
     for (Duration passed = 0s; passed < 1s; passed += 1ms) {
-      Pass(1ms);
+      Advance(1ms);
       CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<StartAttempt>());
     }
   }
@@ -76,10 +77,10 @@
     const AttemptId attempt = Only<StartAttempt>().attempt;
     Leave();
     CPPUNIT_ASSERT_EQUAL(attempt, Only<CancelAttempt>().attempt);
-    // What was on its way back of it changes nothing.
+    // Bytes of the response that were in flight have no effect.
     Head(attempt, 200, true);
     CPPUNIT_ASSERT(m_last.empty());
-    End(attempt, http::TransferEnd::kCutBeforeHead);
+    End(attempt, http::TransferEnd::kFailedBeforeHead);
     CPPUNIT_ASSERT(m_last.empty());
     ExpectNothingMore();
     CPPUNIT_ASSERT_EQUAL(Tokens{0}, m_budgets->HeldSums().reserved);
@@ -90,7 +91,7 @@
     Request("/resume/", 100);
     const AttemptId attempt = Only<StartAttempt>().attempt;
     Head(attempt, 200, true);
-    Piece(attempt, "id: 1\ndata: a\n\nid: 2\nda");
+    Chunk(attempt, "id: 1\ndata: a\n\nid: 2\nda");
     Leave();
     CPPUNIT_ASSERT_EQUAL(attempt, Only<CancelAttempt>().attempt);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_last.size());
@@ -99,9 +100,9 @@
     ExpectNothingMore();
   }
 
-  // The first attempt broke; the other engine still reads, so that the second
-  // attempt has not begun.
-  void WhileASecondAttemptIsBooked() {
+  // The first attempt failed. The other engine is still busy with a prefill, so
+  // that the second attempt has not been sent.
+  void WhileASecondAttemptHasASlotReserved() {
     Publish();
     Request("/resume/", 100);
     const StartAttempt first = Only<StartAttempt>();
@@ -114,7 +115,7 @@
     CPPUNIT_ASSERT(m_last.empty());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, m_core->OpenRequests());
     for (Duration passed = 0s; passed < 1s; passed += 1ms) {
-      Pass(1ms);
+      Advance(1ms);
       CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<StartAttempt>());
     }
   }
@@ -122,16 +123,16 @@
   void WhileASecondAttemptRuns() {
     Publish();
     Request("/safe/");
-    End(Only<StartAttempt>().attempt, http::TransferEnd::kCutBeforeHead);
+    End(Only<StartAttempt>().attempt, http::TransferEnd::kFailedBeforeHead);
     const AttemptId second = Only<StartAttempt>().attempt;
     Leave();
     CPPUNIT_ASSERT_EQUAL(second, Only<CancelAttempt>().attempt);
     ExpectNothingMore();
   }
 
-  // Its endpoint leaves, and then its caller, before the connection has said
-  // whether the attempt could be taken back.
-  void WhileItsAttemptIsAskedBack() {
+  // The endpoint leaves, and then the caller, before it is known whether the
+  // attempt could be withdrawn.
+  void WhileItsAttemptIsBeingWithdrawn() {
     Publish();
     Request("/safe/");
     const StartAttempt start = Only<StartAttempt>();
@@ -153,7 +154,7 @@
 
   void Grant() {
     m_budgets->SetConnected(true, m_now);
-    AnswerAsk(1'000, 999'000);
+    AnswerGrantRequest(1'000, 999'000);
   }
 
   uint32_t Running() const {
@@ -165,12 +166,12 @@
     return running;
   }
 
-  // Nothing is open, due or started, now or later.
+  // No request is open, no timer is set, and no action follows later.
   void ExpectNothingMore() {
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
     CPPUNIT_ASSERT_EQUAL(uint32_t{0}, Running());
     CPPUNIT_ASSERT(m_core->NextTimer() == Instant::max());
-    Pass(10s);
+    Advance(10s);
     CPPUNIT_ASSERT(m_last.empty());
   }
 };
--- a/src/dotterelshift/gateway/core_test.cc
+++ b/src/dotterelshift/gateway/core_test.cc
@@ -12,26 +12,26 @@
 class CoreTest : public CoreFixture {
   CPPUNIT_TEST_SUITE(CoreTest);
   CPPUNIT_TEST(UnknownRoutesAndKeysAreRefused);
-  CPPUNIT_TEST(BeforeRoutesAreKnownNothingIsSaidToBeMissing);
-  CPPUNIT_TEST(AnAnswerIsRelayedWhole);
-  CPPUNIT_TEST(AnAnswerToAnotherRequestIsNotRelayed);
-  CPPUNIT_TEST(WhatMayRunOnceIsSentOnceUnlessItDidNotRun);
-  CPPUNIT_TEST(IdempotentWorkIsTriedElsewhereWithinTheAttempts);
-  CPPUNIT_TEST(ARefusalAfterARunIsNoPromise);
-  CPPUNIT_TEST(ABrokenStreamGoesOnAfterItsLastWholeEvent);
-  CPPUNIT_TEST(AStreamThatMayNotResumeIsVisiblyCut);
-  CPPUNIT_TEST(AContentThatBreaksEndpointsIsReportedAndHeldBack);
+  CPPUNIT_TEST(WithoutRoutesRequestsAreRefusedAsNotReady);
+  CPPUNIT_TEST(CompleteResponseIsRelayed);
+  CPPUNIT_TEST(ResponseToAnotherRequestIsNotRelayed);
+  CPPUNIT_TEST(AtMostOnceRequestIsRetriedOnlyIfItDidNotRun);
+  CPPUNIT_TEST(IdempotentRequestIsRetriedWithinItsAttempts);
+  CPPUNIT_TEST(RefusalAfterAFailedRunDoesNotClaimNotRun);
+  CPPUNIT_TEST(BrokenStreamResumesAfterItsLastCompleteEvent);
+  CPPUNIT_TEST(NonResumableStreamIsAborted);
+  CPPUNIT_TEST(SuspectContentIsReportedAndQuarantined);
   CPPUNIT_TEST(ACallerThatLeavesCancelsItsAttempt);
-  CPPUNIT_TEST(TheLineOfACallerThatLeavesSaysWhereItsRequestStood);
-  CPPUNIT_TEST(WhatIsBookedIsNotSentToALeavingEndpoint);
-  CPPUNIT_TEST(WhatIsNotSentYetLeavesALeavingEndpoint);
-  CPPUNIT_TEST(WhatMayHaveBeenSentStaysAtALeavingEndpoint);
-  CPPUNIT_TEST(WithNoOtherEndpointTheWithdrawnIsRefusedAsNotRun);
+  CPPUNIT_TEST(CallerGoneLogLineNamesTheStage);
+  CPPUNIT_TEST(UnsentRequestWithASlotMovesOffALeavingEndpoint);
+  CPPUNIT_TEST(UnsentAttemptIsWithdrawnFromALeavingEndpoint);
+  CPPUNIT_TEST(SentAttemptStaysAtALeavingEndpoint);
+  CPPUNIT_TEST(WithdrawnAttemptWithoutAnotherEndpointIsRefusedAsNotRun);
   CPPUNIT_TEST(TheTimeoutEndsARequestAtOnce);
-  CPPUNIT_TEST(PatienceCountsFromTheRequestsHead);
+  CPPUNIT_TEST(TimeoutCountsFromTheRequestHead);
   CPPUNIT_TEST(WithoutTokensARequestWaitsThenIsRefused);
   CPPUNIT_TEST(WhereAGrantIsLikelyARequestWaitsLonger);
-  CPPUNIT_TEST(AFullFleetRefusesAtOnceAndSpreadsReturns);
+  CPPUNIT_TEST(FullFleetRefusesAtOnceWithJitteredRetryAfter);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -39,19 +39,19 @@
     Publish();
     Request("/none/");
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kUnknownPath);
-    RequestInfo info = AskFor("/safe/");
+    RequestInfo info = MakeRequestInfo("/safe/");
     info.key = "stolen";
     m_core->OnRequest(kRequest, info, m_now);
     Collect();
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kUnauthorized);
   }
 
-  void BeforeRoutesAreKnownNothingIsSaidToBeMissing() {
+  void WithoutRoutesRequestsAreRefusedAsNotReady() {
     Request("/none/");
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kNotReady);
   }
 
-  void AnAnswerIsRelayedWhole() {
+  void CompleteResponseIsRelayed() {
     Publish();
     Request("/once/");
     const StartAttempt start = Only<StartAttempt>();
@@ -60,11 +60,11 @@
     Head(start.attempt, 200);
     CPPUNIT_ASSERT(m_last.empty());
     End(start.attempt, http::TransferEnd::kWhole);
-    CPPUNIT_ASSERT_EQUAL(start.attempt, Only<RelayWhole>().attempt);
+    CPPUNIT_ASSERT_EQUAL(start.attempt, Only<RelayResponse>().attempt);
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
   }
 
-  void AnAnswerToAnotherRequestIsNotRelayed() {
+  void ResponseToAnotherRequestIsNotRelayed() {
     Publish();
     Request("/once/");
     const StartAttempt start = Only<StartAttempt>();
@@ -73,7 +73,7 @@
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kEndpointFailed);
   }
 
-  void WhatMayRunOnceIsSentOnceUnlessItDidNotRun() {
+  void AtMostOnceRequestIsRetriedOnlyIfItDidNotRun() {
     Publish();
     Request("/once/");
     const StartAttempt first = Only<StartAttempt>();
@@ -81,12 +81,12 @@
     End(first.attempt, http::TransferEnd::kWhole);
     const StartAttempt second = Only<StartAttempt>();
     CPPUNIT_ASSERT(second.endpoint.id != first.endpoint.id);
-    End(second.attempt, http::TransferEnd::kCutBeforeHead);
+    End(second.attempt, http::TransferEnd::kFailedBeforeHead);
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<StartAttempt>());
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kEndpointFailed);
   }
 
-  void IdempotentWorkIsTriedElsewhereWithinTheAttempts() {
+  void IdempotentRequestIsRetriedWithinItsAttempts() {
     Publish();
     Request("/safe/");
     const StartAttempt first = Only<StartAttempt>();
@@ -95,14 +95,15 @@
     const StartAttempt second = Only<StartAttempt>();
     Head(second.attempt, 500);
     End(second.attempt, http::TransferEnd::kWhole);
-    CPPUNIT_ASSERT_EQUAL(second.attempt, Only<RelayWhole>().attempt);
+    CPPUNIT_ASSERT_EQUAL(second.attempt, Only<RelayResponse>().attempt);
   }
 
-  // Run once and cut, then refused elsewhere: "not run" would be untrue.
-  void ARefusalAfterARunIsNoPromise() {
+  // The request ran once and was cut, then another endpoint refused it. The
+  // caller must not be told that it did not run.
+  void RefusalAfterAFailedRunDoesNotClaimNotRun() {
     Publish();
     Request("/safe/");
-    End(Only<StartAttempt>().attempt, http::TransferEnd::kCutBeforeHead);
+    End(Only<StartAttempt>().attempt, http::TransferEnd::kFailedBeforeHead);
     while (Count<StartAttempt>() > 0) {
       const StartAttempt next = Only<StartAttempt>();
       Head(next.attempt, 503, false, "caller-1", true);
@@ -111,51 +112,51 @@
     CPPUNIT_ASSERT(RowOf(Only<Refuse>().kind).ran != Ran::kNo);
   }
 
-  void ABrokenStreamGoesOnAfterItsLastWholeEvent() {
+  void BrokenStreamResumesAfterItsLastCompleteEvent() {
     Publish();
     Request("/resume/", 100);
     const StartAttempt first = Only<StartAttempt>();
     Head(first.attempt, 200, true);
     CPPUNIT_ASSERT_EQUAL(first.attempt, Only<RelayHead>().attempt);
-    Piece(first.attempt, "id: 1\ndata: a\n\nid: 2\nda");
+    Chunk(first.attempt, "id: 1\ndata: a\n\nid: 2\nda");
     CPPUNIT_ASSERT_EQUAL(std::string("id: 1\ndata: a\n\n"),
-                         Only<RelayPiece>().bytes);
+                         Only<RelayChunk>().bytes);
     End(first.attempt, http::TransferEnd::kCut);
     const StartAttempt second = Only<StartAttempt>();
     CPPUNIT_ASSERT_EQUAL(std::string("1"), second.last_event_id);
     Head(second.attempt, 200, true);
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<RelayHead>());
-    Piece(second.attempt, "id: 2\ndata: b\n\n");
+    Chunk(second.attempt, "id: 2\ndata: b\n\n");
     CPPUNIT_ASSERT_EQUAL(std::string("id: 2\ndata: b\n\n"),
-                         Only<RelayPiece>().bytes);
+                         Only<RelayChunk>().bytes);
     End(second.attempt, http::TransferEnd::kWhole);
     Only<FinishStream>();
   }
 
-  void AStreamThatMayNotResumeIsVisiblyCut() {
+  void NonResumableStreamIsAborted() {
     Publish();
     Request("/stream/", 100);
     const StartAttempt start = Only<StartAttempt>();
     Head(start.attempt, 200, true);
-    Piece(start.attempt, "id: 1\ndata: a\n\n");
+    Chunk(start.attempt, "id: 1\ndata: a\n\n");
     End(start.attempt, http::TransferEnd::kCut);
     Only<AbortStream>();
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<StartAttempt>());
   }
 
-  void AContentThatBreaksEndpointsIsReportedAndHeldBack() {
+  void SuspectContentIsReportedAndQuarantined() {
     Publish();
     Request("/once/");
-    End(Only<StartAttempt>().attempt, http::TransferEnd::kCutBeforeHead);
-    const auto reports = m_core->TakeSuspicions();
+    End(Only<StartAttempt>().attempt, http::TransferEnd::kFailedBeforeHead);
+    const auto reports = m_core->TakeSuspectReports();
     CPPUNIT_ASSERT_EQUAL(size_t{1}, reports.size());
     CPPUNIT_ASSERT(!reports[0].endpoint.empty() && reports[0].alone);
-    // Answered whole, it is cleared.
+    // A complete response clears it.
     Request("/once/");
     const AttemptId attempt = Only<StartAttempt>().attempt;
     Head(attempt, 200);
     End(attempt, http::TransferEnd::kWhole);
-    const auto cleared = m_core->TakeSuspicions();
+    const auto cleared = m_core->TakeSuspectReports();
     CPPUNIT_ASSERT(cleared.size() == 1 && cleared[0].endpoint.empty());
     wire::SuspectAnswerT held_back;
     held_back.quarantined_until_ms = 1;
@@ -175,15 +176,15 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, m_core->OpenRequests());
   }
 
-  void TheLineOfACallerThatLeavesSaysWhereItsRequestStood() {
+  void CallerGoneLogLineNamesTheStage() {
     Publish();
     Request("/stream/", 100);
     const AttemptId attempt = Only<StartAttempt>().attempt;
-    Pass(70ms);
+    Advance(70ms);
     m_core->OnCallerGone(kRequest, m_now);
     Collect();
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, m_lines.size());
-    const Decision& line = m_lines.front();
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, m_log_lines.size());
+    const Decision& line = m_log_lines.front();
     CPPUNIT_ASSERT_EQUAL(attempt, line.attempt);
     const auto says = [&line](std::string_view name, const std::string& value) {
       return std::ranges::find(line.inputs, std::pair(name, value)) !=
@@ -205,8 +206,9 @@
     Collect();
   }
 
-  // Two prompts are being read, one more is booked behind each of them.
-  void WhatIsBookedIsNotSentToALeavingEndpoint() {
+  // Two prompts are being prefilled, and behind each of them one more request
+  // has a slot reserved.
+  void UnsentRequestWithASlotMovesOffALeavingEndpoint() {
     Publish();
     for (RequestId id = 1; id <= 4; ++id) {
       Request("/stream/", 10'000, id);
@@ -221,12 +223,12 @@
         CPPUNIT_ASSERT_EQUAL(std::string("l2"), start->endpoint.id);
         ++sent;
       }
-      Pass(1ms);
+      Advance(1ms);
     }
     CPPUNIT_ASSERT_EQUAL(size_t{2}, sent);
   }
 
-  void WhatIsNotSentYetLeavesALeavingEndpoint() {
+  void UnsentAttemptIsWithdrawnFromALeavingEndpoint() {
     Publish();
     Request("/once/");
     const StartAttempt first = Only<StartAttempt>();
@@ -235,15 +237,17 @@
     Withdrawn(first.attempt);
     const StartAttempt second = Only<StartAttempt>();
     CPPUNIT_ASSERT(second.endpoint.id != first.endpoint.id);
-    // A new run of the second one: the run that it was sent to is gone.
+    // A new incarnation of the second one: the incarnation that the attempt was
+    // sent to is gone.
     Announce(second.endpoint.id, "plain", false, 1);
     m_core->OnEndpointsChanged(m_directory, m_now);
     Collect();
     CPPUNIT_ASSERT_EQUAL(second.attempt, Only<WithdrawAttempt>().attempt);
   }
 
-  // The connection may hold some of it, so it may run: one run at the most.
-  void WhatMayHaveBeenSentStaysAtALeavingEndpoint() {
+  // The connection may have taken some of it, so that it may run there. It must
+  // not run a second time elsewhere.
+  void SentAttemptStaysAtALeavingEndpoint() {
     Publish();
     Request("/once/");
     const StartAttempt start = Only<StartAttempt>();
@@ -252,8 +256,8 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<CancelAttempt>());
     Head(start.attempt, 200);
     End(start.attempt, http::TransferEnd::kWhole);
-    CPPUNIT_ASSERT_EQUAL(start.attempt, Only<RelayWhole>().attempt);
-    // What is answered already is not even asked about.
+    CPPUNIT_ASSERT_EQUAL(start.attempt, Only<RelayResponse>().attempt);
+    // For a stream that has begun no withdrawal is requested.
     Request("/stream/", 100);
     const StartAttempt stream = Only<StartAttempt>();
     Head(stream.attempt, 200, true);
@@ -261,7 +265,7 @@
     CPPUNIT_ASSERT(m_last.empty());
   }
 
-  void WithNoOtherEndpointTheWithdrawnIsRefusedAsNotRun() {
+  void WithdrawnAttemptWithoutAnotherEndpointIsRefusedAsNotRun() {
     Publish();
     Request("/once/");
     const StartAttempt start = Only<StartAttempt>();
@@ -270,7 +274,7 @@
     CPPUNIT_ASSERT(m_last.empty());
     Leave(start.endpoint.id, "plain");
     Withdrawn(Only<WithdrawAttempt>().attempt);
-    Pass(Duration(600ms) / 8);
+    Advance(Duration(600ms) / 8);
     const Refuse refuse = Only<Refuse>();
     CPPUNIT_ASSERT(refuse.kind == ErrorKind::kNoEndpoint);
     CPPUNIT_ASSERT(RowOf(refuse.kind).ran == Ran::kNo);
@@ -280,23 +284,24 @@
     Publish();
     Request("/once/");
     const AttemptId attempt = Only<StartAttempt>().attempt;
-    Pass(4s);
+    Advance(4s);
     CPPUNIT_ASSERT_EQUAL(attempt, Only<CancelAttempt>().attempt);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kDeadlineWhileRunning);
   }
 
-  // On a full link a long prompt takes seconds to come in; sent on with its
-  // caller's whole patience it would run after the caller has left.
-  void PatienceCountsFromTheRequestsHead() {
+  // Over a saturated link a long prompt takes seconds to arrive. If it were
+  // sent on with the caller's full timeout, it would run on after the caller
+  // has left.
+  void TimeoutCountsFromTheRequestHead() {
     Publish();
-    RequestInfo info = AskFor("/stream/", 100);
+    RequestInfo info = MakeRequestInfo("/stream/", 100);
     info.begun = m_now - 3s;
     m_core->OnRequest(kRequest, info, m_now);
     Collect();
     CPPUNIT_ASSERT(Only<StartAttempt>().time_left == 1s);
     info.begun = m_now - 5s;
     m_core->OnRequest(2, info, m_now);
-    Pass(0s);
+    Advance(0s);
     CPPUNIT_ASSERT_EQUAL(size_t{0}, Count<StartAttempt>());
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kOverloaded);
   }
@@ -305,7 +310,7 @@
     Publish(1'000'000);
     Request("/stream/", 100);
     CPPUNIT_ASSERT(m_last.empty());
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, m_budgets->TakeBorrows().size());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, m_budgets->TakeBorrowRequests().size());
     wire::TokenLoanT loan;
     loan.budget = "team";
     loan.tokens = 200;
@@ -314,36 +319,37 @@
     Collect();
     Only<StartAttempt>();
     Request("/stream/", 100, 2);
-    Pass(CoreOptions().budget_wait);
+    Advance(CoreOptions().budget_wait);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kBudgetUnavailable);
   }
 
-  // Control's answer is held up behind a hot caller's prompts on a narrow link.
-  // A request that is refused meanwhile only comes back and fills it more.
+  // On a saturated link control's answer is delayed behind the prompts of a
+  // busy caller. A request refused meanwhile would be retried and add to that
+  // load.
   void WhereAGrantIsLikelyARequestWaitsLonger() {
     Publish(1'000'000);
     m_budgets->SetConnected(true, m_now);
-    AnswerAsk(0, 1'000'000);
+    AnswerGrantRequest(0, 1'000'000);
     Request("/stream/", 100);
-    Pass(CoreOptions().budget_wait);
+    Advance(CoreOptions().budget_wait);
     CPPUNIT_ASSERT(m_last.empty());
-    AnswerAsk(200, 999'800);
+    AnswerGrantRequest(200, 999'800);
     Collect();
     Only<StartAttempt>();
     Request("/stream/", 100, 2);
-    Pass(Duration(4s) / CoreOptions().grant_wait_part);
+    Advance(Duration(4s) / CoreOptions().grant_wait_divisor);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kBudgetUnavailable);
-    // Cut off from control, only the other entries can help.
+    // Without a connection to control only the other entries can lend tokens.
     m_budgets->SetConnected(false, m_now);
     Request("/stream/", 100, 3);
-    Pass(CoreOptions().budget_wait);
+    Advance(CoreOptions().budget_wait);
     CPPUNIT_ASSERT(Only<Refuse>().kind == ErrorKind::kBudgetUnavailable);
   }
 
-  // Far more long prompts than two engines read within any caller's patience:
-  // what would come too late is refused as not run, at different times to come
-  // back.
-  void AFullFleetRefusesAtOnceAndSpreadsReturns() {
+  // Far more long prompts than two engines can prefill within the callers'
+  // timeout: requests that would be late are refused as not run, with different
+  // retry delays.
+  void FullFleetRefusesAtOnceWithJitteredRetryAfter() {
     Publish();
     std::vector<Duration> returns;
     for (RequestId id = 1; id <= 60; ++id) {
--- a/src/dotterelshift/gateway/drain.cc
+++ b/src/dotterelshift/gateway/drain.cc
@@ -5,28 +5,31 @@
 namespace dotterelshift::gateway {
 namespace {
 
-// For control to take the last reports, and callers their last answers. Not
-// measured: the longest wait that was borne for it so far.
-constexpr Duration kLastReports = 500ms;
-
-// The limit is enforced from outside, from the signal's sending on: the signal
-// is taken and the exit made up to a tick of 50 ms later each; the rest is for
-// a host whose turns take longer. With no margin a process was killed at its
-// end in each of five days of 86 entries.
-constexpr Duration kMargin = 250ms;
-
-// Of a limit too short for both, the parts that they take.
-constexpr int kReportsPart = 4;
-constexpr int kMarginPart = 8;
+// Time for control to accept the last reports and for callers to receive their
+// last responses.
+constexpr Duration kFinalReportTime = 500ms;
+
+// The limit is enforced from outside, counted from the sending of the signal.
+// The handling of the signal and the exit may each be late by one tick of
+// 50 ms; the rest is for hosts on which the event loop's turns take longer.
+// Without a margin, processes are killed at the end of their shutdown: this
+// happened in each of five runs with 86 entries.
+constexpr Duration kExitMargin = 250ms;
+
+// If the limit is too short for both times, they are capped at the limit
+// divided by these.
+constexpr int kReportDivisor = 4;
+constexpr int kMarginDivisor = 8;
 
 }  // namespace
 
-DrainTimes PlanDrain(Instant now, Duration notice, Duration limit) {
-  DrainTimes times;
+DrainSchedule MakeDrainSchedule(Instant now, Duration notice, Duration limit) {
+  DrainSchedule times;
   times.begun = now;
-  times.exit = now + limit - std::min(kMargin, limit / kMarginPart);
-  times.last_answer = times.exit - std::min(kLastReports, limit / kReportsPart);
-  times.notice_end = std::min(now + notice, times.last_answer);
+  times.exit = now + limit - std::min(kExitMargin, limit / kMarginDivisor);
+  times.response_deadline =
+      times.exit - std::min(kFinalReportTime, limit / kReportDivisor);
+  times.notice_end = std::min(now + notice, times.response_deadline);
   return times;
 }
 
--- a/src/dotterelshift/gateway/held_grants_test.cc
+++ b/src/dotterelshift/gateway/held_grants_test.cc
@@ -7,13 +7,13 @@
 
 class HeldGrantsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HeldGrantsTest);
-  CPPUNIT_TEST(EachBudgetIsAskedForBeforeItIsDrawnOn);
-  CPPUNIT_TEST(AnAskUnderWayIsNotDoubled);
-  CPPUNIT_TEST(IdleHoldingsStayToBeLentInACut);
-  CPPUNIT_TEST(WhatIsBeyondTheTotalIsKnownAtOnce);
-  CPPUNIT_TEST(TheLastOfATotalTricklesToSmallRequests);
+  CPPUNIT_TEST(EachBudgetIsRequestedBeforeFirstUse);
+  CPPUNIT_TEST(PendingGrantRequestIsNotDuplicated);
+  CPPUNIT_TEST(IdleHoldingsCanBeLentDuringAPartition);
+  CPPUNIT_TEST(RequestBeyondTheTotalIsRejectedAtOnce);
+  CPPUNIT_TEST(LastOfATotalIsRationedToSmallRequests);
   CPPUNIT_TEST(SpendIsReportedOnceAndTheRestReturned);
-  CPPUNIT_TEST(WhileControlIsAwayOneReportIsOwed);
+  CPPUNIT_TEST(ControlOutageLeavesOneReportToSend);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -32,12 +32,13 @@
  private:
   std::vector<wire::CommandT> Take() { return m_grants->TakeCommands(m_now); }
 
-  static std::vector<const wire::RequestGrantT*> Asks(
+  static std::vector<const wire::RequestGrantT*> GrantRequests(
       const std::vector<wire::CommandT>& commands) {
-    std::vector<const wire::RequestGrantT*> asks;
+    std::vector<const wire::RequestGrantT*> requests;
     for (const wire::CommandT& command : commands)
-      if (const auto* ask = command.body.AsRequestGrant()) asks.push_back(ask);
-    return asks;
+      if (const auto* request = command.body.AsRequestGrant())
+        requests.push_back(request);
+    return requests;
   }
 
   void Answer(uint64_t sequence, Tokens tokens, Tokens free) {
@@ -53,35 +54,36 @@
     m_grants->OnAnswer(answer, m_now);
   }
 
-  // Takes the first ask and grants it.
+  // Takes the first grant request and grants it.
   void GrantFirst(Tokens tokens, Tokens free) {
     const auto commands = Take();
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, Asks(commands).size());
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, GrantRequests(commands).size());
     Answer(m_sequence, tokens, free);
   }
 
-  void EachBudgetIsAskedForBeforeItIsDrawnOn() {
+  void EachBudgetIsRequestedBeforeFirstUse() {
     const auto commands = Take();
-    const auto asks = Asks(commands);
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, asks.size());
-    // A quarter of the part that all four entries hold at first.
-    const auto part =
-        static_cast<Tokens>(HeldGrantsOptions().first_part * 1'000'000 / 4);
-    CPPUNIT_ASSERT_EQUAL(part, asks[0]->wanted);
+    const auto requests = GrantRequests(commands);
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, requests.size());
+    // A quarter of what all four entries together hold initially.
+    const auto part = static_cast<Tokens>(HeldGrantsOptions().initial_fraction *
+                                          1'000'000 / 4);
+    CPPUNIT_ASSERT_EQUAL(part, requests[0]->wanted);
   }
 
-  void AnAskUnderWayIsNotDoubled() {
+  void PendingGrantRequestIsNotDuplicated() {
     Take();
     for (int i = 0; i < 10; ++i) {
       m_now += 300ms;
       m_grants->Reserve("t", 5000, m_now);
-      CPPUNIT_ASSERT(Asks(Take()).empty());
+      CPPUNIT_ASSERT(GrantRequests(Take()).empty());
     }
   }
 
-  // A team's callers may all be at one entry. What the others hold of it is
-  // idle there, and all that there is once control is out of reach.
-  void IdleHoldingsStayToBeLentInACut() {
+  // All callers of a team may be at one entry. The tokens that other entries
+  // hold for the team are then idle there, and are all that is available once
+  // control is unreachable.
+  void IdleHoldingsCanBeLentDuringAPartition() {
     GrantFirst(87'500, 900'000);
     m_now += 20s;
     for (const wire::CommandT& command : Take())
@@ -94,7 +96,7 @@
     borrow.demand_per_second = 100'000;
     const Tokens lent = m_grants->OnBorrow(borrow, {"other", 1}, m_now);
     CPPUNIT_ASSERT(lent > 80'000 && lent <= 87'500);
-    // What was lent is no longer there.
+    // Lent tokens are no longer available.
     CPPUNIT_ASSERT(m_grants->OnBorrow(borrow, {"third", 1}, m_now) <=
                    87'500 - lent);
     m_grants->SetConnected(true, m_now);
@@ -106,32 +108,32 @@
     CPPUNIT_ASSERT(moves >= 1);
   }
 
-  void WhatIsBeyondTheTotalIsKnownAtOnce() {
+  void RequestBeyondTheTotalIsRejectedAtOnce() {
     GrantFirst(100'000, 50'000);
     CPPUNIT_ASSERT(m_grants->Reserve("t", 90'000, m_now) ==
-                   BudgetAnswer::kReserved);
+                   BudgetDecision::kReserved);
     CPPUNIT_ASSERT(m_grants->Reserve("t", 120'000, m_now) ==
-                   BudgetAnswer::kWait);
+                   BudgetDecision::kWait);
     CPPUNIT_ASSERT(m_grants->Reserve("t", 160'000, m_now) ==
-                   BudgetAnswer::kExhausted);
-    // An old word on what is left is not believed.
-    m_now += HeldGrantsOptions().remainder_memory;
+                   BudgetDecision::kExhausted);
+    // An outdated remainder is not used.
+    m_now += HeldGrantsOptions().remainder_max_age;
     CPPUNIT_ASSERT(m_grants->Reserve("t", 160'000, m_now) ==
-                   BudgetAnswer::kWait);
+                   BudgetDecision::kWait);
     CPPUNIT_ASSERT(m_grants->Reserve("free", 1600, m_now) ==
-                   BudgetAnswer::kNoTotal);
+                   BudgetDecision::kUnlimited);
   }
 
-  // 28,000 of a million are left when 40 requests a second come in at each of
-  // four entries: 15 s later small ones are still served.
-  void TheLastOfATotalTricklesToSmallRequests() {
+  // 28,000 of a million are left when 40 requests a second arrive at each of
+  // four entries: 15 s later, small requests are still served.
+  void LastOfATotalIsRationedToSmallRequests() {
     GrantFirst(20'000, 8'000);
     Tokens small = 0;
     Tokens late = 0;
     for (int ms = 0; ms < 20'000; ms += 25, m_now += 25ms) {
       const bool large = ms % 100 == 0;
       const Tokens size = large ? 15'000 : 1'500;
-      if (m_grants->Reserve("t", size, m_now) != BudgetAnswer::kReserved)
+      if (m_grants->Reserve("t", size, m_now) != BudgetDecision::kReserved)
         continue;
       CPPUNIT_ASSERT(!large);
       m_grants->Settle("t", size, size, true, m_now);
@@ -145,7 +147,7 @@
   void SpendIsReportedOnceAndTheRestReturned() {
     GrantFirst(10'000, 900'000);
     CPPUNIT_ASSERT(m_grants->Reserve("t", 4000, m_now) ==
-                   BudgetAnswer::kReserved);
+                   BudgetDecision::kReserved);
     m_grants->Settle("t", 4000, 2500, true, m_now);
     m_now += 1s;
     Tokens reported = 0;
@@ -164,9 +166,9 @@
     CPPUNIT_ASSERT_EQUAL(Tokens{7500}, returned);
   }
 
-  // All of control starts again, and takes ten seconds for it: what each entry
-  // then sends must not grow with that time.
-  void WhileControlIsAwayOneReportIsOwed() {
+  // All of control restarts and needs ten seconds: what each entry then sends
+  // must not grow with that time.
+  void ControlOutageLeavesOneReportToSend() {
     GrantFirst(80'000, 900'000);
     m_grants->SetConnected(false, m_now);
     wire::TokenBorrowT borrow;
--- a/src/dotterelshift/gateway/retry_share.cc
+++ b/src/dotterelshift/gateway/retry_share.cc
@@ -9,7 +9,7 @@
   m_entries = std::max<size_t>(1, entries);
 }
 
-// The counts of a service, with the buckets that have passed emptied.
+// Returns the counts of a service after clearing the buckets that have expired.
 RetryShare::Counts& RetryShare::Turn(const std::string& service, Instant now) {
   Counts& counts = m_services[service];
   const int64_t number = now.time_since_epoch() / (m_options.window / kBuckets);
@@ -35,8 +35,8 @@
   };
   const double slack =
       static_cast<double>(m_options.slack) / static_cast<double>(m_entries);
-  const double allowed =
-      m_options.used_part * (m_options.ratio * sum(counts.requests) + slack);
+  const double allowed = m_options.used_fraction *
+                         (m_options.ratio * sum(counts.requests) + slack);
   if (sum(counts.repeats) + 1 > allowed) return false;
   ++counts.repeats.at(counts.newest % kBuckets);
   return true;
--- a/src/dotterelshift/gateway/retry_share_test.cc
+++ b/src/dotterelshift/gateway/retry_share_test.cc
@@ -10,11 +10,11 @@
 class RetryShareTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RetryShareTest);
   CPPUNIT_TEST(AllSharesTogetherStayWithinTheAllowance);
-  CPPUNIT_TEST(ServicesAreCountedApart);
+  CPPUNIT_TEST(ServicesAreCountedSeparately);
   CPPUNIT_TEST_SUITE_END();
 
-  // Eight entries, each of which repeats as often as it may, under a load that
-  // jumps: in no window does the fleet repeat more than it may.
+  // Eight entries, each of which retries as often as it may, under a load with
+  // steps: in no window does the fleet exceed its allowance.
   void AllSharesTogetherStayWithinTheAllowance() {
     constexpr int kEntries = 8;
     RetryShareOptions options;
@@ -55,10 +55,10 @@
     CPPUNIT_ASSERT(repeats_in_window > 0);
   }
 
-  void ServicesAreCountedApart() {
+  void ServicesAreCountedSeparately() {
     RetryShareOptions options;
     options.slack = 2;
-    options.used_part = 1;
+    options.used_fraction = 1;
     RetryShare share(options);
     const Instant now(1000s);
     CPPUNIT_ASSERT(share.Take("a", now));
--- a/src/dotterelshift/http/listener.cc
+++ b/src/dotterelshift/http/listener.cc
@@ -13,10 +13,11 @@
 namespace dotterelshift::http {
 namespace {
 
-// Without descriptors to spare, connections are looked at again after this.
-constexpr Duration kAcceptAgain = 100ms;
+// Delay before accept() is retried after an error such as running out of file
+// descriptors.
+constexpr Duration kAcceptRetryDelay = 100ms;
 
-// Reads an IP number; throws when it is none.
+// Parses an IP address. Throws Error(kBadSettings) if it is not valid.
 SocketAddress ParseAddress(const std::string& text) {
   SocketAddress address{};
   if (inet_pton(AF_INET, text.c_str(), &address.v4.sin_addr) == 1) {
@@ -24,7 +25,7 @@
   } else if (inet_pton(AF_INET6, text.c_str(), &address.v6.sin6_addr) == 1) {
     address.v6.sin6_family = AF_INET6;
   } else {
-    throw Error(ErrorKind::kBadSettings, "not an IP number: " + text);
+    throw Error(ErrorKind::kBadSettings, "not an IP address: " + text);
   }
   return address;
 }
@@ -44,8 +45,9 @@
   return ntohs(IsV6(bound) ? bound.v6.sin6_port : bound.v4.sin_port);
 }
 
-// One connection was lost; the next may be sound.
-bool IsOfOneConnection(int error) {
+// Whether an accept() error concerns only one connection, so that the next call
+// may succeed.
+bool IsTransientAcceptError(int error) {
   return error == EINTR || error == ECONNABORTED || error == EPROTO;
 }
 
@@ -58,7 +60,7 @@
       m_port(port),
       m_backlog(backlog),
       m_on_connection(std::move(on_connection)),
-      m_again(loop, [this] { m_watcher->SetEvents(EV_READ); }) {
+      m_accept_retry_timer(loop, [this] { m_watcher->SetEvents(EV_READ); }) {
   if (Open()) return;
   throw Error(ErrorKind::kBadSettings, "cannot listen on " + address + ":" +
                                            std::to_string(port) + ": " +
@@ -71,7 +73,7 @@
   m_descriptor = ::socket(m_address.any.sa_family,
                           SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (m_descriptor < 0) return false;
-  // Connections that are open do not hold the address.
+  // Allow binding while connections of an earlier socket are still open.
   const int on = 1;
   ::setsockopt(m_descriptor, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (::bind(m_descriptor, &m_address.any, SizeOf(m_address)) != 0 ||
@@ -83,12 +85,12 @@
   }
   m_port = PortOf(m_descriptor);
   m_watcher = std::make_unique<loop::IoWatcher>(
-      m_loop, m_descriptor, EV_READ, [this](int) { TakeConnections(); });
+      m_loop, m_descriptor, EV_READ, [this](int) { AcceptConnections(); });
   return true;
 }
 
 void Listener::Close() {
-  m_again.Cancel();
+  m_accept_retry_timer.Cancel();
   m_watcher.reset();
   if (m_descriptor >= 0) ::close(m_descriptor);
   m_descriptor = -1;
@@ -96,13 +98,13 @@
 
 void Listener::Pause() {
   if (m_descriptor < 0) return;
-  TakeConnections();
+  AcceptConnections();
   Close();
 }
 
 bool Listener::Resume() { return m_descriptor >= 0 || Open(); }
 
-void Listener::TakeConnections() {
+void Listener::AcceptConnections() {
   while (m_descriptor >= 0) {
     SocketAddress peer{};
     socklen_t size = sizeof peer;
@@ -112,9 +114,9 @@
       m_on_connection(descriptor, peer);
     } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
       return;
-    } else if (!IsOfOneConnection(errno)) {
+    } else if (!IsTransientAcceptError(errno)) {
       m_watcher->SetEvents(0);
-      m_again.ArmIn(kAcceptAgain);
+      m_accept_retry_timer.ArmIn(kAcceptRetryDelay);
       return;
     }
   }
--- a/src/dotterelshift/http/server.cc
+++ b/src/dotterelshift/http/server.cc
@@ -22,37 +22,38 @@
 namespace dotterelshift::http {
 namespace {
 
-// Memory of one connection in the library, as a multiple of the largest head:
-// bounds the head, and the block of an answer that is written at once. Heads
-// above the largest are refused in words; above this memory the library itself
-// refuses them.
-constexpr size_t kMemoryPerHead = 2;
+// Memory of a connection in the library, as a multiple of max_head_bytes. It
+// limits the head and the block of a response that is written at once. Heads
+// above max_head_bytes get the server's refusal response; heads that exceed
+// this memory are refused by the library itself.
+constexpr size_t kMemoryHeaderFactor = 2;
 
-// Connections above the bound that are accepted to be refused in words.
-constexpr size_t kSpareConnections = 64;
+// Connections above max_connections that are accepted only to send them a
+// refusal response.
+constexpr size_t kRefusalConnections = 64;
 
-// A body past its bound is read and dropped up to this many times the bound, so
-// that its caller can read the refusal.
-constexpr size_t kDroppedBodies = 4;
+// A body above max_body_bytes is read and discarded up to this multiple of the
+// limit, so that its caller can read the refusal.
+constexpr size_t kMaxDiscardedBodyFactor = 4;
 
-// The library's own state of one connection.
+// State of a connection, stored as its socket context in the library.
 struct Connection {
   MHD_Connection* handle = nullptr;
   int descriptor = -1;
-  bool over_limit = false;  // accepted only to be refused
+  bool over_limit = false;  // accepted only to send a refusal
   bool caller_closed = false;
   bool head_begun = false;
-  std::string uri;  // of the request being received, as it was sent
+  std::string uri;  // of the current request, not decoded
   std::shared_ptr<MhdExchange> exchange;
   size_t body_bytes = 0;
-  bool used = false;  // has carried a request to its end
+  bool used = false;  // has completed a request
   bool refused = false;
   bool handed_over = false;      // to the handler
-  bool any_handed_over = false;  // this request or one before it
+  bool any_handed_over = false;  // this request or an earlier one
 
   Instant receive_deadline;
   bool receiving = false;
-  std::list<Connection*>::iterator position;  // while receiving
+  std::list<Connection*>::iterator position;  // valid while receiving
 };
 
 MHD_Result AddHeader(void* headers, MHD_ValueKind, const char* name,
@@ -65,8 +66,8 @@
   return MHD_YES;
 }
 
-// The path stays as it was sent: what is escaped is the endpoint's to read.
-size_t KeepEscapes(void*, MHD_Connection*, char* text) {
+// Leaves percent-encoding in the path, because the endpoint decodes it.
+size_t KeepPercentEncoding(void*, MHD_Connection*, char* text) {
   return std::strlen(text);
 }
 
@@ -76,8 +77,8 @@
       : m_loop(loop),
         m_options(options),
         m_handler(std::move(handler)),
-        m_timer(loop, [this] { m_run_wanted = true; }),
-        m_receive_timer(loop, [this] { EndSlowOnes(); }),
+        m_timer(loop, [this] { m_run_requested = true; }),
+        m_receive_timer(loop, [this] { CloseSlowConnections(); }),
         m_prepare(loop, [this] { RunDaemon(); }) {
     m_listener = std::make_unique<Listener>(
         loop, m_options.address, m_options.port, m_options.listen_backlog,
@@ -89,9 +90,9 @@
     const int ready =
         MHD_get_daemon_info(m_daemon, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd;
     m_daemon_watcher = std::make_unique<loop::IoWatcher>(
-        m_loop, ready, EV_READ, [this](int) { m_run_wanted = true; });
+        m_loop, ready, EV_READ, [this](int) { m_run_requested = true; });
     m_ends_watcher = std::make_unique<loop::IoWatcher>(
-        m_loop, m_ends, EV_READ, [this](int) { TakeEnds(); });
+        m_loop, m_ends, EV_READ, [this](int) { HandleClosedCallers(); });
   }
 
   ~MhdServer() override {
@@ -99,7 +100,8 @@
     m_daemon_watcher.reset();
     m_ends_watcher.reset();
     for (Connection* connection : m_connections) {
-      // Aborting resumes what is suspended, as stopping needs.
+      // Aborting resumes suspended connections, which MHD_stop_daemon()
+      // requires.
       if (connection->exchange) {
         connection->exchange->OnGone(nullptr);
         connection->exchange->Abort();
@@ -118,19 +120,19 @@
   void StopAccepting() override { m_listener->Pause(); }
   bool ResumeAccepting() override { return m_listener->Resume(); }
 
-  void TurnAway(bool on) override { m_turns_away = on; }
+  void SetRejectConnections(bool on) override { m_reject_connections = on; }
 
   void CloseIdle() override {
     for (const Connection* connection : m_receiving) {
       const bool idle = connection->used && !connection->head_begun;
       if (idle) ::shutdown(connection->descriptor, SHUT_RDWR);
     }
-    WantRun();
+    RequestRun();
   }
 
  private:
   void StartDaemon() {
-    // The library gets its connections from the listener.
+    // Connections come from the listener, so the library opens no socket.
     constexpr unsigned kFlags =
         MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME | MHD_USE_NO_LISTEN_SOCKET;
     const auto idle_seconds = static_cast<unsigned>(
@@ -139,41 +141,42 @@
     m_daemon = MHD_start_daemon(
         kFlags, 0, nullptr, nullptr, OnAccess, this,
         MHD_OPTION_CONNECTION_LIMIT,
-        static_cast<unsigned>(m_options.max_connections + kSpareConnections),
+        static_cast<unsigned>(m_options.max_connections + kRefusalConnections),
         MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-        kMemoryPerHead * m_options.max_head_bytes,
+        kMemoryHeaderFactor * m_options.max_head_bytes,
         MHD_OPTION_CONNECTION_TIMEOUT, idle_seconds + 1,
         MHD_OPTION_NOTIFY_CONNECTION, OnConnection, this,
         MHD_OPTION_NOTIFY_COMPLETED, OnCompleted, this,
         MHD_OPTION_URI_LOG_CALLBACK, OnUri, this, MHD_OPTION_UNESCAPE_CALLBACK,
-        KeepEscapes, nullptr, MHD_OPTION_SIGPIPE_HANDLED_BY_APP, 1,
+        KeepPercentEncoding, nullptr, MHD_OPTION_SIGPIPE_HANDLED_BY_APP, 1,
         MHD_OPTION_END);
     if (m_daemon == nullptr)
-      throw Error(ErrorKind::kInternal, "libmicrohttpd cannot be started");
+      throw Error(ErrorKind::kInternal, "libmicrohttpd failed to start");
   }
 
-  // The library closes a connection that it does not take.
+  // The library closes the descriptor if it does not accept the connection.
   void AddConnection(int descriptor, const SocketAddress& peer) {
-    if (m_turns_away) {
+    if (m_reject_connections) {
       ::close(descriptor);
-      const auto& on_turned_away = m_options.connections.on_turned_away;
-      if (on_turned_away) on_turned_away();
+      const auto& on_rejected = m_options.connections.on_rejected;
+      if (on_rejected) on_rejected();
       return;
     }
     const socklen_t size =
         peer.any.sa_family == AF_INET6 ? sizeof peer.v6 : sizeof peer.v4;
     MHD_add_connection(m_daemon, descriptor, &peer.any, size);
-    WantRun();
+    RequestRun();
   }
 
-  // Has the library run before the loop waits, in this turn or the next one.
-  void WantRun() {
-    if (!std::exchange(m_run_wanted, true)) m_timer.ArmIn(0s);
+  // Schedules a run of the library before the loop waits, in this iteration or
+  // the next one.
+  void RequestRun() {
+    if (!std::exchange(m_run_requested, true)) m_timer.ArmIn(0s);
   }
 
-  // Runs the library while it asks for it, just before the loop waits.
+  // Runs the library if a run is scheduled, just before the loop waits.
   void RunDaemon() {
-    if (!std::exchange(m_run_wanted, false)) return;
+    if (!std::exchange(m_run_requested, false)) return;
     MHD_run(m_daemon);
     MHD_UNSIGNED_LONG_LONG wait_ms = 0;
     if (MHD_get_timeout(m_daemon, &wait_ms) == MHD_YES) {
@@ -212,8 +215,8 @@
     const auto& on_accepted = m_options.connections.on_accepted;
     if (on_accepted) on_accepted();
     StartReceiving(*connection);
-    // Only the caller's end is watched, once and by its edge; data is the
-    // library's.
+    // Watch only for the end of the caller's sending side, edge-triggered. The
+    // library watches for data.
     epoll_event event{};
     event.events = EPOLLRDHUP | EPOLLET;
     event.data.ptr = connection;
@@ -225,25 +228,25 @@
     StopReceiving(*connection);
     epoll_ctl(m_ends, EPOLL_CTL_DEL, connection->descriptor, nullptr);
     m_connections.erase(connection);
-    const auto& on_unused_end = m_options.connections.on_unused_end;
-    if (!connection->any_handed_over && on_unused_end) on_unused_end();
+    const auto& on_closed_unused = m_options.connections.on_closed_unused;
+    if (!connection->any_handed_over && on_closed_unused) on_closed_unused();
     delete connection;
   }
 
-  // Callers that have closed their side: an exchange in flight ends at once,
-  // also when the library does not read its connection.
-  void TakeEnds() {
+  // Handles callers that have closed their sending side: an exchange in flight
+  // ends at once, even if the library is not reading its connection.
+  void HandleClosedCallers() {
     std::array<epoll_event, 64> events;
     const int count =
         epoll_wait(m_ends, events.data(), static_cast<int>(events.size()), 0);
     for (int i = 0; i < count; ++i) {
       auto* connection = static_cast<Connection*>(events.at(i).data.ptr);
       connection->caller_closed = true;
-      // Kept while its callbacks run.
+      // Keeps the exchange alive during its callbacks.
       const std::shared_ptr<MhdExchange> exchange = connection->exchange;
       if (exchange && !connection->receiving) exchange->CallerGone();
     }
-    m_run_wanted = true;
+    m_run_requested = true;
   }
 
   static void* OnUri(void*, const char* uri, MHD_Connection* handle) {
@@ -266,8 +269,8 @@
       const size_t taken = std::exchange(*size, 0);
       return server.OnBody(connection, std::string_view(data, taken));
     }
-    if (connection.receiving) return server.OnWhole(connection);
-    // What still comes of a request that was too slow is not handed over.
+    if (connection.receiving) return server.OnRequestComplete(connection);
+    // A request that exceeded the receive timeout is not handed over.
     if (!connection.handed_over) return MHD_NO;
     return connection.exchange->Continue();
   }
@@ -275,8 +278,8 @@
   MHD_Result OnHead(Connection& connection, const char* method) {
     if (connection.over_limit)
       return Refuse(connection, ServerRefusal::kTooManyConnections);
-    connection.exchange =
-        std::make_shared<MhdExchange>(connection.handle, [this] { WantRun(); });
+    connection.exchange = std::make_shared<MhdExchange>(
+        connection.handle, [this] { RequestRun(); });
     ++m_open;
     Request& request = connection.exchange->MutableRequest();
     request.method = method;
@@ -309,12 +312,12 @@
       return MHD_YES;
     }
     connection.exchange->MutableRequest().body.clear();
-    const bool hopeless =
-        connection.body_bytes > m_options.max_body_bytes * kDroppedBodies;
+    const bool hopeless = connection.body_bytes >
+                          m_options.max_body_bytes * kMaxDiscardedBodyFactor;
     return hopeless ? MHD_NO : MHD_YES;
   }
 
-  MHD_Result OnWhole(Connection& connection) {
+  MHD_Result OnRequestComplete(Connection& connection) {
     StopReceiving(connection);
     if (connection.body_bytes > m_options.max_body_bytes)
       return Refuse(connection, ServerRefusal::kBodyTooLarge);
@@ -364,7 +367,7 @@
     return {MHD_HTTP_SERVICE_UNAVAILABLE, ""};
   }
 
-  // Answers in the server's own name and closes the connection.
+  // Sends one of the server's own refusals and closes the connection.
   MHD_Result Refuse(Connection& connection, ServerRefusal refusal) {
     connection.refused = true;
     auto [status, body] = RefusalOf(refusal);
@@ -381,8 +384,8 @@
     return queued;
   }
 
-  // A connection receives from its begin, or from the end of a request, until
-  // the next request is whole.
+  // A connection is receiving from its start, or from the end of a request,
+  // until the next request is complete.
   void StartReceiving(Connection& connection) {
     connection.receive_deadline = m_loop.Now() + m_options.receive_timeout;
     connection.receiving = true;
@@ -396,22 +399,22 @@
     m_receiving.erase(connection.position);
   }
 
-  // All wait for the same time, so the oldest stands first.
-  void EndSlowOnes() {
+  // All connections have the same timeout, so the list is ordered by deadline.
+  void CloseSlowConnections() {
     const Instant now = m_loop.Now();
     while (!m_receiving.empty() &&
            m_receiving.front()->receive_deadline <= now) {
       Connection& slow = *m_receiving.front();
       StopReceiving(slow);
-      EndSlow(slow);
+      RefuseSlowConnection(slow);
     }
     if (!m_receiving.empty())
       m_receive_timer.ArmAt(m_receiving.front()->receive_deadline);
   }
 
-  // The library does not answer a request that has not arrived whole: the
-  // refusal is written past it, on a connection that ends with it.
-  void EndSlow(Connection& slow) {
+  // The library cannot respond to an incomplete request, so the refusal is
+  // written directly to the socket, which is then shut down.
+  void RefuseSlowConnection(Connection& slow) {
     if (slow.head_begun && !slow.refused) {
       const auto [status, body] = RefusalOf(ServerRefusal::kSlowCaller);
       const std::string answer =
@@ -425,7 +428,7 @@
                  MSG_NOSIGNAL | MSG_DONTWAIT);
     }
     ::shutdown(slow.descriptor, SHUT_RDWR);
-    m_run_wanted = true;
+    m_run_requested = true;
   }
 
   loop::Loop& m_loop;
@@ -433,8 +436,8 @@
   const Handler m_handler;
   MHD_Daemon* m_daemon = nullptr;
   int m_ends = -1;
-  bool m_run_wanted = true;
-  bool m_turns_away = false;
+  bool m_run_requested = true;
+  bool m_reject_connections = false;
   size_t m_open = 0;
   uint64_t m_bytes_received = 0;
   std::unordered_set<Connection*> m_connections;
--- a/src/dotterelshift/http/server_bounds_test.cc
+++ b/src/dotterelshift/http/server_bounds_test.cc
@@ -3,7 +3,7 @@
 #include <string>  // for string
 #include <vector>  // for vector
 
-#include "dotterelshift/callers/front.h"         // for RefusalAnswer
+#include "dotterelshift/callers/front.h"         // for ServerRefusalResponse
 #include "dotterelshift/http/server.h"           // for MakeServer
 #include "dotterelshift/http/test_connection.h"  // for TestConnection
 #include "dotterelshift/loop/loop.h"             // for Loop
@@ -13,8 +13,8 @@
 
 constexpr size_t kMaxBody = 1000;
 
-// What a caller sends, and what has to stand in the answer; the connection is
-// closed by the server in each case.
+// What a caller sends, and the texts that the response must contain. The server
+// closes the connection in each case.
 struct Row {
   std::string name;
   std::string sent;
@@ -29,16 +29,16 @@
   const std::string not_run = "Dotterelshift-Ran: no";
   return {
       {"nothing sent", "", {}},
-      {"half a head",
+      {"incomplete head",
        "POST /v1/x HTTP/1.1\r\nHost: h\r\n",
        {"HTTP/1.1 408", not_run, "Retry-After: 1", "\"slow_caller\""}},
-      {"half a body",
+      {"incomplete body",
        Head("Content-Length: 10\r\n") + "half",
        {"HTTP/1.1 408", not_run, "Retry-After: 1", "\"slow_caller\""}},
-      {"body past the bound",
+      {"body over the limit",
        Head("Content-Length: 1001\r\n"),
        {"HTTP/1.1 413", not_run, "\"body_too_large\""}},
-      {"chunked body past the bound",
+      {"chunked body over the limit",
        Head("Transfer-Encoding: chunked\r\nConnection: close\r\n") + "5dc\r\n" +
            std::string(1500, 'x') + "\r\n0\r\n\r\n",
        {"HTTP/1.1 413", not_run, "\"body_too_large\""}},
@@ -46,32 +46,32 @@
        Head("Transfer-Encoding: chunked\r\n") + "ffff\r\n" +
            std::string(0xffff, 'x'),
        {}},
-      {"head past the bound",
+      {"head over the limit",
        Head("X-Long: " + std::string(5000, 'x') + "\r\nConnection: close\r\n"),
        {"HTTP/1.1 400", not_run, "\"bad_header\""}},
-      {"head past the library's memory",
+      {"head over the library's memory",
        Head("X-Long: " + std::string(40000, 'x') + "\r\n"),
        {"HTTP/1.1 4"}},
-      {"no HTTP at all", "what is this\r\n\r\n", {}},
+      {"not HTTP", "what is this\r\n\r\n", {}},
   };
 }
 
 class ServerBoundsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ServerBoundsTest);
-  CPPUNIT_TEST(CallersPastABoundAreRefused);
-  CPPUNIT_TEST(CallerThatDripsIsEnded);
-  CPPUNIT_TEST(ConnectionsPastTheBoundAreRefusedInWords);
-  CPPUNIT_TEST(CallerThatClosesWhileItsAnswerIsDueIsSeen);
-  CPPUNIT_TEST(RequestsOneAfterAnotherOnOneConnection);
+  CPPUNIT_TEST(RequestsOverALimitAreRefused);
+  CPPUNIT_TEST(SlowCallerIsDisconnected);
+  CPPUNIT_TEST(ConnectionsOverTheLimitGetARefusalResponse);
+  CPPUNIT_TEST(CallerClosingBeforeItsResponseIsDetected);
+  CPPUNIT_TEST(SequentialRequestsOnOneConnection);
   CPPUNIT_TEST(StopAcceptingKeepsOpenExchanges);
-  CPPUNIT_TEST(TurnsCallersAwayUnreadAndComesBackOnItsPort);
-  CPPUNIT_TEST(WhoIsTurnedAwayIsClosedUnread);
+  CPPUNIT_TEST(StoppedListenerRefusesAndResumesOnItsPort);
+  CPPUNIT_TEST(RejectedConnectionIsClosedUnread);
   CPPUNIT_TEST(ReportsConnectionsUntilTheirFirstRequest);
-  CPPUNIT_TEST(CloseIdleEndsOnlyWhatWaitsForANextRequest);
+  CPPUNIT_TEST(CloseIdleClosesOnlyKeepAliveConnections);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void CallersPastABoundAreRefused() {
+  void RequestsOverALimitAreRefused() {
     Serve(16, 30ms);
     for (const Row& row : Rows()) {
       TestConnection caller(m_server->Port());
@@ -89,7 +89,7 @@
     RunUntil([this] { return m_server->OpenExchanges() == 0; });
   }
 
-  void CallerThatDripsIsEnded() {
+  void SlowCallerIsDisconnected() {
     Serve(16, 30ms);
     TestConnection caller(m_server->Port());
     caller.Send("POST /v1/x HTTP/1.1\r\nX-Long: ");
@@ -101,7 +101,7 @@
     CPPUNIT_ASSERT_EQUAL(0, m_handled);
   }
 
-  void ConnectionsPastTheBoundAreRefusedInWords() {
+  void ConnectionsOverTheLimitGetARefusalResponse() {
     Serve(2, 10s);
     m_keep = true;
     TestConnection first(m_server->Port());
@@ -123,11 +123,11 @@
     RunUntil([this] { return m_handled == 3; });
   }
 
-  void CallerThatClosesWhileItsAnswerIsDueIsSeen() {
+  void CallerClosingBeforeItsResponseIsDetected() {
     Serve(16, 10s);
     m_keep = true;
     TestConnection caller(m_server->Port());
-    // What follows the request must not hide the end.
+    // Bytes after the request must not hide the disconnect.
     caller.Send(Head("Content-Length: 0\r\n") + "POST /next HTTP/1.1\r\n");
     RunUntil([this] { return m_handled == 1; });
     CPPUNIT_ASSERT_EQUAL(0, m_gone);
@@ -136,7 +136,7 @@
     RunUntil([this] { return m_server->OpenExchanges() == 0; });
   }
 
-  void RequestsOneAfterAnotherOnOneConnection() {
+  void SequentialRequestsOnOneConnection() {
     Serve(16, 10s);
     TestConnection caller(m_server->Port());
     caller.Send(Head("Content-Length: 0\r\n") + Head("Content-Length: 0\r\n"));
@@ -164,8 +164,8 @@
     CPPUNIT_ASSERT(caller.Has("still here"));
   }
 
-  // Guards against callers who wait for an entry that does not take them.
-  void TurnsCallersAwayUnreadAndComesBackOnItsPort() {
+  // Callers must not be left waiting for an entry that does not accept them.
+  void StoppedListenerRefusesAndResumesOnItsPort() {
     Serve(16, 10s);
     const uint16_t port = m_server->Port();
     for (int i = 0; i < 3; ++i) {
@@ -181,15 +181,15 @@
     }
   }
 
-  void WhoIsTurnedAwayIsClosedUnread() {
+  void RejectedConnectionIsClosedUnread() {
     Serve(16, 10s);
-    m_server->TurnAway(true);
+    m_server->SetRejectConnections(true);
     TestConnection caller(m_server->Port());
     caller.Send(Head("Content-Length: 0\r\n"));
     RunUntilClosed(caller);
     CPPUNIT_ASSERT_EQUAL(std::string(), caller.Received());
-    CPPUNIT_ASSERT_EQUAL(1, m_turned_away);
-    m_server->TurnAway(false);
+    CPPUNIT_ASSERT_EQUAL(1, m_rejected);
+    m_server->SetRejectConnections(false);
     TestConnection next(m_server->Port());
     next.Send(Head("Content-Length: 0\r\n"));
     RunUntil([this] { return m_handled == 1; });
@@ -200,18 +200,18 @@
     TestConnection silent(m_server->Port());
     RunUntil([this] { return m_accepted == 1; });
     silent.Close();
-    RunUntil([this] { return m_unused_ends == 1; });
+    RunUntil([this] { return m_closed_unused == 1; });
     TestConnection caller(m_server->Port());
     caller.Send(Head("Content-Length: 0\r\n"));
     RunUntil([this] { return m_handled == 1; });
     CPPUNIT_ASSERT_EQUAL(2, m_accepted);
     caller.Close();
     RunUntil([this] { return m_server->OpenConnections() == 0; });
-    CPPUNIT_ASSERT_EQUAL(1, m_unused_ends);
+    CPPUNIT_ASSERT_EQUAL(1, m_closed_unused);
   }
 
-  // A request that is under way, in either direction, is not cut.
-  void CloseIdleEndsOnlyWhatWaitsForANextRequest() {
+  // A connection with a request or response in progress is not closed.
+  void CloseIdleClosesOnlyKeepAliveConnections() {
     Serve(16, 10s);
     TestConnection idle(m_server->Port());
     idle.Send(Head("Content-Length: 0\r\n"));
@@ -245,7 +245,7 @@
                           {.max_body_bytes = kMaxBody,
                            .max_connections = max_connections,
                            .receive_timeout = receive_timeout,
-                           .refusal = callers::RefusalAnswer,
+                           .refusal = callers::ServerRefusalResponse,
                            .connections = Reports()},
                           [this](std::shared_ptr<Exchange> exchange) {
                             ++m_handled;
@@ -256,11 +256,11 @@
   }
 
   ConnectionCallbacks Reports() {
-    return {[this] { ++m_accepted; }, [this] { ++m_turned_away; },
-            [this] { ++m_unused_ends; }};
+    return {[this] { ++m_accepted; }, [this] { ++m_rejected; },
+            [this] { ++m_closed_unused; }};
   }
 
-  // The loop turns without waiting: the callers are not on it.
+  // Runs the loop without blocking, because the callers' sockets are not on it.
   template <typename Condition>
   void RunUntil(const Condition& condition) {
     while (!condition()) ev_run(m_loop.Raw(), EVRUN_NOWAIT);
@@ -278,8 +278,8 @@
   int m_handled = 0;
   int m_gone = 0;
   int m_accepted = 0;
-  int m_turned_away = 0;
-  int m_unused_ends = 0;
+  int m_rejected = 0;
+  int m_closed_unused = 0;
   std::vector<std::shared_ptr<Exchange>> m_kept;
   std::unique_ptr<Server> m_server;
 };
--- a/src/dotterelshift/operators/render.cc
+++ b/src/dotterelshift/operators/render.cc
@@ -10,7 +10,7 @@
 namespace dotterelshift::operators {
 namespace {
 
-// The keys of a map in their order, so that answers read the same each time.
+// Returns the keys of a map, sorted so that responses have a stable order.
 template <typename Map>
 std::vector<std::string> SortedKeys(const Map& map) {
   std::vector<std::string> keys;
@@ -20,7 +20,7 @@
   return keys;
 }
 
-// What one change touches, in words.
+// Describes what a change applies to.
 std::string SubjectOf(const wire::ChangeT& change) {
   const auto& body = change.body;
   using enum wire::ChangeBody;
@@ -112,11 +112,11 @@
   return json;
 }
 
-bool Concerns(const ReportRange& range, const TeamId& team) {
+bool IncludesTeam(const ReportRange& range, const TeamId& team) {
   return range.team.empty() || range.team == team;
 }
 
-// Sums over the days of one team.
+// Sums of one team, over its days or over its budgets.
 struct TeamSums {
   Tokens spent = 0;
   Tokens billed = 0;
@@ -205,9 +205,10 @@
     json["days"].push_back(RenderDay(day));
   json["budgets"] = RenderBudgets(state, "");
   json["budgets"].erase(
-      std::remove_if(
-          json["budgets"].begin(), json["budgets"].end(),
-          [&](const Json& budget) { return !Concerns(range, budget["team"]); }),
+      std::remove_if(json["budgets"].begin(), json["budgets"].end(),
+                     [&](const Json& budget) {
+                       return !IncludesTeam(range, budget["team"]);
+                     }),
       json["budgets"].end());
   json["disagreements"] = ReportDisagreements(state, range);
   return json;
@@ -298,7 +299,7 @@
   std::map<TeamId, TeamSums> by_accounts;
   for (const auto& [id, budget] : state.GetConfiguration().Budgets()) {
     const state::BudgetAccount* account = state.FindAccount(id);
-    if (!account || !Concerns(range, budget.team)) continue;
+    if (!account || !IncludesTeam(range, budget.team)) continue;
     by_accounts[budget.team].spent += account->settled;
     by_accounts[budget.team].billed += account->billed;
     if (account->Free() < 0)
--- a/src/dotterelshift/orders/order_core_test.cc
+++ b/src/dotterelshift/orders/order_core_test.cc
@@ -2,26 +2,26 @@
 
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
-#include "dotterelshift/state/state_testing.h"  // for TestRun
+#include "dotterelshift/state/state_testing.h"  // for TestSender
 
 namespace dotterelshift::orders {
 namespace {
 
 class OrderCoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OrderCoreTest);
-  CPPUNIT_TEST(LoadsAreStaged);
-  CPPUNIT_TEST(OrdersOfAnEndpointGoOneByOne);
-  CPPUNIT_TEST(EndpointWithoutFencingTable);
-  CPPUNIT_TEST(SilenceIsAnsweredByAResend);
-  CPPUNIT_TEST(LostAnswerIsReadFromTheAnnouncement);
-  CPPUNIT_TEST(RefusalAndSilenceEndAnOrder);
-  CPPUNIT_TEST(FencingNumbersRise);
+  CPPUNIT_TEST(ConcurrentLoadsAreLimited);
+  CPPUNIT_TEST(OrdersOfOneEndpointAreSequential);
+  CPPUNIT_TEST(EndpointFencingTable);
+  CPPUNIT_TEST(UnansweredOrderIsResent);
+  CPPUNIT_TEST(AnnouncementCompletesOrderAfterLostAnswer);
+  CPPUNIT_TEST(RefusalOrMaxSendsEndsOrder);
+  CPPUNIT_TEST(FencingNumbersIncrease);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override {
     m_state = state::MakeState();
-    m_run = state::TestRun(m_state.get(), "control", 1);
+    m_run = state::TestSender(m_state.get(), "control", 1);
     m_directory = directory::Directory();
     m_core = MakeOrderCore(m_options);
     m_now = Instant(1000s);
@@ -30,7 +30,7 @@
     m_core->OnLeadership(true, m_now);
   }
 
-  void LoadsAreStaged() {
+  void ConcurrentLoadsAreLimited() {
     for (const char* id : {"e1", "e2", "e3"}) Announce(id, true);
     Place("draft", {"e1", "e2", "e3"});
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Step().size());
@@ -38,13 +38,13 @@
     m_core->OnResult("p1/1", wire::OrderState::Done, "", m_now);
     Step();
     CPPUNIT_ASSERT(StateOf("p1/1") == wire::OrderState::Done);
-    // The place of the first load is free once its end is recorded.
+    // The slot of the first load is released once its result is recorded.
     const auto sent = Step();
     CPPUNIT_ASSERT_EQUAL(size_t{1}, sent.size());
     CPPUNIT_ASSERT_EQUAL(std::string("e3"), sent[0]);
   }
 
-  void OrdersOfAnEndpointGoOneByOne() {
+  void OrdersOfOneEndpointAreSequential() {
     Announce("e1", true);
     Place("draft", {"e1"}, "loans");
     CPPUNIT_ASSERT_EQUAL(size_t{1}, Step().size());
@@ -55,7 +55,7 @@
     CPPUNIT_ASSERT(StateOf("p1/2") == wire::OrderState::Sent);
   }
 
-  void EndpointWithoutFencingTable() {
+  void EndpointFencingTable() {
     struct Row {
       const char* name;
       bool checks;
@@ -63,14 +63,14 @@
       Duration lease_left;
       size_t sent;
     };
-    const Duration quiet = m_options.lease + m_options.longest_delivery;
+    const Duration quiet = m_options.lease + m_options.max_delivery_time;
     const Row rows[] = {
         {"checks", true, 0s, 1s, 1},
         {"checks, lease over", true, 0s, -1s, 1},
         {"new leader", false, 0s, 1s, 0},
-        {"still quiet", false, quiet - 1ms, 1s, 0},
-        {"quiet over", false, quiet, 1s, 1},
-        {"quiet over, lease over", false, quiet, 0s, 0},
+        {"predecessor's orders may still arrive", false, quiet - 1ms, 1s, 0},
+        {"predecessor's orders expired", false, quiet, 1s, 1},
+        {"predecessor's orders expired, lease over", false, quiet, 0s, 0},
     };
     for (const Row& row : rows) {
       setUp();
@@ -82,15 +82,15 @@
     }
   }
 
-  void SilenceIsAnsweredByAResend() {
+  void UnansweredOrderIsResent() {
     for (const bool checks : {true, false}) {
       setUp();
-      m_now += m_options.lease + m_options.longest_delivery;
+      m_now += m_options.lease + m_options.max_delivery_time;
       Announce("e1", checks);
       Place("draft", {"e1"});
       CPPUNIT_ASSERT_EQUAL(size_t{1}, Step().size());
       const Duration wait =
-          checks ? m_options.resend : m_options.longest_delivery;
+          checks ? m_options.resend_interval : m_options.max_delivery_time;
       CPPUNIT_ASSERT(m_core->NextDue() == m_now + wait);
       m_now += wait - 1ms;
       Announce("e1", checks);
@@ -100,7 +100,7 @@
     }
   }
 
-  void LostAnswerIsReadFromTheAnnouncement() {
+  void AnnouncementCompletesOrderAfterLostAnswer() {
     Announce("e1", true);
     Place("draft", {"e1"});
     Step();
@@ -110,7 +110,7 @@
     CPPUNIT_ASSERT(StateOf("p1/1") == wire::OrderState::Done);
   }
 
-  void RefusalAndSilenceEndAnOrder() {
+  void RefusalOrMaxSendsEndsOrder() {
     Announce("e1", true);
     Place("draft", {"e1"});
     Step();
@@ -123,13 +123,13 @@
     Place("draft", {"e1"});
     for (int i = 0; i < 4; ++i) {
       Step();
-      m_now += m_options.resend;
+      m_now += m_options.resend_interval;
       Announce("e1", true);
     }
     CPPUNIT_ASSERT(StateOf("p1/1") == wire::OrderState::Lost);
   }
 
-  void FencingNumbersRise() {
+  void FencingNumbersIncrease() {
     Announce("e1", true);
     Place("draft", {"e1"});
     Place("big", {"e1"});
@@ -167,7 +167,8 @@
                   std::move(changes), 1);
   }
 
-  // Decides and records; the endpoints that orders were sent to.
+  // Runs Decide(), records the results, and returns the endpoints to which
+  // orders were sent.
   std::vector<EndpointId> Step(Duration lease_left = 1s) {
     std::vector<EndpointId> sent;
     for (const OrderAction& action :
@@ -194,7 +195,7 @@
 
   OrderOptions m_options;
   std::unique_ptr<state::State> m_state;
-  state::TestRun m_run{nullptr, "", 0};
+  state::TestSender m_run{nullptr, "", 0};
   directory::Directory m_directory;
   std::unique_ptr<OrderCore> m_core;
   Instant m_now;
--- a/src/dotterelshift/plan/effects.cc
+++ b/src/dotterelshift/plan/effects.cc
@@ -24,8 +24,9 @@
   return text;
 }
 
-// The part of a configuration that decides who reaches what.
-Configuration CopyOfReach(const Configuration& from) {
+// Copies the teams and endpoint sets, which determine the models and services
+// that each team can access.
+Configuration CopyAccessConfiguration(const Configuration& from) {
   std::vector<wire::ChangeT> changes;
   for (const auto& [id, set] : from.EndpointSets()) {
     wire::UpsertEndpointSetT body;
@@ -42,7 +43,7 @@
   return copy;
 }
 
-Names ReachOf(const Configuration& configuration, const TeamId& id) {
+Names AccessibleNames(const Configuration& configuration, const TeamId& id) {
   Names names;
   const wire::TeamT* team = configuration.FindTeam(id);
   if (team == nullptr) return names;
@@ -55,7 +56,7 @@
   return names;
 }
 
-std::vector<std::string> Minus(const Names& a, const Names& b) {
+std::vector<std::string> Difference(const Names& a, const Names& b) {
   std::vector<std::string> rest;
   std::set_difference(a.begin(), a.end(), b.begin(), b.end(),
                       std::back_inserter(rest));
@@ -76,7 +77,7 @@
   return "change role";
 }
 
-std::string TextOf(const wire::OrderT& order) {
+std::string OrderText(const wire::OrderT& order) {
   std::string text(NameOf(order.kind));
   if (!order.argument.empty()) text += " " + order.argument;
   text += order.kind == wire::OrderKind::LoadModel ||
@@ -88,13 +89,13 @@
   return text + " on " + order.endpoint;
 }
 
-// Says what the changes of one plan do.
-class Describer {
+// Describes the effects of a plan's changes.
+class EffectDescriber {
  public:
-  Describer(const state::State& state, wire::PlanT* plan)
+  EffectDescriber(const state::State& state, wire::PlanT* plan)
       : m_state(state),
         m_before(state.GetConfiguration()),
-        m_after(CopyOfReach(m_before)),
+        m_after(CopyAccessConfiguration(m_before)),
         m_plan(plan) {}
 
   void Run() {
@@ -102,8 +103,8 @@
     for (const auto& change : m_plan->changes) changes.push_back(*change);
     m_after.Apply(changes, m_before.Version() + 1);
     for (const wire::ChangeT& change : changes) Describe(change.body);
-    DescribeReach();
-    WarnOfSetsWithoutPlacement(changes);
+    DescribeAccessChanges();
+    WarnOfModelsWithoutPlacement(changes);
     if (changes.empty()) Warn("nothing is to be changed");
   }
 
@@ -145,7 +146,7 @@
                       std::to_string(body.AsRemoveReplica()->replica) +
                       " leaves");
       default:
-        return;  // endpoint sets show in the reach of teams
+        return;  // endpoint sets are covered by DescribeAccessChanges()
     }
   }
 
@@ -188,7 +189,7 @@
                       const wire::ModelPlacementT* after) {
     for (const wire::OrderT& order :
          state::OrdersBetween(m_before.FindPlacement(model), after))
-      Effect("order " + std::to_string(++m_orders) + ": " + TextOf(order));
+      Effect("order " + std::to_string(++m_orders) + ": " + OrderText(order));
     if (after != nullptr && after->endpoints.empty())
       Warn("model " + model + " is placed on no endpoint");
   }
@@ -230,16 +231,16 @@
          "been read");
   }
 
-  void DescribeReach() {
+  void DescribeAccessChanges() {
     Names teams;
     for (const auto& [id, team] : m_before.Teams()) teams.insert(id);
     for (const auto& [id, team] : m_after.Teams()) teams.insert(id);
     for (const TeamId& team : teams) {
-      const Names before = ReachOf(m_before, team);
-      const Names after = ReachOf(m_after, team);
+      const Names before = AccessibleNames(m_before, team);
+      const Names after = AccessibleNames(m_after, team);
       if (before == after) continue;
-      const auto gained = Minus(after, before);
-      const auto lost = Minus(before, after);
+      const auto gained = Difference(after, before);
+      const auto lost = Difference(before, after);
       if (!gained.empty())
         Effect("team " + team + " gains reach of " + Join(gained));
       if (lost.empty()) continue;
@@ -250,7 +251,7 @@
     }
   }
 
-  void WarnOfSetsWithoutPlacement(const std::vector<wire::ChangeT>& changes) {
+  void WarnOfModelsWithoutPlacement(const std::vector<wire::ChangeT>& changes) {
     for (const wire::ChangeT& change : changes) {
       if (change.body.type != ChangeBody::UpsertEndpointSet) continue;
       const auto& set = *change.body.AsUpsertEndpointSet()->endpoint_set;
@@ -275,7 +276,7 @@
 }  // namespace
 
 void DescribeEffects(const state::State& state, wire::PlanT* plan) {
-  Describer(state, plan).Run();
+  EffectDescriber(state, plan).Run();
 }
 
 }  // namespace dotterelshift::plan
--- a/src/dotterelshift/quarantine/suspects.cc
+++ b/src/dotterelshift/quarantine/suspects.cc
@@ -5,7 +5,7 @@
 namespace dotterelshift::quarantine {
 namespace {
 
-// Takes one from a count and drops the count at zero.
+// Decrements a counter and erases it at zero.
 template <typename Counts, typename Key>
 void Decrement(Counts* counts, const Key& key) {
   const auto it = counts->find(key);
@@ -54,7 +54,7 @@
 
 void Suspects::OnTimer(Instant now) {
   std::erase_if(m_suspects, [this, now](const auto& item) {
-    return now - item.second >= m_options.memory;
+    return now - item.second >= m_options.retention;
   });
 }
 
--- a/src/dotterelshift/replication/member_keeper.h
+++ b/src/dotterelshift/replication/member_keeper.h
@@ -11,50 +11,58 @@
 
 namespace dotterelshift::replication {
 
-struct MemberKeeperOptions {
-  // A member silent for so long counts as lost: well above an election and a
-  // restart, so that a short pause replaces nobody.
+struct MembershipRepairOptions {
+  // A member from which nothing was received for this long counts as lost. Must
+  // be well above the time of an election and of a restart, so that a short
+  // pause does not cause a replacement.
   Duration lost_after = 4s;
 };
 
-// A change of members by one replica.
-struct KeptMember {
+// The addition or removal of one replica.
+struct MembershipChange {
   wire::ReplicaT replica;
   bool remove = false;
 };
 
-// What a leader changes of its group by itself, one replica at a time: a
-// replica that waits is added; one whose host came back with an empty folder
-// is taken out first; one that stays silent is taken out only while the rest
-// is still a group of three or more and all of it is heard, and only when
-// there is one voter more than an odd number needs. So a group never shrinks
-// for a cut alone, and what a majority holds stays held by a majority.
-class MemberKeeper {
+// Decides which membership changes a leader proposes without an operator, one
+// replica at a time:
+//
+//   - A waiting replica is added.
+//   - If a member's host has lost its data folder, it waits with a new replica;
+//     the old replica is then removed first.
+//   - A silent member is removed only if no replica waits and the group has an
+//     even number of voters greater than three, no learner, and no other silent
+//     member.
+//
+// A partition alone therefore never reduces the number of failures that a group
+// tolerates, and a log entry that a majority holds stays on a majority.
+class MembershipRepair {
  public:
-  explicit MemberKeeper(ReplicaId self, const MemberKeeperOptions& options = {})
+  explicit MembershipRepair(ReplicaId self,
+                            const MembershipRepairOptions& options = {})
       : m_self(self), m_options(options) {}
 
-  // A message of a replica came in.
-  void OnHeard(ReplicaId replica, Instant now) { m_heard[replica] = now; }
-  void StopLeading() { m_leads_since.reset(); }
+  // Records that a message of a replica was received.
+  void OnMessageFrom(ReplicaId replica, Instant now) { m_heard[replica] = now; }
+  void StopLeading() { m_leader_since.reset(); }
 
-  // The change to be proposed now, by the leader.
-  std::optional<KeptMember> Next(const wire::MembershipT& members,
-                                 const std::vector<wire::ReplicaT>& waiting,
-                                 Instant now);
+  // The change that the leader should propose now; empty if none is needed.
+  std::optional<MembershipChange> Next(
+      const wire::MembershipT& members,
+      const std::vector<wire::ReplicaT>& waiting, Instant now);
 
  private:
   bool IsLost(ReplicaId replica, Instant now) const;
-  std::optional<KeptMember> SupersededBy(
+  std::optional<MembershipChange> FindSuperseded(
       const wire::MembershipT& members,
       const std::vector<wire::ReplicaT>& waiting, Instant now) const;
-  std::optional<KeptMember> Surplus(const wire::MembershipT& members,
-                                    Instant now) const;
+  std::optional<MembershipChange> FindSurplus(const wire::MembershipT& members,
+                                              Instant now) const;
 
   const ReplicaId m_self;
-  const MemberKeeperOptions m_options;
+  const MembershipRepairOptions m_options;
   std::map<ReplicaId, Instant> m_heard;
-  std::optional<Instant> m_leads_since;
+  std::optional<Instant> m_leader_since;
 };
 
 }  // namespace dotterelshift::replication
--- a/src/dotterelshift/replication/healing_world.h
+++ b/src/dotterelshift/replication/membership_simulation.h
@@ -1,8 +1,8 @@
-#ifndef DOTTERELSHIFT_REPLICATION_HEALING_WORLD_H_
-#define DOTTERELSHIFT_REPLICATION_HEALING_WORLD_H_
+#ifndef DOTTERELSHIFT_REPLICATION_MEMBERSHIP_SIMULATION_H_
+#define DOTTERELSHIFT_REPLICATION_MEMBERSHIP_SIMULATION_H_
 
-// Control hosts that found, heal and replace their group by themselves, under a
-// seeded schedule of faults; for tests only.
+// Simulates control hosts that bootstrap, repair and replace their group
+// without an operator, under a seeded schedule of faults. For tests only.
 
 #include <algorithm>  // for find
 #include <array>      // for array
@@ -17,18 +17,18 @@
 #include <vector>     // for vector
 
 #include "dotterelshift/replication/member_discovery.h"  // for MemberDiscovery
-#include "dotterelshift/replication/member_keeper.h"     // for MemberKeeper
+#include "dotterelshift/replication/member_keeper.h"     // for MembershipRepair
 #include "dotterelshift/replication/membership.h"        // for FindMember
 #include "dotterelshift/replication/messages.h"          // for SenderOf
 #include "dotterelshift/replication/node.h"              // for MakeNode
 #include "dotterelshift/replication/raft_log.h"          // for RaftLog
-#include "dotterelshift/replication/schedule_world.h"    // for Violation
+#include "dotterelshift/replication/raft_simulation.h"   // for Violation
 
 namespace dotterelshift::replication {
 
-// What the schedules reached, so that tests can see that they were no idle
-// ones.
-struct HealingCounts {
+// Counts of what the schedules exercised, so that a test can check that they
+// exercised enough.
+struct MembershipSimulationCounts {
   uint64_t founded = 0;
   uint64_t committed = 0;
   uint64_t wipes = 0;
@@ -36,7 +36,7 @@
   uint64_t additions = 0;
   uint64_t cuts = 0;
 
-  void Add(const HealingCounts& other) {
+  void Add(const MembershipSimulationCounts& other) {
     founded += other.founded;
     committed += other.committed;
     wipes += other.wipes;
@@ -46,37 +46,40 @@
   }
 };
 
-// The rules under test; a broken copy replaces one of them.
-struct HealingRules {
-  using Keeper = MemberKeeper;
+// The implementations under test. A test replaces one of them with a broken
+// version to check that the simulation detects it.
+struct MembershipSimulationRules {
+  using RepairPolicy = MembershipRepair;
   using Discovery = MemberDiscovery;
 };
 
-// Five hosts, of which the first three found the group. Hosts crash, restart,
-// come back with an empty folder, and are cut off from some of the others. A
-// member's folder is lost only while the group is whole: three voters or more,
-// none of them lost. Checks, all along: one group, one leader a term, one
-// history, no accepted entry lost, no member taken out that is neither lost nor
-// surplus; and that after the faults every host is in the group.
+// Five hosts, the first three of which bootstrap the group. Hosts crash,
+// restart, come back with an empty data folder, and are cut off from some of
+// the others. A member's folder is lost only while the group has at least three
+// voters and no member has lost its folder.
 //
-// Messages between two hosts keep their order, as on one connection, and are
-// lost with it.
+// Checked throughout: there is one group, one leader per term and one history;
+// no accepted entry is lost; no member is removed that is neither lost nor
+// surplus. Checked after the faults have ended: every host joins the group.
+//
+// Messages between two hosts are delivered in order, as on a connection, and
+// are lost when either host crashes or the two are cut off from each other.
 template <typename Rules>
-class HealingWorld {
+class MembershipSimulation {
  public:
-  explicit HealingWorld(uint64_t seed) : m_random(seed) {
+  explicit MembershipSimulation(uint64_t seed) : m_random(seed) {
     for (size_t i = 0; i < kHosts; ++i) {
       Host& host = m_hosts[i];
       host.name = "core-" + std::to_string(i + 1);
-      if (i < kFounders) m_first_members.push_back(host.name);
+      if (i < kFirstMembers) m_first_members.push_back(host.name);
     }
     for (Host& host : m_hosts) {
       host.disk.self = ++m_last_id;
-      if (Chance(kEarlyStart)) Start(host);
+      if (Chance(kEarlyStartPercent)) Start(host);
     }
   }
 
-  HealingCounts Run(int steps) {
+  MembershipSimulationCounts Run(int steps) {
     for (int step = 0; step < steps; ++step) Step();
     Settle();
     m_counts.committed = m_history.size();
@@ -85,16 +88,16 @@
 
  private:
   static constexpr size_t kHosts = 5;
-  static constexpr size_t kFounders = 3;
-  static constexpr uint64_t kEarlyStart = 70;  // percent
-  static constexpr Duration kHousekeeping = 200ms;
+  static constexpr size_t kFirstMembers = 3;
+  static constexpr uint64_t kEarlyStartPercent = 70;  // in percent
+  static constexpr Duration kHousekeepingInterval = 200ms;
 
   struct Host {
     HostId name;
-    RestoredLog disk;            // what is synced
+    RestoredLog disk;            // what has been synced
     std::unique_ptr<Node> node;  // null: not running
     std::optional<typename Rules::Discovery> discovery;
-    std::optional<typename Rules::Keeper> keeper;
+    std::optional<typename Rules::RepairPolicy> repair;
     std::map<ReplicaId, HostId> heard;
     std::optional<Ready> unsynced;
     uint64_t applied = 0;
@@ -113,7 +116,7 @@
   Host& HostNamed(const HostId& name) {
     for (Host& host : m_hosts)
       if (host.name == name) return host;
-    throw Violation("a message to a host that is none: " + name);
+    throw Violation("message to an unknown host: " + name);
   }
 
   void Step() {
@@ -121,7 +124,7 @@
     if (draw < 550) return DeliverSome();
     if (draw < 780) return SyncOne(AnyHost());
     if (draw < 900) return Tick(Draw(40) * 1ms);
-    // Long enough that a member counts as lost.
+    // Long enough for a member to count as lost.
     if (draw < 906) return Tick(Draw(6000) * 1ms);
     if (draw < 950) return ProposeSomewhere();
     if (draw < 960) return Crash(AnyHost());
@@ -131,7 +134,7 @@
     WipeIfAllowed(AnyHost());
   }
 
-  // ---- one host
+  // ---- One host.
 
   void Start(Host& host) {
     NodeOptions options;
@@ -143,7 +146,7 @@
     host.discovery.emplace(MemberDiscoveryOptions{
         host.name, host.disk.self,
         founds ? m_first_members : std::vector<HostId>{}, true});
-    host.keeper.emplace(host.disk.self);
+    host.repair.emplace(host.disk.self);
     host.heard.clear();
     host.unsynced.reset();
     host.applied = 0;
@@ -157,7 +160,7 @@
 
   void Crash(Host& host) {
     if (!host.node) return;
-    // What was not synced may have reached the disk all the same.
+    // Writes that were not synced may or may not have reached the disk.
     if (host.unsynced && Chance(30)) Persist(host, *host.unsynced);
     host.node.reset();
     host.unsynced.reset();
@@ -167,25 +170,25 @@
   }
 
   void Housekeeping(Host& host) {
-    host.housekeeping = m_now + kHousekeeping;
-    TryToFound(host);
-    const bool coordinates = host.discovery->Coordinates();
+    host.housekeeping = m_now + kHousekeepingInterval;
+    TryBootstrap(host);
+    const bool coordinates = host.discovery->IsCoordinator();
     for (const HostId& other : host.discovery->StartRound())
-      SayHello(host, other, coordinates);
-    KeepMembers(host);
+      SendHello(host, other, coordinates);
+    RepairMembership(host);
     Pump(host);
   }
 
-  void KeepMembers(Host& host) {
+  void RepairMembership(Host& host) {
     if (host.node->Role() != NodeRole::kLeader) {
-      host.keeper->StopLeading();
+      host.repair->StopLeading();
       if (host.node->Leader() != 0) return;
       for (const Host& other : m_hosts)
-        if (other.name != host.name) SayHello(host, other.name, false);
+        if (other.name != host.name) SendHello(host, other.name, false);
       return;
     }
     const auto change =
-        host.keeper->Next(host.node->Members(),
+        host.repair->Next(host.node->Members(),
                           host.discovery->Waiting(host.node->Members()), m_now);
     if (!change) return;
     CheckChange(host, *change);
@@ -194,49 +197,52 @@
     ++(change->remove ? m_counts.removals : m_counts.additions);
   }
 
-  // Only what was lost may go while the group has no voter to spare.
-  void CheckChange(const Host& host, const KeptMember& change) const {
+  // A group without a surplus voter may only remove a member that has lost its
+  // folder.
+  void CheckChange(const Host& host, const MembershipChange& change) const {
     if (!change.remove || m_lost.contains(change.replica.id)) return;
-    if (VoterCount(host.node->Members()) <= kFounders)
+    if (VoterCount(host.node->Members()) <= kFirstMembers)
       throw Violation(
-          "a member that holds its log is taken out of a group of " +
+          "removal of a member that has its log, from a group with this many "
+          "voters: " +
           std::to_string(VoterCount(host.node->Members())));
   }
 
-  void TryToFound(Host& host) {
-    if (ViewOf(*host.node).in_group) return host.discovery->EndFounding();
-    const auto members = host.discovery->Compose();
+  void TryBootstrap(Host& host) {
+    if (GroupViewOf(*host.node).in_group) return host.discovery->EndBootstrap();
+    const auto members = host.discovery->ComposeMembership();
     if (!members) return;
-    host.discovery->EndFounding();
+    host.discovery->EndBootstrap();
     ++m_counts.founded;
-    host.disk = FirstLog(host.disk.self, *members);
+    host.disk = MakeInitialLog(host.disk.self, *members);
     NodeOptions options;
     options.seed = m_random();
     host.node = MakeNode(options, host.disk, m_now);
     Pump(host);
   }
 
-  void SayHello(const Host& from, const HostId& to, bool answer_wanted) {
+  void SendHello(const Host& from, const HostId& to, bool answer_wanted) {
     wire::FrameT frame;
-    frame.body.Set(from.discovery->Hello(ViewOf(*from.node), answer_wanted));
+    frame.body.Set(
+        from.discovery->Hello(GroupViewOf(*from.node), answer_wanted));
     m_sent.push_back({from.name, to, std::move(frame)});
   }
 
   void OnFrame(Host& host, const SentFrame& sent) {
     if (const wire::ReplicaHelloT* hello = sent.frame.body.AsReplicaHello()) {
-      if (host.discovery->OnHello(sent.from, *hello, ViewOf(*host.node)))
-        SayHello(host, sent.from, false);
-      TryToFound(host);
+      if (host.discovery->OnHello(sent.from, *hello, GroupViewOf(*host.node)))
+        SendHello(host, sent.from, false);
+      TryBootstrap(host);
       return;
     }
     const ReplicaId sender = SenderOf(sent.frame);
     host.heard[sender] = sent.from;
-    host.keeper->OnHeard(sender, m_now);
+    host.repair->OnMessageFrom(sender, m_now);
     host.node->OnMessage(sent.frame, m_now);
     Pump(host);
   }
 
-  // Takes what a node wants done; files are synced by a later step.
+  // Processes a node's pending work. Writes are synced in a later step.
   void Pump(Host& host) {
     while (host.node && !host.unsynced) {
       Ready ready = host.node->TakeReady();
@@ -248,7 +254,7 @@
         if (!name.empty()) m_sent.push_back({host.name, name, frame});
       }
       Apply(host, ready);
-      NoteLeader(host);
+      RecordLeader(host);
       if (ready.HasWrites()) host.unsynced = std::move(ready);
     }
   }
@@ -260,11 +266,12 @@
     return member == nullptr ? HostId() : member->host;
   }
 
-  void NoteLeader(const Host& host) {
+  void RecordLeader(const Host& host) {
     if (host.node->Role() != NodeRole::kLeader) return;
     const uint64_t term = host.node->Term();
-    // A group whose founder was lost before anything was accepted, and the one
-    // founded after it, may use the same term.
+    // If the first member of a group is lost before the group has accepted any
+    // entry, the group is lost too. The group that replaces it may use the same
+    // term.
     const wire::LogEntryT& first = host.disk.entries.front();
     const std::string group(first.payload.begin(), first.payload.end());
     const auto [leader, fresh] =
@@ -277,14 +284,16 @@
     for (const wire::LogEntryT& entry : ready.committed) {
       const std::string content(entry.payload.begin(), entry.payload.end());
       const std::string of_term = std::to_string(entry.term) + ":" + content;
-      if (entry.index != ++host.applied) throw Violation("an entry is skipped");
+      if (entry.index != ++host.applied)
+        throw Violation("an entry was skipped");
       if (entry.index > m_history.size()) {
         m_history.push_back(of_term);
         if (entry.kind == wire::LogEntryKind::Membership)
           m_members = DecodeMembership(entry.payload);
       }
       if (m_history[entry.index - 1] != of_term)
-        throw Violation("two histories at " + std::to_string(entry.index));
+        throw Violation("replicas applied different entries at index " +
+                        std::to_string(entry.index));
     }
   }
 
@@ -306,7 +315,7 @@
       disk.entries.push_back(entry);
   }
 
-  // ---- the world
+  // ---- The group and its network.
 
   void Tick(Duration step) {
     m_now += step;
@@ -319,8 +328,8 @@
     }
   }
 
-  // Takes the first message of any two hosts, so that each connection keeps its
-  // order.
+  // Delivers the oldest message of a randomly chosen pair of hosts, so that the
+  // order on each connection is kept.
   void DeliverOne() {
     if (m_sent.empty()) return;
     size_t chosen = Draw(m_sent.size());
@@ -357,15 +366,16 @@
     }
   }
 
-  // Whether the group bears the loss of one more folder: every membership that
-  // is on a disk or under way is whole.
-  bool MayLose(ReplicaId replica) const {
+  // Whether this replica's folder may be lost: it is not a member, or every
+  // membership that is stored or proposed tolerates the loss of one more
+  // folder.
+  bool CanWipe(ReplicaId replica) const {
     bool member = FindMember(m_members, replica) != nullptr;
-    bool whole = BearsLoss(m_members);
+    bool whole = ToleratesLoss(m_members);
     for (const Host& host : m_hosts) {
       const wire::MembershipT members = MembersOf(host);
       member = member || FindMember(members, replica) != nullptr;
-      whole = whole && BearsLoss(members);
+      whole = whole && ToleratesLoss(members);
     }
     return !member || whole;
   }
@@ -375,16 +385,16 @@
     return RaftLog(host.disk.snapshot, host.disk.entries).Members();
   }
 
-  bool BearsLoss(const wire::MembershipT& members) const {
-    if (members.replicas.empty()) return true;  // in no group
+  bool ToleratesLoss(const wire::MembershipT& members) const {
+    if (members.replicas.empty()) return true;  // not in a group
     for (const auto& member : members.replicas)
       if (m_lost.contains(member->id)) return false;
-    return VoterCount(members) >= kFounders;
+    return VoterCount(members) >= kFirstMembers;
   }
 
-  // The host comes back with an empty folder, at once or later.
+  // The host loses its data folder and restarts now or later.
   void WipeIfAllowed(Host& host) {
-    if (!MayLose(host.disk.self)) return;
+    if (!CanWipe(host.disk.self)) return;
     ++m_counts.wipes;
     m_lost.insert(host.disk.self);
     Crash(host);
@@ -393,8 +403,8 @@
     if (Chance(50)) Start(host);
   }
 
-  // Ends all faults; every host must then come into the group, and the group
-  // commit again.
+  // Ends all faults. Every host must then become a member, and the group must
+  // commit entries again.
   void Settle() {
     Heal();
     for (Host& host : m_hosts) StartIfDown(host);
@@ -404,9 +414,9 @@
       for (int i = 0; i < 60; ++i) DeliverOne();
       for (Host& host : m_hosts) SyncOne(host);
       if (round % 20 == 0) ProposeSomewhere();
-      if (IsWhole(accepted)) return;
+      if (HasRecovered(accepted)) return;
     }
-    throw Stall("the group does not become whole: " + Describe());
+    throw Stall("the group does not recover: " + Describe());
   }
 
   std::string Describe() const {
@@ -424,7 +434,7 @@
     return text;
   }
 
-  bool IsWhole(uint64_t accepted) const {
+  bool HasRecovered(uint64_t accepted) const {
     if (m_history.size() <= accepted) return false;
     for (const Host& host : m_hosts) {
       const bool whole = host.applied > accepted &&
@@ -434,8 +444,8 @@
     return true;
   }
 
-  // 60 seconds: several times what electing, founding and replacing all five
-  // one after the other take.
+  // 60 simulated seconds, which is several times what it takes to elect a
+  // leader, bootstrap a group and replace all five members one after another.
   static constexpr int kSettleRounds = 6000;
 
   std::mt19937_64 m_random;
@@ -445,14 +455,14 @@
   ReplicaId m_last_id = 0;
   uint64_t m_last_payload = 0;
   std::deque<SentFrame> m_sent;
-  std::set<ReplicaId> m_lost;          // whose folder is gone
-  wire::MembershipT m_members;         // committed last
-  std::vector<std::string> m_history;  // what any replica has applied
-  // By the first entry of the group and the term.
+  std::set<ReplicaId> m_lost;          // replicas whose data folder was lost
+  wire::MembershipT m_members;         // the last one committed
+  std::vector<std::string> m_history;  // entries that any replica has applied
+  // By the first entry of the group's log and the term.
   std::map<std::pair<std::string, uint64_t>, ReplicaId> m_leaders;
-  HealingCounts m_counts;
+  MembershipSimulationCounts m_counts;
 };
 
 }  // namespace dotterelshift::replication
 
-#endif  // DOTTERELSHIFT_REPLICATION_HEALING_WORLD_H_
+#endif  // DOTTERELSHIFT_REPLICATION_MEMBERSHIP_SIMULATION_H_
--- a/src/dotterelshift/replication/node_test.cc
+++ b/src/dotterelshift/replication/node_test.cc
@@ -29,10 +29,10 @@
 class NodeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(NodeTest);
   CPPUNIT_TEST(GroupOfOneCommitsOnlyWhatIsSynced);
-  CPPUNIT_TEST(OneOfThreeDoesNotElectItself);
-  CPPUNIT_TEST(LeaderThatStoodStillIsJudgedLater);
-  CPPUNIT_TEST(ALeaderThatAskedNothingIsNotDeposed);
-  CPPUNIT_TEST(OneWithoutAVoteForgetsASilentLeader);
+  CPPUNIT_TEST(SingleVoterOfThreeIsNotElected);
+  CPPUNIT_TEST(StalledLeaderChecksQuorumLater);
+  CPPUNIT_TEST(LeaderWithoutOpenRoundsKeepsLeading);
+  CPPUNIT_TEST(NonVoterForgetsSilentLeader);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -58,7 +58,7 @@
     CPPUNIT_ASSERT(node->LeaseUntil() > now);
   }
 
-  void OneOfThreeDoesNotElectItself() {
+  void SingleVoterOfThreeIsNotElected() {
     Instant now{};
     const auto node = MakeNode({}, NewGroup(1, {1, 2, 3}), now);
     for (int i = 0; i < 10; ++i) {
@@ -66,15 +66,16 @@
       node->OnTimer(now);
       const Ready ready = node->TakeReady();
       CPPUNIT_ASSERT_EQUAL(size_t{2}, ready.messages.size());
-      CPPUNIT_ASSERT(!ready.HasWrites());  // a pre-vote raises no term
+      // A pre-vote does not increase the term.
+      CPPUNIT_ASSERT(!ready.HasWrites());
       CPPUNIT_ASSERT(!node->Propose("payload", now).has_value());
     }
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, node->Term());
   }
 
-  // A busy leader's timer comes late again and again; whatever it asked was
-  // answered.
-  void ALeaderThatAskedNothingIsNotDeposed() {
+  // A busy leader's timer fires late repeatedly, but every round that it
+  // started has been acknowledged.
+  void LeaderWithoutOpenRoundsKeepsLeading() {
     Instant now{};
     const auto node = MakeLeader(now);
     AnswerAll(*node, now);
@@ -85,32 +86,34 @@
       AnswerAll(*node, now);
       CPPUNIT_ASSERT(node->LeaseUntil() > now);
     }
-    // Silence after a question counts, however many questions follow.
+    // A round that stays unacknowledged counts, no matter how many rounds are
+    // started after it.
     const Instant silent_from = now;
     while (node->Role() == NodeRole::kLeader) {
       now += 1ms;
       node->ConfirmLeadership(now);
       node->OnTimer(now);
       node->TakeReady();
-      CPPUNIT_ASSERT(now - silent_from <= 2 * NodeOptions().election_least);
+      CPPUNIT_ASSERT(now - silent_from <=
+                     2 * NodeOptions().min_election_timeout);
     }
   }
 
-  void LeaderThatStoodStillIsJudgedLater() {
+  void StalledLeaderChecksQuorumLater() {
     Instant now{};
     const auto node = MakeLeader(now);
-    now += 1s;  // the answers of this time wait to be read
+    now += 1s;  // replies that arrived meanwhile are still unread
     node->OnTimer(now);
     CPPUNIT_ASSERT(node->Role() == NodeRole::kLeader);
     CPPUNIT_ASSERT(node->LeaseUntil() < now);
     now = node->NextTimer();
-    node->OnTimer(now);  // there were none
+    node->OnTimer(now);  // there were no replies
     CPPUNIT_ASSERT(node->Role() == NodeRole::kFollower);
   }
 
-  // Its addition may be lost with the leader; it must be able to say that it
-  // hears none.
-  void OneWithoutAVoteForgetsASilentLeader() {
+  // The addition of a new replica may be lost together with the leader that
+  // proposed it. The replica must then be able to report that it has no leader.
+  void NonVoterForgetsSilentLeader() {
     Instant now{};
     RestoredLog fresh;
     fresh.self = 4;
@@ -130,7 +133,7 @@
   }
 
  private:
-  // The first of three, just elected.
+  // The first of three voters, just elected.
   static std::unique_ptr<Node> MakeLeader(Instant& now) {
     auto node = MakeNode({}, NewGroup(1, {1, 2, 3}), now);
     now = node->NextTimer();
@@ -143,7 +146,7 @@
     return node;
   }
 
-  // Both others acknowledge what the leader has sent.
+  // Both followers acknowledge what the leader has sent.
   static void AnswerAll(Node& node, Instant now) {
     Ready ready = node.TakeReady();
     node.OnSynced(now);
--- a/src/dotterelshift/replication/raft_events.h
+++ b/src/dotterelshift/replication/raft_events.h
@@ -1,7 +1,7 @@
 #ifndef DOTTERELSHIFT_REPLICATION_RAFT_EVENTS_H_
 #define DOTTERELSHIFT_REPLICATION_RAFT_EVENTS_H_
 
-// The events of a replica and what they leave for the driver to do.
+// Event handlers of a replica, and the work that they produce for the driver.
 
 #include <algorithm>   // for sort
 #include <functional>  // for greater
@@ -17,12 +17,13 @@
       m_random(options.seed ^ restored.self),
       m_hard_state(restored.hard_state),
       m_log(restored.snapshot, std::move(restored.entries)),
-      // A replica that has just started may have promised its leader not to
-      // vote for another; it keeps that promise from now on.
-      m_heard_leader(now),
+      // Before the restart, this replica may have promised its leader not to
+      // vote for another candidate. It keeps that promise for one minimum
+      // election timeout from now.
+      m_last_leader_contact(now),
       m_next_heartbeat(now),
       m_commit(restored.snapshot.last_index),
-      m_handed_out(m_commit),
+      m_delivered(m_commit),
       m_written(m_log.LastIndex()),
       m_synced(m_log.LastIndex()) {
   ResetElectionDeadline(now);
@@ -30,28 +31,31 @@
   if (alone) Campaign(now, false);
 }
 
-// A message meant for another replica is dropped: a wiped folder's host still
-// gets what its former replica was sent.
+// Drops messages that are addressed to another replica: a host that has lost
+// its data folder may still receive messages for its previous replica.
 template <typename Rules>
 void Raft<Rules>::OnMessage(const wire::FrameT& message, Instant now) {
-  const auto mine = [this](const auto* body) {
+  const auto addressed_to_self = [this](const auto* body) {
     return body != nullptr && body->to == m_self;
   };
   const wire::FrameBodyUnion& body = message.body;
-  if (mine(body.AsVoteRequest())) OnVoteRequest(*body.AsVoteRequest(), now);
-  if (mine(body.AsVoteReply())) OnVoteReply(*body.AsVoteReply(), now);
-  if (mine(body.AsAppendRequest()))
+  if (addressed_to_self(body.AsVoteRequest()))
+    OnVoteRequest(*body.AsVoteRequest(), now);
+  if (addressed_to_self(body.AsVoteReply()))
+    OnVoteReply(*body.AsVoteReply(), now);
+  if (addressed_to_self(body.AsAppendRequest()))
     OnAppendRequest(*body.AsAppendRequest(), now);
-  if (mine(body.AsAppendReply())) OnAppendReply(*body.AsAppendReply(), now);
-  if (mine(body.AsSnapshotPiece()))
+  if (addressed_to_self(body.AsAppendReply()))
+    OnAppendReply(*body.AsAppendReply(), now);
+  if (addressed_to_self(body.AsSnapshotPiece()))
     OnSnapshotPiece(*body.AsSnapshotPiece(), now);
-  if (mine(body.AsSnapshotReply()))
+  if (addressed_to_self(body.AsSnapshotReply()))
     OnSnapshotReply(*body.AsSnapshotReply(), now);
 }
 
-// A timer that comes late by more than a heartbeat says that this process stood
-// still; what the others sent meanwhile is still to be read, so they are judged
-// a heartbeat later, once.
+// A timer that fires late by more than a heartbeat means that this process was
+// stalled. Messages from the others may still be unread, so the quorum check or
+// election is postponed by one heartbeat, once.
 template <typename Rules>
 void Raft<Rules>::OnTimer(Instant now) {
   if (now < NextTimer()) return;
@@ -63,8 +67,8 @@
     if (m_role != NodeRole::kLeader) return;
     m_next_heartbeat = now + m_options.heartbeat;
     for (auto& [id, progress] : m_progress) {
-      progress.probe_sent = false;  // what was sent may be lost
-      progress.piece_sent = false;
+      progress.probe_sent = false;  // the message may have been lost
+      progress.chunk_sent = false;
     }
     PromoteLearners(now);
     return StartRound(now);
@@ -74,8 +78,9 @@
     return;
   }
   if (IsVoter(Members(), m_self)) return Campaign(now, true);
-  // The addition of this replica may have gone with the leader that proposed
-  // it: who believed in that leader for good would never ask to be taken in.
+  // The addition of this replica may have been lost together with the leader
+  // that proposed it. If the replica kept that leader forever, it would never
+  // ask to be added again.
   ForgetLeader(now);
 }
 
@@ -88,8 +93,9 @@
 void Raft<Rules>::OnSynced(Instant now) {
   m_sync_under_way = false;
   m_synced = std::min(m_written, m_log.LastIndex());
-  for (auto& message : m_in_sync) m_messages.push_back(std::move(message));
-  m_in_sync.clear();
+  for (auto& message : m_messages_awaiting_sync)
+    m_messages.push_back(std::move(message));
+  m_messages_awaiting_sync.clear();
   if (m_role == NodeRole::kCandidate) CountVotes(now);
   if (m_role == NodeRole::kLeader) AdvanceCommit(now);
 }
@@ -140,13 +146,13 @@
 }
 
 template <typename Rules>
-Ready Raft<Rules>::TakeReady(size_t most_committed_bytes) {
+Ready Raft<Rules>::TakeReady(size_t max_committed_bytes) {
   if (m_role == NodeRole::kLeader) SendAppends();
   Ready ready;
   TakeWrites(ready);
   ready.messages = std::move(m_messages);
   m_messages.clear();
-  TakeCommitted(ready, most_committed_bytes);
+  TakeCommitted(ready, max_committed_bytes);
   TakeReads(ready);
   ready.leadership_changed = std::exchange(m_leadership_changed, false);
   return ready;
@@ -162,18 +168,20 @@
     ready.append.push_back(m_log.At(index));
   m_written = m_log.LastIndex();
   m_sync_under_way = m_sync_under_way || ready.HasWrites();
-  auto& queue = m_sync_under_way ? m_in_sync : m_messages;
-  for (auto& message : m_after_sync) queue.push_back(std::move(message));
-  m_after_sync.clear();
+  auto& queue = m_sync_under_way ? m_messages_awaiting_sync : m_messages;
+  for (auto& message : m_messages_for_next_sync)
+    queue.push_back(std::move(message));
+  m_messages_for_next_sync.clear();
 }
 
 template <typename Rules>
-void Raft<Rules>::TakeCommitted(Ready& ready, size_t most_bytes) {
-  // A snapshot that is being installed is applied by this Ready itself.
+void Raft<Rules>::TakeCommitted(Ready& ready, size_t max_bytes) {
+  // Excludes what a snapshot to install covers: `install` in the same Ready
+  // applies it.
   size_t bytes = 0;
   const uint64_t end = std::min(m_commit, OwnMatch());
-  while (m_handed_out < end && bytes < most_bytes) {
-    const wire::LogEntryT& entry = m_log.At(++m_handed_out);
+  while (m_delivered < end && bytes < max_bytes) {
+    const wire::LogEntryT& entry = m_log.At(++m_delivered);
     bytes += entry.payload.size();
     ready.committed.push_back(entry);
   }
@@ -184,13 +192,13 @@
   if (m_reads.empty() || m_commit < m_term_start) return;
   const uint64_t confirmed = ConfirmedRound();
   std::erase_if(m_reads, [&](const PendingRead& read) {
-    if (read.round > confirmed || read.index > m_handed_out) return false;
+    if (read.round > confirmed || read.index > m_delivered) return false;
     ready.reads_confirmed.push_back(read.token);
     return true;
   });
 }
 
-// The newest round that a majority has answered.
+// The newest round that a majority has acknowledged.
 template <typename Rules>
 uint64_t Raft<Rules>::ConfirmedRound() const {
   return MajorityValue(m_round,
--- a/src/dotterelshift/serving/serving_testing.h
+++ b/src/dotterelshift/serving/serving_testing.h
@@ -12,16 +12,17 @@
 #include <vector>     // for vector
 
 #include "dotterelshift/serving/request_core.h"  // for RequestCore
-#include "dotterelshift/state/state_testing.h"   // for TestRun
+#include "dotterelshift/state/state_testing.h"   // for TestSender
 
-// A request core with the real ledger, queue, directory, router and state
-// around it; control, endpoints and callers are played by the test.
+// A test environment for the request core, with the real ledger, queue,
+// directory, router and state. The test takes the role of control, endpoints
+// and callers.
 namespace dotterelshift::serving {
 
 inline constexpr char kSecret[] = "secret";
 inline constexpr WallMs kStamp = 1'700'000'000'000;
 
-// Control as one state machine; what reaches it is committed at once.
+// Control as a single state machine that commits every command at once.
 class TestControl {
  public:
   explicit TestControl(Tokens purchased,
@@ -86,7 +87,7 @@
                   std::move(changes), ++stamp);
   }
 
-  state::TestRun m_operator;
+  state::TestSender m_operator;
   int m_plans = 0;
 };
 
@@ -96,7 +97,7 @@
   int retry_after_seconds = 0;
 };
 
-// One entry.
+// One entry and its adapters.
 class TestEntry {
  public:
   TestEntry(TestControl* control, const HostId& host,
@@ -107,13 +108,13 @@
     ledger = budget::MakeLedger();
     queue = admission::MakeFairQueue();
     router = routing::MakeRouter(routing);
-    RequestCoreParts parts;
-    parts.configuration = &control->state->GetConfiguration();
-    parts.directory = &directory;
-    parts.ledger = ledger.get();
-    parts.router = router.get();
-    parts.queue = queue.get();
-    core = MakeRequestCore(options, parts);
+    RequestCoreDependencies dependencies;
+    dependencies.configuration = &control->state->GetConfiguration();
+    dependencies.directory = &directory;
+    dependencies.ledger = ledger.get();
+    dependencies.router = router.get();
+    dependencies.queue = queue.get();
+    core = MakeRequestCore(options, dependencies);
     wire::CommandT registration;
     registration.id = std::make_unique<wire::CommandIdT>();
     registration.id->host = host;
@@ -129,7 +130,7 @@
     Pump();
   }
 
-  // An endpoint announces itself, or its draining.
+  // An endpoint announces that it is available, or draining.
   void Announce(const EndpointId& id, bool draining = false) {
     wire::EndpointRecordT record;
     record.id = id;
@@ -157,7 +158,7 @@
     return request;
   }
 
-  // A call of a plain service that may not be repeated.
+  // A request to a service that is not idempotent.
   static callers::CallerRequest Loan(const std::string& key,
                                      uint64_t content = 7) {
     callers::CallerRequest request = Chat(content);
@@ -176,30 +177,31 @@
     return m_last_request;
   }
 
-  // The endpoint's side. Without an attempt: the last one started.
-  PieceVerdict Piece(Tokens tokens, AttemptId attempt = 0) {
-    serving::Piece piece;
-    piece.tokens = tokens;
-    return Give(piece, attempt);
+  // Events of an endpoint. The default attempt is the last one that was
+  // started.
+  ChunkVerdict Chunk(Tokens tokens, AttemptId attempt = 0) {
+    serving::Chunk chunk;
+    chunk.tokens = tokens;
+    return Deliver(chunk, attempt);
   }
-  PieceVerdict Usage(Tokens prompt, Tokens output, AttemptId attempt = 0) {
-    serving::Piece piece;
-    piece.has_usage = true;
-    piece.usage_prompt = prompt;
-    piece.usage_output = output;
-    return Give(piece, attempt);
+  ChunkVerdict SendUsage(Tokens prompt, Tokens output, AttemptId attempt = 0) {
+    serving::Chunk chunk;
+    chunk.has_usage = true;
+    chunk.usage_prompt = prompt;
+    chunk.usage_output = output;
+    return Deliver(chunk, attempt);
   }
   void End(AttemptEnd end, AttemptId attempt = 0) {
     core->OnAttemptEnd(attempt == 0 ? LastStart().attempt : attempt, end, now);
     Pump();
   }
-  void Gone(RequestId request) {
+  void CallerGone(RequestId request) {
     core->OnCallerGone(request, now);
     Pump();
   }
 
-  // Moves the clock on, timer by timer.
-  void Pass(Duration duration) {
+  // Advances the clock in steps of 50 ms and runs the timers.
+  void AdvanceClock(Duration duration) {
     for (const Instant end = now + duration; now < end;) {
       now = std::min(end, now + 50ms);
       for (const auto& [id, endpoint] : directory.All())
@@ -209,18 +211,18 @@
     }
   }
 
-  // Carries actions out until none is left.
+  // Executes actions until none is left.
   void Pump() {
     for (;;) {
       std::vector<Action> actions = core->TakeActions();
       for (Action& action : actions)
-        std::visit([this](auto& wanted) { Carry(wanted); }, action);
+        std::visit([this](auto& wanted) { Execute(wanted); }, action);
       const bool answered = connected && !held && AnswerOldest();
       if (actions.empty() && !answered) return;
     }
   }
 
-  // Commits the oldest unanswered command and hands its answer over.
+  // Commits the oldest unanswered command and delivers its answer.
   bool AnswerOldest() {
     if (proposals.empty()) return false;
     const wire::CommandT command = std::move(proposals.front());
@@ -229,7 +231,7 @@
     return true;
   }
 
-  // What was proposed and not yet committed, of one type.
+  // The number of proposed commands of one type that are not committed yet.
   template <typename Body>
   size_t CountProposed() const {
     size_t count = 0;
@@ -242,14 +244,17 @@
   bool HasEnded(RequestId request) const { return ends.contains(request); }
   ErrorKind EndOf(RequestId request) const { return ends.at(request).kind; }
   const StartAttempt& LastStart() const {
-    CPPUNIT_ASSERT_MESSAGE("nothing was started" + EndsText(), !starts.empty());
+    CPPUNIT_ASSERT_MESSAGE("no attempt was started" + EndsText(),
+                           !starts.empty());
     return starts.back();
   }
 
   Instant now = Instant{} + 1000s;
   bool connected = true;
-  bool held = false;  // control takes commands in and answers nothing
-  bool disks = true;  // control replicas that keep spools are in reach
+  // Control accepts commands but does not answer them.
+  bool held = false;
+  // Control replicas that store spools are reachable.
+  bool spooling_available = true;
   directory::Directory directory;
   std::unique_ptr<budget::Ledger> ledger;
   std::unique_ptr<admission::FairQueue> queue;
@@ -270,29 +275,29 @@
     return text;
   }
 
-  PieceVerdict Give(const serving::Piece& piece, AttemptId attempt) {
+  ChunkVerdict Deliver(const serving::Chunk& chunk, AttemptId attempt) {
     const AttemptId to = attempt == 0 ? LastStart().attempt : attempt;
-    const PieceVerdict verdict = core->OnPiece(to, piece, now);
+    const ChunkVerdict verdict = core->OnChunk(to, chunk, now);
     Pump();
     return verdict;
   }
 
-  void Carry(StartAttempt& action) { starts.push_back(action); }
-  void Carry(CancelAttempt& action) { cancelled.push_back(action.attempt); }
-  void Carry(FinishAnswer& action) {
+  void Execute(StartAttempt& action) { starts.push_back(action); }
+  void Execute(CancelAttempt& action) { cancelled.push_back(action.attempt); }
+  void Execute(FinishResponse& action) {
     ends[action.request] = {};
     ++end_counts[action.request];
   }
-  void Carry(FailAnswer& action) {
+  void Execute(FailResponse& action) {
     ends[action.request] = {action.kind, action.retry_after_seconds};
     ++end_counts[action.request];
   }
-  void Carry(ProposeCommand& action) {
+  void Execute(ProposeCommand& action) {
     proposals.push_back(std::move(action.command));
   }
-  void Carry(SpoolCommand& action) {
+  void Execute(SpoolCommand& action) {
     spooled.push_back(action.command);
-    if (disks) core->OnSpooled(*action.command.id, now);
+    if (spooling_available) core->OnSpooled(*action.command.id, now);
   }
 
   TestControl* m_control;
--- a/src/dotterelshift/settings/settings_test.cc
+++ b/src/dotterelshift/settings/settings_test.cc
@@ -17,7 +17,7 @@
     "role: entry\n"
     "secret_file: /etc/secret\n";
 
-// A line added to good settings, and what the refusal must hold.
+// A line added to valid settings, and a text that the error must contain.
 struct BadCase {
   std::string added;
   std::string refusal;
@@ -66,7 +66,7 @@
                          text.find(part) != std::string::npos);
 }
 
-// A file that goes when the test ends.
+// A file that is removed when the test ends.
 class ScratchFile {
  public:
   explicit ScratchFile(const std::string& content)
@@ -86,7 +86,7 @@
   CPPUNIT_TEST_SUITE(SettingsTest);
   CPPUNIT_TEST(GoodSettingsAreRead);
   CPPUNIT_TEST(BadSettingsAreRefusedWithTheirLine);
-  CPPUNIT_TEST(RequiredSettingsMustBeThere);
+  CPPUNIT_TEST(MissingRequiredSettingsAreRefused);
   CPPUNIT_TEST(SecretsAreChecked);
   CPPUNIT_TEST(OperatorKeysAreChecked);
   CPPUNIT_TEST(TableHasEverySetting);
@@ -110,7 +110,7 @@
       AssertHolds(RefusalOf(kEntry + bad.added), bad.refusal);
   }
 
-  void RequiredSettingsMustBeThere() {
+  void MissingRequiredSettingsAreRefused() {
     AssertHolds(RefusalOf("host: a\n"), "s.yaml:1: the settings has no fleet");
     AssertHolds(RefusalOf(""), "the settings is not a map");
     std::string control = kEntry;
