--- a/src/dotterelshift/state/apply_open_attempt.cc
+++ b/src/dotterelshift/state/apply_open_attempt.cc
@@ -10,7 +10,7 @@
            wire::CommandAnswerT& answer) {
   Tables& tables = context.tables;
   const RequestDigest digest = DigestOf(command.team, command.request_key);
-  // Its settlement overtook it.
+  // The settlement arrived before the opening.
   if (FindAttempt(tables, digest, context.run, command.attempt) != nullptr)
     return Refuse(answer, ErrorKind::kResendTooOld, "attempt is settled");
   if (IsExpired(tables, digest) && FindClaim(tables, digest) == nullptr)
@@ -24,8 +24,8 @@
     return Refuse(answer, ErrorKind::kNoBudget, command.budget);
   Grant* grant = FindGrant(*account, context.run);
   const Tokens unopened =
-      grant == nullptr ? 0 : grant->tokens - grant->Opened();
-  if (!IsAmount(command.reserved))
+      grant == nullptr ? 0 : grant->tokens - grant->OpenedTokens();
+  if (!IsValidAmount(command.reserved))
     return Refuse(answer, ErrorKind::kBadFrame, "amount out of range");
   const bool open = grant != nullptr &&
                     std::any_of(grant->openings.begin(), grant->openings.end(),
--- a/src/dotterelshift/state/apply_published.cc
+++ b/src/dotterelshift/state/apply_published.cc
@@ -8,22 +8,22 @@
 namespace dotterelshift::state {
 namespace {
 
-// A team's account under published totals has the team's own name.
+// Under published totals, the budget of a team has the name of the team.
 Account& AccountOf(Tables& tables, const TeamId& team) {
   Account& account = tables.accounts.At(tables.accounts.FindOrAdd(team).first);
   account.team = tables.teams.FindOrAdd(team).first;
   return account;
 }
 
-// Steps that are kept for entries that are some versions behind.
-constexpr size_t kMostSteps = 32;
+// Number of deltas kept for entries that are some versions behind.
+constexpr size_t kMaxDeltas = 32;
 
-// Larger steps are not kept: a document is as quickly told whole.
-constexpr size_t kMostStepBytes = 32 << 10;
+// Larger deltas are not kept: sending the full document takes no longer.
+constexpr size_t kMaxDeltaBytes = 32 << 10;
 
-// The document that a command brings. Throws Error(kVersionMoved) when it is
-// told as a step from another version than the one in force, kBadFrame when it
-// cannot be read.
+// The document that a command publishes. Throws Error(kVersionMoved) if it is a
+// delta from a version other than the current one, and Error(kBadFrame) if it
+// cannot be decoded.
 std::string DocumentOf(const Published& published,
                        const wire::PublishRoutesT& command) {
   if (command.packed.empty())
@@ -35,22 +35,22 @@
   return UnpackDocument(command.packed, published.document);
 }
 
-void KeepStep(Published& published, const wire::PublishRoutesT& command) {
-  const bool leads_on =
-      command.base > 0 && command.packed.size() <= kMostStepBytes;
-  if (!leads_on) return published.steps.clear();
+void AppendDelta(Published& published, const wire::PublishRoutesT& command) {
+  const bool is_kept =
+      command.base > 0 && command.packed.size() <= kMaxDeltaBytes;
+  if (!is_kept) return published.steps.clear();
   wire::RoutesStepT step;
   step.base = command.base;
   step.version = command.version;
   step.packed = command.packed;
   published.steps.push_back(std::move(step));
-  if (published.steps.size() > kMostSteps) published.steps.pop_front();
+  if (published.steps.size() > kMaxDeltas) published.steps.pop_front();
 }
 
-void TakeTotals(Tables& tables, const wire::PublishRoutesT& command) {
+void ApplyTotals(Tables& tables, const wire::PublishRoutesT& command) {
   tables.published.totals.clear();
   for (const auto& total : command.totals) {
-    if (total == nullptr || !IsAmount(total->tokens)) continue;
+    if (total == nullptr || !IsValidAmount(total->tokens)) continue;
     tables.published.totals[total->team] = total->tokens;
     AccountOf(tables, total->team).amounts.purchased = total->tokens;
   }
@@ -58,8 +58,9 @@
 
 }  // namespace
 
-// The highest version wins; an older one is answered with what is in force, so
-// that a resend is told the same as the first time.
+// The highest version wins. A command that does not raise the version is
+// answered with the current one, so that a resend gets the same answer as the
+// first time.
 void Apply(Context& context, const wire::PublishRoutesT& command,
            wire::CommandAnswerT& answer) {
   Published& published = context.tables.published;
@@ -69,25 +70,26 @@
     } catch (const Error& error) {
       return Refuse(answer, error.Kind(), error.what());
     }
-    KeepStep(published, command);
+    AppendDelta(published, command);
     published.version = command.version;
-    TakeTotals(context.tables, command);
+    ApplyTotals(context.tables, command);
   }
   wire::RoutesAnswerT body;
   body.version = published.version;
   Answer(answer, body);
 }
 
-// Moves what a holder has spent out of its grant. Entries hand tokens to each
-// other and spend them before control hears of it, so one holder's grant may be
-// below zero until the other's MoveGrant comes; the sum over all is exact.
+// Moves the tokens that a holder has spent out of its grant. Entries transfer
+// tokens to each other and spend them before control is notified, so the grant
+// of the receiver may be below zero until the sender's MoveGrant arrives. The
+// sum over all grants is exact.
 void Apply(Context& context, const wire::ReportSpendT& command,
            wire::CommandAnswerT& answer) {
   Tables& tables = context.tables;
   Account* account = tables.accounts.Find(command.budget);
   if (account == nullptr)
     return Refuse(answer, ErrorKind::kNoBudget, command.budget);
-  if (!IsAmount(command.spent))
+  if (!IsValidAmount(command.spent))
     return Refuse(answer, ErrorKind::kBadFrame, "amount out of range");
   BudgetAccount& amounts = account->amounts;
   Grant& grant = GrantOf(*account, context.run);
@@ -105,20 +107,20 @@
   Answer(answer, wire::DoneAnswerT());
 }
 
-// What a dead run was handed is lost with it. A receiver that has not
-// registered yet may spend all the same: its grant goes below zero then, and
-// what the sender is still counted to hold makes up for it.
+// Tokens transferred to a dead incarnation are lost. A receiver that has not
+// registered may already spend its tokens. Its grant is then below zero, and
+// the tokens still counted for the sender compensate for that.
 void Apply(Context& context, const wire::MoveGrantT& command,
            wire::CommandAnswerT& answer) {
   Tables& tables = context.tables;
   Account* account = tables.accounts.Find(command.budget);
   if (account == nullptr)
     return Refuse(answer, ErrorKind::kNoBudget, command.budget);
-  const std::optional<RunNumber> receiver =
-      tables.FindRun({command.to_host, command.to_incarnation});
+  const std::optional<IncarnationIndex> receiver =
+      tables.FindIncarnation({command.to_host, command.to_incarnation});
   if (!receiver)
     return Refuse(answer, ErrorKind::kBadField, "receiver not known");
-  if (!IsAmount(command.tokens))
+  if (!IsValidAmount(command.tokens))
     return Refuse(answer, ErrorKind::kBadFrame, "amount out of range");
   Grant& from = GrantOf(*account, context.run);
   from.tokens -= command.tokens;
@@ -136,15 +138,15 @@
   Answer(answer, wire::DoneAnswerT());
 }
 
-// Each part counts by itself: one that is refused, because its budget or its
-// receiver is not known, leaves its tokens with the sender.
+// Each item is applied independently. If one is refused because its budget or
+// receiver is not known, its tokens stay with the sender.
 void Apply(Context& context, const wire::ReportHoldingsT& command,
            wire::CommandAnswerT& answer) {
-  wire::CommandAnswerT of_part;
+  wire::CommandAnswerT item_answer;
   for (const auto& spend : command.spends)
-    if (spend != nullptr) Apply(context, *spend, of_part);
+    if (spend != nullptr) Apply(context, *spend, item_answer);
   for (const auto& move : command.moves)
-    if (move != nullptr) Apply(context, *move, of_part);
+    if (move != nullptr) Apply(context, *move, item_answer);
   Answer(answer, wire::DoneAnswerT());
 }
 
--- a/src/dotterelshift/state/apply_return_grant.cc
+++ b/src/dotterelshift/state/apply_return_grant.cc
@@ -12,11 +12,11 @@
     return Refuse(answer, ErrorKind::kNoBudget, command.budget);
   Grant* grant = FindGrant(*account, context.run);
   const Tokens unopened =
-      grant == nullptr ? 0 : grant->tokens - grant->Opened();
-  if (!IsAmount(command.tokens) || !IsAmount(command.standing))
+      grant == nullptr ? 0 : grant->tokens - grant->OpenedTokens();
+  if (!IsValidAmount(command.tokens) || !IsValidAmount(command.standing))
     return Refuse(answer, ErrorKind::kBadFrame, "amount out of range");
   if (grant != nullptr) {
-    // Less may be there, when a lapsed lease took it back before.
+    // The grant may hold less, if an expired lease was reclaimed before.
     const bool published =
         context.tables.published.totals.contains(command.budget);
     const Tokens returned =
--- a/src/dotterelshift/state/configuration.cc
+++ b/src/dotterelshift/state/configuration.cc
@@ -14,7 +14,7 @@
   return std::find(list.begin(), list.end(), name) != list.end();
 }
 
-bool Names(const wire::EndpointSetT& set, const std::string& name) {
+bool Includes(const wire::EndpointSetT& set, const std::string& name) {
   return Contains(set.models, name) || Contains(set.services, name);
 }
 
@@ -24,7 +24,7 @@
   return found == map.end() ? nullptr : &found->second;
 }
 
-// The keys of a map in order, so that the same content gives the same bytes.
+// The sorted keys of a map, so that equal content is serialized to equal bytes.
 template <typename Map>
 std::vector<const std::string*> SortedKeys(const Map& map) {
   std::vector<const std::string*> keys;
@@ -35,7 +35,7 @@
   return keys;
 }
 
-// Wraps one part of the configuration in the change that makes it.
+// Wraps an object of the configuration in the change that creates it.
 template <typename Body, typename Part>
 wire::ChangeT ChangeOf(const Part& part, std::unique_ptr<Part> Body::*member) {
   Body body;
@@ -45,11 +45,11 @@
   return change;
 }
 
-// Whether any set or placement speaks of a name at all.
+// Whether any endpoint set has the name in the given list.
 template <typename Sets>
-bool AnySetNames(const Sets& sets,
-                 std::vector<std::string> wire::EndpointSetT::*list,
-                 const std::string& name) {
+bool AnySetIncludes(const Sets& sets,
+                    std::vector<std::string> wire::EndpointSetT::*list,
+                    const std::string& name) {
   return std::any_of(sets.begin(), sets.end(), [&](const auto& entry) {
     return Contains(entry.second.*list, name);
   });
@@ -58,7 +58,8 @@
 }  // namespace
 
 KeyHash HashKey(std::string_view bearer_key, std::string_view fleet_secret) {
-  // The secret may have any length; the library's keys may not.
+  // The secret may have any length, but keys of libsodium may not, so the
+  // secret is hashed to a key first.
   std::array<uint8_t, crypto_generichash_KEYBYTES> key{};
   crypto_generichash(key.data(), key.size(),
                      reinterpret_cast<const uint8_t*>(fleet_secret.data()),
@@ -123,7 +124,7 @@
       m_placements.erase(change.body.AsRemovePlacement()->model);
       break;
     default:
-      break;  // amounts, holders and replicas are not part of it
+      break;  // amounts, holders and replicas are not stored here
   }
 }
 
@@ -143,7 +144,7 @@
   KeyHash hash{};
   std::copy(key->hash.begin(), key->hash.end(), hash.begin());
   const auto by_hash = m_key_by_hash.find(hash);
-  // The same bearer key may have been given a second id since.
+  // The bearer key may since have been stored under a second id.
   const bool own =
       by_hash != m_key_by_hash.end() && &m_keys.At(by_hash->second) == key;
   if (own) m_key_by_hash.erase(by_hash);
@@ -161,14 +162,14 @@
   row = budget;
   std::vector<Slot>& budgets = m_budgets_of_team[budget.team];
   const auto at = std::lower_bound(budgets.begin(), budgets.end(), budget.id,
-                                   [this](Slot place, const BudgetId& id) {
-                                     return m_budgets.At(place).id < id;
+                                   [this](Slot position, const BudgetId& id) {
+                                     return m_budgets.At(position).id < id;
                                    });
   budgets.insert(at, slot);
 }
 
-// A team takes its keys and budgets along; the budgets' accounts stay in the
-// state for the reports.
+// Also removes the keys and budgets of the team. The budgets' accounts stay in
+// the state for the reports.
 void Configuration::RemoveTeam(const TeamId& id) {
   m_teams.erase(id);
   std::vector<std::string> keys;
@@ -236,7 +237,8 @@
   return ids;
 }
 
-bool Configuration::AnySetOf(const TeamId& team, const SetTest& test) const {
+bool Configuration::AnyEndpointSetOf(const TeamId& team,
+                                     const EndpointSetPredicate& test) const {
   const wire::TeamT* found = FindTeam(team);
   if (found == nullptr) return false;
   return std::any_of(found->endpoint_sets.begin(), found->endpoint_sets.end(),
@@ -248,31 +250,33 @@
 
 Reach Configuration::ReachOfModel(const TeamId& team,
                                   const ModelName& model) const {
-  const bool allowed = AnySetOf(team, [&](const wire::EndpointSetT& set) {
-    return Contains(set.models, model);
-  });
+  const bool allowed =
+      AnyEndpointSetOf(team, [&](const wire::EndpointSetT& set) {
+        return Contains(set.models, model);
+      });
   if (allowed) return Reach::kAllowed;
   const bool known =
       FindPlacement(model) != nullptr ||
-      AnySetNames(m_endpoint_sets, &wire::EndpointSetT::models, model);
+      AnySetIncludes(m_endpoint_sets, &wire::EndpointSetT::models, model);
   return known ? Reach::kOutOfReach : Reach::kUnknown;
 }
 
 Reach Configuration::ReachOfService(const TeamId& team,
                                     const std::string& service) const {
-  const bool allowed = AnySetOf(team, [&](const wire::EndpointSetT& set) {
-    return Contains(set.services, service);
-  });
+  const bool allowed =
+      AnyEndpointSetOf(team, [&](const wire::EndpointSetT& set) {
+        return Contains(set.services, service);
+      });
   if (allowed) return Reach::kAllowed;
-  return AnySetNames(m_endpoint_sets, &wire::EndpointSetT::services, service)
+  return AnySetIncludes(m_endpoint_sets, &wire::EndpointSetT::services, service)
              ? Reach::kOutOfReach
              : Reach::kUnknown;
 }
 
 bool Configuration::MayUse(const TeamId& team, const EndpointId& endpoint,
                            const std::string& model_or_service) const {
-  return AnySetOf(team, [&](const wire::EndpointSetT& set) {
-    if (!Names(set, model_or_service)) return false;
+  return AnyEndpointSetOf(team, [&](const wire::EndpointSetT& set) {
+    if (!Includes(set, model_or_service)) return false;
     return set.endpoints.empty() || Contains(set.endpoints, endpoint);
   });
 }
--- a/src/dotterelshift/state/plan_orders.cc
+++ b/src/dotterelshift/state/plan_orders.cc
@@ -21,11 +21,11 @@
   return order;
 }
 
-// What one endpoint that is to carry the model still lacks.
-void OrdersOfEndpoint(const EndpointId& endpoint,
-                      const wire::ModelPlacementT* before,
-                      const wire::ModelPlacementT& after,
-                      std::vector<wire::OrderT>* orders) {
+// Appends what an endpoint of the new placement still has to load or change.
+void AppendEndpointOrders(const EndpointId& endpoint,
+                          const wire::ModelPlacementT* before,
+                          const wire::ModelPlacementT& after,
+                          std::vector<wire::OrderT>* orders) {
   const bool had = before != nullptr && Contains(before->endpoints, endpoint);
   const bool load = !had || before->version != after.version;
   if (load)
@@ -59,7 +59,7 @@
   std::vector<wire::OrderT> orders;
   if (after != nullptr)
     for (const EndpointId& endpoint : after->endpoints)
-      OrdersOfEndpoint(endpoint, before, *after, &orders);
+      AppendEndpointOrders(endpoint, before, *after, &orders);
   if (before == nullptr) return orders;
   for (const EndpointId& endpoint : before->endpoints) {
     const bool stays = after != nullptr && Contains(after->endpoints, endpoint);
@@ -91,7 +91,8 @@
   for (const wire::OrderT& order : fresh) Supersede(tables.orders, order);
   for (size_t i = 0; i < fresh.size(); ++i) {
     fresh[i].id = plan.id + "/" + std::to_string(i + 1);
-    // The place of the confirming command in the log: it only rises.
+    // The number of commands applied up to the confirmation, which only
+    // increases.
     fresh[i].fencing = tables.commands_applied;
     tables.orders.push_back(std::move(fresh[i]));
   }
--- a/src/dotterelshift/telemetry/team_series.h
+++ b/src/dotterelshift/telemetry/team_series.h
@@ -12,8 +12,9 @@
 namespace dotterelshift::telemetry {
 
 // The series labelled by team: the busiest teams by name, all others together.
-// Who is busiest is judged anew after each round of requests; a team that loses
-// its name leaves what it counted to the others, so sums over all teams hold.
+// The busiest teams are determined again after each round of requests. When a
+// team loses its label, its counts are added to those of the others, so that
+// sums over all teams stay correct.
 class TeamSeries {
  public:
   TeamSeries(prometheus::Registry& registry, TimeFamilies& times,
@@ -25,26 +26,27 @@
     Times times;
     prometheus::Counter* tokens = nullptr;
     std::unordered_map<ErrorKind, prometheus::Counter*> requests;
-    uint64_t recent = 0;  // requests, halved after each round
+    uint64_t recent = 0;  // count of requests, halved after each round
   };
 
   Series& SeriesOf(const TeamId& team);
   Series MakeSeries(const std::string& label);
   prometheus::Counter& RequestsOf(Series& series, const std::string& label,
                                   ErrorKind error);
-  void CountUnnamed(const TeamId& team);
-  void EndRound();
+  void CountUnlabelled(const TeamId& team);
+  void RebalanceLabels();
   void Promote();
-  void Fold(const TeamId& team);
+  void MergeAndRemove(const TeamId& team);
 
   TimeFamilies& m_times;
   prometheus::Family<prometheus::Counter>& m_requests;
   prometheus::Family<prometheus::Counter>& m_tokens;
   size_t m_max_teams;
-  uint64_t m_in_round = 0;
+  uint64_t m_requests_in_round = 0;
   Series m_others;
-  std::unordered_map<TeamId, Series> m_named;
-  std::unordered_map<TeamId, uint64_t> m_unnamed;  // recent requests; bounded
+  std::unordered_map<TeamId, Series> m_labelled;
+  std::unordered_map<TeamId, uint64_t>
+      m_unlabelled;  // recent requests; bounded
 };
 
 }  // namespace dotterelshift::telemetry
--- a/tests/docs_test.cc
+++ b/tests/docs_test.cc
@@ -1,5 +1,5 @@
-// The pages hold what the code has: each error kind, setting, verb and exit
-// code.
+// Checks that the documentation lists every error kind, setting, verb and exit
+// code of the code.
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include <fstream>  // for ifstream
@@ -19,7 +19,7 @@
   return content.str();
 }
 
-// The lines of a page that begin with `start`.
+// Returns the lines of a page that begin with `start`.
 std::vector<std::string> LinesOf(const std::string& page,
                                  const std::string& start) {
   std::vector<std::string> lines;
@@ -35,12 +35,12 @@
 
 class DocsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DocsTest);
-  CPPUNIT_TEST(EveryErrorKindStandsInItsPage);
-  CPPUNIT_TEST(SettingsPageHoldsTheTable);
-  CPPUNIT_TEST(EveryVerbAndExitCodeStandsInItsPage);
+  CPPUNIT_TEST(EveryErrorKindIsDocumented);
+  CPPUNIT_TEST(SettingsPageContainsTheTable);
+  CPPUNIT_TEST(EveryVerbAndExitCodeIsDocumented);
   CPPUNIT_TEST_SUITE_END();
 
-  void EveryErrorKindStandsInItsPage() {
+  void EveryErrorKindIsDocumented() {
     const std::string page = ReadPage("OPERATING.md");
     const std::string kinds = page.substr(page.find("## Error kinds"));
     for (const ErrorRow& row : ErrorTable()) {
@@ -53,7 +53,7 @@
     CPPUNIT_ASSERT_EQUAL(ErrorTable().size(), LinesOf(kinds, "| `").size());
   }
 
-  void SettingsPageHoldsTheTable() {
+  void SettingsPageContainsTheTable() {
     std::ostringstream table;
     ctl::WriteSettingTable(table);
     const std::string page = ReadPage("SETTINGS.md");
@@ -62,7 +62,7 @@
         page.find("\n" + table.str() + "\n") != std::string::npos);
   }
 
-  void EveryVerbAndExitCodeStandsInItsPage() {
+  void EveryVerbAndExitCodeIsDocumented() {
     const std::string page = ReadPage("CTL.md");
     for (const ctl::VerbRow& row : ctl::VerbTable())
       AssertOneLine(page, "| `" + std::string(row.name) + "` | ");
--- a/tests/process/serving_process_test.cc
+++ b/tests/process/serving_process_test.cc
@@ -1,5 +1,5 @@
-// Real daemons on loopback under kills, drains and cuts: what callers see,
-// against what the endpoints ran and what control billed.
+// Runs real daemons on loopback under kills, drains and partitions. Compares
+// what callers receive with what the endpoints ran and what control billed.
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include <csignal>  // for SIGTERM
@@ -20,8 +20,8 @@
 
 constexpr char kTeamKey[] = "team-key-0123456789";
 constexpr Tokens kPurchased = 5'000'000;
-constexpr int kTokensOfAnAnswer = 30;
-// Ends an endpoint that is asked about it.
+constexpr int kTokensPerResponse = 30;
+// Text in a prompt that makes a fake endpoint exit.
 constexpr char kCrashMark[] = "crash-mark";
 
 std::string Intent(const std::string& grant_way) {
@@ -44,11 +44,11 @@
           {"messages", {{{"role", "user"}, {"content", text}}}}};
 }
 
-// One caller's request under a key of its own, as the caller sees it.
+// One caller's request with its own idempotency key, as the caller sees it.
 struct Call {
   std::string key;
   std::string entry;
-  std::string text;  // of the question; empty: the key
+  std::string text;  // the prompt; if empty, the key
   std::string body;
   int status = 0;
   bool ended = false;
@@ -59,7 +59,7 @@
            body.ends_with("data: [DONE]\n\n") &&
            body.find("\"error\"") == std::string::npos;
   }
-  // "no", "yes", "unknown", or empty where the connection broke without a word.
+  // "no", "yes" or "unknown" as the error reports; empty if it reports nothing.
   std::string Ran() const {
     const size_t at = body.find("\"ran\":\"");
     if (at == std::string::npos) return {};
@@ -71,10 +71,10 @@
 class ServingProcessTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ServingProcessTest);
   CPPUNIT_TEST(StreamsSurviveTheLossOfAnEndpointAndAnEntry);
-  CPPUNIT_TEST(ShutdownCutsNoStream);
-  CPPUNIT_TEST(TopUpWhileAnEntryIsCutOff);
-  CPPUNIT_TEST(NonIdempotentWorkRunsOnceAcrossEntries);
-  CPPUNIT_TEST(ARequestThatEndsEndpointsIsHeldBack);
+  CPPUNIT_TEST(ShutdownCompletesOpenStreams);
+  CPPUNIT_TEST(TopUpDuringAnEntryPartition);
+  CPPUNIT_TEST(NonIdempotentRequestRunsOnceAcrossEntries);
+  CPPUNIT_TEST(RequestThatCrashesEndpointsIsQuarantined);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -88,8 +88,8 @@
       calls[i].entry = i % 2 == 0 ? "e1" : "e2";
       Start(calls[i], &ended);
     }
-    // All are under way, and some have had pieces.
-    RunUntil(Loop(), "first pieces", [&] {
+    // All requests are in flight, and some have received chunks.
+    RunUntil(Loop(), "first chunks", [&] {
       int begun = 0;
       for (const Call& call : calls) begun += call.body.empty() ? 0 : 1;
       return begun > 20;
@@ -97,12 +97,13 @@
     m_fleet->Kill("f0");
     m_fleet->Send("POST", Url("f1", "/control/drain"), {}, {});
     m_fleet->Kill("e2");
-    RunUntil(Loop(), "all ends", [&] { return ended == kCalls; });
+    RunUntil(Loop(), "the end of all requests",
+             [&] { return ended == kCalls; });
     const std::map<std::string, int> ran = RunsByKey();
-    for (const Call& call : calls) CheckTruth(call, ran);
+    for (const Call& call : calls) CheckReportedOutcome(call, ran);
 
-    // Callers of the dead entry, and those who were told to, ask again with the
-    // same key at the other entry.
+    // Every caller without a complete response retries with the same key at the
+    // entry that is still running.
     std::set<std::string> whole;
     for (Call& call : calls) {
       if (call.WholeAnswer()) whole.insert(call.key);
@@ -119,14 +120,14 @@
       Start(call, &again);
       ++asked;
     }
-    RunUntil(Loop(), "the second round", [&] { return again == asked; });
+    RunUntil(Loop(), "the retries", [&] { return again == asked; });
     for (const Call& call : calls) {
       CPPUNIT_ASSERT_MESSAGE(call.key + ": " + call.body, call.WholeAnswer());
     }
-    CheckBooks(kCalls);
+    CheckBilling(kCalls);
   }
 
-  void ShutdownCutsNoStream() {
+  void ShutdownCompletesOpenStreams() {
     StartFleet("witnessed");
     constexpr int kCalls = 40;
     std::vector<Call> calls(kCalls);
@@ -136,39 +137,40 @@
       calls[i].entry = "e1";
       Start(calls[i], &ended);
     }
-    RunUntil(Loop(), "first pieces", [&] {
+    RunUntil(Loop(), "first chunks", [&] {
       int begun = 0;
       for (const Call& call : calls) begun += call.body.empty() ? 0 : 1;
       return begun == kCalls;
     });
-    m_fleet->ProcessOf("e1").Signal(SIGTERM);
-    m_fleet->ProcessOf("e1").Signal(SIGTERM);
-    RunUntil(Loop(), "all ends", [&] { return ended == kCalls; });
+    m_fleet->GetProcess("e1").Signal(SIGTERM);
+    m_fleet->GetProcess("e1").Signal(SIGTERM);
+    RunUntil(Loop(), "the end of all requests",
+             [&] { return ended == kCalls; });
     for (const Call& call : calls) {
       CPPUNIT_ASSERT_MESSAGE(call.key + ": " + call.body, call.WholeAnswer());
     }
-    CPPUNIT_ASSERT_EQUAL(0, m_fleet->AwaitEnd("e1"));
-    CheckBooks(kCalls);
-    // What the entry held has gone back.
+    CPPUNIT_ASSERT_EQUAL(0, m_fleet->AwaitExit("e1"));
+    CheckBilling(kCalls);
+    // The entry has returned the tokens that it held.
     const json report = Report();
     for (const json& budget : report.at("budgets")) {
       CPPUNIT_ASSERT_EQUAL(Tokens{0}, budget.at("granted").get<Tokens>());
     }
   }
 
-  void TopUpWhileAnEntryIsCutOff() {
+  void TopUpDuringAnEntryPartition() {
     StartFleet("unwitnessed");
-    // The entry holds a standing grant from its first answer.
+    // From its first response on, the entry holds a pre-authorized amount.
     CPPUNIT_ASSERT(AskOnce("e2", "before").WholeAnswer());
     m_links[1]->Cut();
     RunUntil(Loop(), "cut off", [&] {
       return m_fleet->Send("GET", Url("e2", "/readyz"), {}, {}).status == 503;
     });
-    const HttpAnswer confirmed = m_fleet->PlanAndConfirm(
+    const HttpResponse confirmed = m_fleet->PlanAndConfirm(
         "c1", "top_ups: [{id: second, budget: lib-b, tokens: 1M}]\n");
     CPPUNIT_ASSERT_EQUAL_MESSAGE(confirmed.body, 200, confirmed.status);
-    // What cannot be settled anywhere is not called whole; see the table for
-    // bill_not_recorded. The other entry knows nothing of it.
+    // An entry that can record a settlement nowhere does not finish its
+    // responses (bill_not_recorded). The other entry is not affected.
     CPPUNIT_ASSERT(AskOnce("e1", "meanwhile").WholeAnswer());
     m_links[1]->Heal();
     m_fleet->AwaitReady("e2");
@@ -179,33 +181,33 @@
     CPPUNIT_ASSERT(report.at("disagreements").empty());
   }
 
-  void NonIdempotentWorkRunsOnceAcrossEntries() {
+  void NonIdempotentRequestRunsOnceAcrossEntries() {
     StartFleet("witnessed");
     const http::Headers headers = {
         {"authorization", std::string("Bearer ") + kTeamKey},
         {"idempotency-key", "order-7"},
         {"dotterelshift-idempotent", "false"}};
-    const HttpAnswer first = m_fleet->Send(
+    const HttpResponse first = m_fleet->Send(
         "POST", Url("e1", "/v1/services/loan/orders"), headers, "{\"book\":1}");
     CPPUNIT_ASSERT_EQUAL_MESSAGE(first.body, 200, first.status);
-    const HttpAnswer again = m_fleet->Send(
+    const HttpResponse again = m_fleet->Send(
         "POST", Url("e2", "/v1/services/loan/orders"), headers, "{\"book\":1}");
     CPPUNIT_ASSERT_EQUAL_MESSAGE(again.body, 409, again.status);
     CPPUNIT_ASSERT(again.body.find("already_ran") != std::string::npos);
     CPPUNIT_ASSERT_EQUAL(1, RunsByKey().at("order-7"));
   }
 
-  void ARequestThatEndsEndpointsIsHeldBack() {
+  void RequestThatCrashesEndpointsIsQuarantined() {
     StartFleet("witnessed");
-    constexpr int kInnocent = 30;
-    std::vector<Call> calls(kInnocent);
+    constexpr int kHealthyCalls = 30;
+    std::vector<Call> calls(kHealthyCalls);
     int ended = 0;
-    for (int i = 0; i < kInnocent; ++i) {
+    for (int i = 0; i < kHealthyCalls; ++i) {
       calls[i].key = "call-" + std::to_string(i);
       calls[i].entry = i % 2 == 0 ? "e1" : "e2";
       Start(calls[i], &ended);
     }
-    // The caller sends it again and again, at one entry and the other.
+    // The caller resends the crashing request, alternating between the entries.
     std::string last;
     for (int round = 0; round < 12 && last.find("quarantined") == last.npos;
          ++round) {
@@ -220,11 +222,12 @@
       last = poison.body;
     }
     CPPUNIT_ASSERT_MESSAGE(last, last.find("quarantined") != std::string::npos);
-    // A process's connections are closed before its parent sees its end.
-    RunUntil(Loop(), "three dead", [&] { return CountDead() >= 3; });
-    // The innocent were cut before their first byte or not at all; those that
-    // were told to come back do so, and get a whole answer.
-    RunUntil(Loop(), "all ends", [&] { return ended == kInnocent; });
+    // The connections of a process close before its parent sees that it ended.
+    RunUntil(Loop(), "three dead endpoints", [&] { return CountDead() >= 3; });
+    // The other requests must not be reported as quarantined. Those without a
+    // complete response are retried, and the retry must complete.
+    RunUntil(Loop(), "the end of all requests",
+             [&] { return ended == kHealthyCalls; });
     for (Call& call : calls) {
       if (call.WholeAnswer()) continue;
       CPPUNIT_ASSERT_MESSAGE(
@@ -241,7 +244,8 @@
     return "http://" + m_fleet->HttpAddress(name) + path;
   }
 
-  // One control, two entries, each behind a link of its own, four endpoints.
+  // Starts one control, two entries, each connected to it through a proxy of
+  // its own, and four endpoints.
   void StartFleet(const std::string& grant_way) {
     m_links.clear();
     m_fleet = std::make_unique<Fleet>();
@@ -257,12 +261,12 @@
       m_fleet->StartEndpoint(
           id, m_fleet->HttpAddress("e1") + "," + m_fleet->HttpAddress("e2"),
           {"--models", "m", "--services", "loan", "--tokens",
-           std::to_string(kTokensOfAnAnswer), "--token-interval-ms", "10",
+           std::to_string(kTokensPerResponse), "--token-interval-ms", "10",
            "--slots", "256", "--crash-mark", kCrashMark});
     }
     m_fleet->AwaitReady("e1");
     m_fleet->AwaitReady("e2");
-    const HttpAnswer confirmed =
+    const HttpResponse confirmed =
         m_fleet->PlanAndConfirm("c1", Intent(grant_way));
     CPPUNIT_ASSERT_EQUAL_MESSAGE(confirmed.body, 200, confirmed.status);
     for (const char* entry : {"e1", "e2"}) {
@@ -271,10 +275,10 @@
     }
   }
 
-  // An entry that knows all four endpoints says so to operators.
+  // Waits until the entry's metrics show all four endpoints as usable.
   void AwaitEndpoints(const std::string& entry) {
     RunUntil(Loop(), entry + " knows the endpoints", [&] {
-      const HttpAnswer answer =
+      const HttpResponse answer =
           m_fleet->Send("GET", Url(entry, "/metrics"), {}, {});
       return answer.body.find("dotterelshift_endpoints_usable 4") !=
              std::string::npos;
@@ -286,8 +290,8 @@
     callbacks.on_head = [&call](int status, const http::Headers&) {
       call.status = status;
     };
-    callbacks.on_piece = [&call](std::string_view piece) {
-      call.body.append(piece);
+    callbacks.on_chunk = [&call](std::string_view chunk) {
+      call.body.append(chunk);
       return true;
     };
     callbacks.on_end = [&call, ended](http::TransferEnd end) {
@@ -318,16 +322,16 @@
   int CountDead() const {
     int dead = 0;
     for (const char* id : {"f0", "f1", "f2", "f3"})
-      dead += m_fleet->ProcessOf(id).Ended() ? 1 : 0;
+      dead += m_fleet->GetProcess(id).Ended() ? 1 : 0;
     return dead;
   }
 
-  // How often the endpoints that live began each request key.
+  // How often the endpoints that still run received each request key.
   std::map<std::string, int> RunsByKey() {
     std::map<std::string, int> runs;
     for (const char* id : {"f0", "f1", "f2", "f3"}) {
-      if (m_fleet->ProcessOf(id).Ended()) continue;
-      const HttpAnswer answer =
+      if (m_fleet->GetProcess(id).Ended()) continue;
+      const HttpResponse answer =
           m_fleet->Send("GET", Url(id, "/control/served"), {}, {});
       for (const json& served : json::parse(answer.body)) {
         ++runs[served.at("key").get<std::string>()];
@@ -336,9 +340,11 @@
     return runs;
   }
 
-  // "Not run" is said only of what no endpoint ran; a whole answer has run.
-  static void CheckTruth(const Call& call,
-                         const std::map<std::string, int>& ran) {
+  // Checks that a request reported as not run was run by no endpoint that still
+  // exists, that callers of e1 get a complete response or a reported outcome,
+  // and that all content belongs to the caller's own request.
+  static void CheckReportedOutcome(const Call& call,
+                                   const std::map<std::string, int>& ran) {
     if (call.Ran() == "no") {
       CPPUNIT_ASSERT_MESSAGE(call.key + ": " + call.body,
                              !ran.contains(call.key));
@@ -347,7 +353,7 @@
       const bool spoken = call.WholeAnswer() || !call.Ran().empty();
       CPPUNIT_ASSERT_MESSAGE(call.key + ": " + call.body, spoken);
     }
-    // Nobody has a piece of another's answer.
+    // No caller received content of another request.
     for (size_t at = call.body.find("\"content\":\""); at != std::string::npos;
          at = call.body.find("\"content\":\"", at + 1)) {
       const std::string text = call.body.substr(at + 11, call.key.size() + 1);
@@ -356,14 +362,15 @@
   }
 
   json Report() {
-    const HttpAnswer answer =
-        m_fleet->Operate("c1", "GET", "report?team=lib", {});
+    const HttpResponse answer =
+        m_fleet->SendOperatorRequest("c1", "GET", "report?team=lib", {});
     CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.body, 200, answer.status);
     return json::parse(answer.body);
   }
 
-  // Bills equal whole answers by key, spend stays within the budget.
-  void CheckBooks(int whole_answers) {
+  // Checks that there are as many bills as complete responses, and that spend
+  // stays within the budget.
+  void CheckBilling(int whole_answers) {
     const json report = Report();
     int answered = 0;
     for (const json& day : report.at("days"))
--- a/tests/scenarios/engine.cc
+++ b/tests/scenarios/engine.cc
@@ -5,7 +5,7 @@
 namespace dotterelshift::scenarios {
 namespace {
 
-constexpr Tokens kTokensInAPiece = 8;
+constexpr Tokens kTokensPerChunk = 8;
 constexpr int kOk = 200;
 
 }  // namespace
@@ -64,7 +64,7 @@
   const RequestRecord& record = m_records->Of(stream.request);
   if (record.crashes_engines) return Die();
   const Tokens tokens =
-      std::min(kTokensInAPiece, record.output - stream.written);
+      std::min(kTokensPerChunk, record.output - stream.written);
   if (record.service || tokens == 0) {
     const Stream done = stream;
     m_streams.erase(found);
@@ -74,9 +74,9 @@
   m_records->OnConsumed(stream.request, tokens);
   m_network->Send(m_record.id, connection.entry,
                   [this, connection, tokens, request = stream.request] {
-                    m_events.on_piece(connection, request, {.tokens = tokens});
+                    m_events.on_chunk(connection, request, {.tokens = tokens});
                   });
-  m_network->After(fault.between_pieces, [this, connection, serial] {
+  m_network->After(fault.chunk_interval, [this, connection, serial] {
     WriteNext(connection, serial);
   });
 }
@@ -84,13 +84,13 @@
 void Engine::Finish(const Connection& connection, const Stream& stream) {
   const RequestRecord& record = m_records->Of(stream.request);
   if (!record.service && !fault.usage_missing) {
-    serving::Piece usage;
+    serving::Chunk usage;
     usage.has_usage = true;
     usage.usage_prompt = record.prompt;
     usage.usage_output = stream.written;
     m_network->Send(m_record.id, connection.entry,
                     [this, connection, usage, request = stream.request] {
-                      m_events.on_piece(connection, request, usage);
+                      m_events.on_chunk(connection, request, usage);
                     });
   }
   End(connection, serving::AttemptEnd::kWhole);
--- a/tests/scenarios/scenarios_test.cc
+++ b/tests/scenarios/scenarios_test.cc
@@ -1,5 +1,5 @@
-// Runs every script of scenarios/ over the real cores, and compares the table
-// of docs/SCENARIOS.md with what the scripts say they cover.
+// Runs every script of scenarios/ over the real cores, and checks that the
+// table of docs/SCENARIOS.md matches the coverage that the scripts declare.
 #include <cppunit/extensions/HelperMacros.h>  // for CPPUNIT_TEST
 
 #include <fstream>  // for ifstream
@@ -11,7 +11,7 @@
 namespace dotterelshift::scenarios {
 namespace {
 
-// One script as one test, by its file's name.
+// Runs one script as a test named after its file.
 class ScriptTest : public CppUnit::TestCase {
  public:
   explicit ScriptTest(const std::string& file)
@@ -49,11 +49,11 @@
 
 class ScenarioTableTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ScenarioTableTest);
-  CPPUNIT_TEST(ThePageHoldsTheTable);
+  CPPUNIT_TEST(PageContainsTheCoverageTable);
   CPPUNIT_TEST(EveryPromiseAndFailureIsCovered);
   CPPUNIT_TEST_SUITE_END();
 
-  void ThePageHoldsTheTable() {
+  void PageContainsTheCoverageTable() {
     const std::string table = CoverageTable();
     CPPUNIT_ASSERT_MESSAGE(
         "docs/SCENARIOS.md should hold\n" + table,
--- a/tests/scenarios/world.cc
+++ b/tests/scenarios/world.cc
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr Duration kTick = 10ms;
-constexpr Duration kAnnounceEvery = 1s;
-constexpr Duration kDrainPatience = 3s;
-constexpr Duration kCutNoticed = 50ms;
+constexpr Duration kAnnounceInterval = 1s;
+constexpr Duration kDrainGracePeriod = 3s;
+constexpr Duration kCutDetectionDelay = 50ms;
 constexpr int kTeams = 10;
 constexpr std::string_view kSecret = "scenario-secret";
 const std::string kOperator = "operator";
@@ -121,9 +121,9 @@
   events.on_head = [this](const Connection& connection, int status) {
     FindEntry(connection.entry)->OnHead(connection, status);
   };
-  events.on_piece = [this](const Connection& connection, RequestId from,
-                           const serving::Piece& piece) {
-    FindEntry(connection.entry)->OnPiece(connection, from, piece);
+  events.on_chunk = [this](const Connection& connection, RequestId from,
+                           const serving::Chunk& chunk) {
+    FindEntry(connection.entry)->OnChunk(connection, from, chunk);
   };
   events.on_end = [this](const Connection& connection,
                          serving::AttemptEnd end) {
@@ -134,14 +134,14 @@
                                              std::move(events));
 }
 
-std::string World::FirstIntent() const {
+std::string World::MakeInitialIntent() const {
   std::ostringstream teams;
   std::ostringstream keys;
   std::ostringstream budgets;
   std::ostringstream top_ups;
   for (int i = 1; i <= kTeams; ++i) {
     const std::string team = "t" + std::to_string(i);
-    // The first three teams are the large ones.
+    // The first three teams are large: they have a higher weight.
     teams << " - {id: " << team << ", policy: " << m_options.policy
           << ", grant_way: " << m_options.grant_way
           << ", partition: " << m_options.partition
@@ -165,7 +165,7 @@
   Run(2s);
   ControlHost* leader = Leader();
   if (!leader) return m_records.Break(m_network.Now(), "no leader at start");
-  Plan("set-up", kOperator, FirstIntent(), leader->Name());
+  Plan("set-up", kOperator, MakeInitialIntent(), leader->Name());
   Run(200ms);
   Confirm("set-up", "set-up", kOperator, leader->Name());
   Run(200ms);
@@ -186,13 +186,13 @@
   for (const auto& control : m_controls) control->Tick();
   for (const auto& entry : m_entries) entry->Tick();
   if (m_announce_due <= m_network.Now()) {
-    m_announce_due = m_network.Now() + kAnnounceEvery;
+    m_announce_due = m_network.Now() + kAnnounceInterval;
     for (const auto& [name, engine] : m_engines) Announce(engine.get());
     CheckNow();
   }
 }
 
-// An endpoint announces itself to the next entry that it reaches.
+// An endpoint announces itself to one entry that it can reach, in rotation.
 void World::Announce(Engine* engine) {
   if (!engine->Alive()) return;
   const std::string& id = engine->Record().id;
@@ -224,14 +224,15 @@
     Engine* engine = FindEngine(engine_name);
     if (!entry || !engine) continue;
     entry->OnCut(engine_name);
-    m_network.After(kCutNoticed,
+    m_network.After(kCutDetectionDelay,
                     [engine, host = host] { engine->CancelAll(host); });
   }
 }
 
 void World::SetFault(const std::string& one, const std::string& other,
                      const LinkFault& fault) {
-  // A connection to an engine keeps the order of its bytes.
+  // A connection to an engine preserves the order of its bytes, so its link has
+  // no jitter and delivers no message twice.
   LinkFault kept = fault;
   if (FindEngine(one) || FindEngine(other)) kept = {.delay = fault.delay};
   m_network.SetFault(one, other, kept);
@@ -262,7 +263,7 @@
 
 void World::KillEntry(const std::string& name) {
   FindEntry(name)->Kill();
-  m_network.After(kCutNoticed, [this, name] {
+  m_network.After(kCutDetectionDelay, [this, name] {
     for (const auto& [id, engine] : m_engines) engine->CancelAll(name);
   });
 }
@@ -283,8 +284,8 @@
   request.idempotency_key = added.key;
   request.idempotent = added.idempotent;
   request.deadline = added.deadline;
-  // What has the same key, or crashes engines by the same name, is the same
-  // content.
+  // Requests with the same key have the same content, as do the crashing
+  // requests of one group.
   std::string content = std::to_string(added.id);
   if (added.crashes_engines) content = added.group;
   if (!added.key.empty()) content = added.team + added.key;
@@ -292,7 +293,7 @@
   EntryHost* entry = FindEntry(added.entry);
   m_network.After(1ms, [this, entry, request, id = added.id] {
     RequestRecord& sent = m_records.Of(id);
-    // As an entry names a request that came without a key.
+    // The key that an entry assigns to a request without one.
     if (sent.key.empty()) {
       sent.key = "~" + entry->Name() + "." +
                  std::to_string(entry->Self().incarnation) + "." +
@@ -424,7 +425,7 @@
       continue;
     }
     const auto since = m_draining_since.emplace(id, m_network.Now()).first;
-    if (engine->LastStart() > since->second + kDrainPatience)
+    if (engine->LastStart() > since->second + kDrainGracePeriod)
       m_records.Break(m_network.Now(), id + " drains and got new work");
   }
 }
--- a/tools/explore/main.cc
+++ b/tools/explore/main.cc
@@ -1,6 +1,6 @@
-// Runs seeded schedules of faults over control groups that found, heal and
-// replace themselves, and prints what they reached. Ends with 1 at the first
-// rule that does not hold, after the seed that shows it.
+// Runs seeded schedules of faults over simulated control groups that bootstrap,
+// recover and replace their members, and prints totals. Prints the seed of each
+// schedule that violates a rule, and exits with 1 if there was one.
 
 #include <tclap/CmdLine.h>  // for CmdLine
 
@@ -8,21 +8,21 @@
 #include <exception>  // for exception
 #include <iostream>   // for cout
 
-#include "dotterelshift/replication/healing_world.h"  // for HealingWorld
+#include "dotterelshift/replication/membership_simulation.h"  // for MembershipSimulation
 
 namespace {
 
-using dotterelshift::replication::HealingCounts;
-using dotterelshift::replication::HealingRules;
-using dotterelshift::replication::HealingWorld;
+using dotterelshift::replication::MembershipSimulation;
+using dotterelshift::replication::MembershipSimulationCounts;
+using dotterelshift::replication::MembershipSimulationRules;
 using dotterelshift::replication::Violation;
 
 int Explore(uint64_t first, uint64_t schedules, int steps) {
-  HealingCounts sum;
+  MembershipSimulationCounts sum;
   uint64_t violations = 0;
   for (uint64_t seed = first; seed < first + schedules; ++seed) {
     try {
-      sum.Add(HealingWorld<HealingRules>(seed).Run(steps));
+      sum.Add(MembershipSimulation<MembershipSimulationRules>(seed).Run(steps));
     } catch (const Violation& violation) {
       ++violations;
       std::cout << "seed " << seed << ": " << violation.what() << "\n";
